--- a/ticket/desk.go
+++ b/ticket/desk.go
@@ -18,91 +18,91 @@
 	DefaultAnswerBytes = 1 << 20
 )
 
-// DefaultRetention is how long a record outlives its ticket's good-until.
+// DefaultRetention is how long a record is kept after its ticket expires.
 const DefaultRetention = 2 * time.Minute
 
-// RecordOverhead is what a record counts besides its answer, in bytes.
+// RecordOverhead is the size in bytes that a record counts in addition to its response.
 const RecordOverhead = 640
 
-// Options set up a Desk. A zero bound takes its default.
+// Options configures a Desk. A zero limit means its default.
 type Options struct {
 	VM          string
 	Incarnation uint64
-	// Count bounds the records, Bytes their sum, AnswerBytes one answer.
+	// Count limits the number of records, Bytes their total size, AnswerBytes the size of
+	// one response.
 	Count       int
 	Bytes       int
 	AnswerBytes int
-	// Retain returns the moment until which the record of a ticket is kept, from
-	// the ticket's good-until; nil means DefaultRetention after it. It must
-	// never go down when its argument goes up.
+	// Retain returns until when the record of a ticket that expires at goodUntil is kept;
+	// nil means DefaultRetention after it. It must not decrease as goodUntil increases.
 	Retain func(goodUntil time.Time) time.Time
 }
 
-// Desk issues the tickets of one incarnation, and holds the records and rights
-// of its own tickets and of those it adopted. Its methods may be called from
-// any goroutine.
+// Desk issues the tickets of one incarnation. It keeps the records and signing keys of
+// its own tickets and of those it adopted. It is safe for concurrent use.
 type Desk struct {
-	self   Holder
-	count  int
-	bytes  int
-	answer int
-	retain func(time.Time) time.Time
+	self           Holder
+	maxRecords     int
+	maxBytes       int
+	maxAnswerBytes int
+	retain         func(time.Time) time.Time
 
 	mu       sync.Mutex
 	sequence uint64
-	// latest is the highest good-until issued.
-	latest time.Time
-	own    *claim
-	claims map[Holder]*claim
-	// ended holds finished entries, the first to drop on top.
-	ended     entryHeap
-	entries   int
-	used      int
-	running   int
-	stopping  bool
-	gaveUp    bool
-	forgotten time.Time
+	// latestGoodUntil is the latest expiry of any ticket issued.
+	latestGoodUntil time.Time
+	ownTickets      *ticketSet
+	ticketSets      map[Holder]*ticketSet
+	// finished holds finished entries, ordered by when they may be dropped.
+	finished       entryHeap
+	recordCount    int
+	usedBytes      int
+	runningCount   int
+	stopping       bool
+	gaveUp         bool
+	forgottenUntil time.Time
 }
 
-// claim is what a desk knows of the tickets of one incarnation.
-type claim struct {
-	of  Holder
-	key []byte
-	// held says that this desk may send; without it the records are only replayed.
-	held bool
-	// closed is the highest good-until that was declared expired or dropped:
-	// no ticket good until then or less can be used, whatever the clock says.
-	closed time.Time
-	// swept is the highest good-until of a dropped record: of a ticket good
-	// until then or less, and without a record, nobody knows whether it ran.
-	swept time.Time
-	// until is when an adopted claim can be forgotten.
-	until   time.Time
-	entries map[uint64]*Entry
+// ticketSet is the state of all tickets that one incarnation issued.
+type ticketSet struct {
+	issuer Holder
+	key    []byte
+	// executable is set if this desk may run the tickets; otherwise it only replays records.
+	executable bool
+	// expiredUntil is the latest expiry of a ticket that was reported expired or whose
+	// record was dropped. Tickets that expire by then cannot be used, even if the clock is
+	// set back.
+	expiredUntil time.Time
+	// droppedUntil is the latest expiry of a ticket whose record was dropped. Of a ticket
+	// that expires by then and has no record, it is unknown whether it ran.
+	droppedUntil time.Time
+	// expiresAt is when an adopted set can be forgotten.
+	expiresAt time.Time
+	entries   map[uint64]*Entry
 }
 
-// New makes a desk with a fresh key from crypto/rand.
+// New creates a desk with a random key.
 func New(o Options) *Desk {
 	self := Holder{
 		VM:          o.VM,
 		Incarnation: o.Incarnation,
 	}
 	key := make([]byte, keyLength)
-	_, _ = rand.Read(key) // never fails, as its documentation says
-	own := &claim{
-		of:      self,
-		key:     key,
-		held:    true,
-		entries: map[uint64]*Entry{},
+	_, _ = rand.Read(key) // documented to never return an error
+	own := &ticketSet{
+		issuer:     self,
+		key:        key,
+		executable: true,
+		entries:    map[uint64]*Entry{},
 	}
 	d := &Desk{
-		self:   self,
-		count:  orDefault(o.Count, DefaultCount),
-		bytes:  orDefault(o.Bytes, DefaultBytes),
-		answer: orDefault(o.AnswerBytes, DefaultAnswerBytes),
-		retain: o.Retain,
-		own:    own,
-		claims: map[Holder]*claim{self: own},
+		self:           self,
+		maxRecords:     orDefault(o.Count, DefaultCount),
+		maxBytes:       orDefault(o.Bytes, DefaultBytes),
+		maxAnswerBytes: orDefault(o.AnswerBytes, DefaultAnswerBytes),
+		retain:         o.Retain,
+		ownTickets:     own,
+		ticketSets:     map[Holder]*ticketSet{self: own},
 	}
 	if d.retain == nil {
 		d.retain = func(goodUntil time.Time) time.Time { return goodUntil.Add(DefaultRetention) }
@@ -117,8 +117,8 @@
 	return fallback
 }
 
-// Issue returns the text of a new ticket. It costs no memory. It is empty when
-// the VM's or the workspace's name is over its bound.
+// Issue returns the text of a new ticket. Nothing is stored until the ticket is used.
+// The text is empty if the VM's or the workspace's name is too long.
 func (d *Desk) Issue(workspace string, goodUntil time.Time) string {
 	if len(workspace) > MaxWorkspace || len(d.self.VM) > MaxVM {
 		return ""
@@ -130,80 +130,81 @@
 		Workspace:   workspace,
 		GoodUntil:   goodUntil.Truncate(time.Millisecond),
 	}
-	t.MAC = t.sign(d.own.key)
+	t.MAC = t.sign(d.ownTickets.key)
 	return t.Text()
 }
 
 func (d *Desk) nextSequence(goodUntil time.Time) uint64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.latest = moment.Later(d.latest, goodUntil)
+	d.latestGoodUntil = moment.Later(d.latestGoodUntil, goodUntil)
 	d.sequence++
 	return d.sequence
 }
 
-// Kind says what to do with a call that came with a ticket.
+// Kind is the action that a Step requires.
 type Kind int
 
 // The kinds of steps.
 const (
-	// Run: the call is the caller's to run, by Entry.
+	// Run: run the call through Entry.
 	Run Kind = iota + 1
-	// Wait: the same call is running; call Begin again once Done is closed.
+	// Wait: another request is running the call; call Begin again once Done is closed.
 	Wait
-	// Replay: the call ran before and Record is its whole answer.
+	// Replay: the call ran before; return Record.
 	Replay
-	// Refused: Refusal says why.
+	// Refused: return Refusal.
 	Refused
 )
 
-// Step is what Begin decided.
+// Step is the decision of Begin.
 type Step struct {
 	Kind Kind
 	// Entry is set on Run.
 	Entry *Entry
 	// Done is set on Wait.
 	Done <-chan struct{}
-	// Record is set on Replay; it is shared and must not be changed.
+	// Record is set on Replay. It is shared and must not be modified.
 	Record *Record
-	// Refusal is set on Refused. Its code is of class not run when this ask ran
-	// nothing, and of class unknown when the ticket's call may have run.
+	// Refusal is set on Refused. Its class is not run if this request ran nothing, and
+	// unknown if the ticket's call may have run.
 	Refusal *result.Refusal
 }
 
-// Begin decides about one ask with a ticket. callHash stands for the whole
-// call: a ticket serves one call only. A Run must end by Entry's Finish or Abandon.
+// Begin decides how to handle a request with a ticket. callHash identifies the call: a
+// ticket is valid for one call only. After Run, the entry must be ended by Finish or
+// Abandon.
 func (d *Desk) Begin(text, workspace string, callHash uint64, now time.Time) Step {
 	t, refusal := Parse(text)
 	if refusal != nil {
-		return refuse(refusal)
+		return refusedStep(refusal)
 	}
 	if t.Workspace != workspace {
-		return refuse(result.Refuse(result.TicketMismatch, "the ticket is of another workspace"))
+		return refusedStep(result.Refuse(result.TicketMismatch, "the ticket is of another workspace"))
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.sweep(now)
-	c := d.claims[t.Holder()]
-	if c == nil {
-		return refuse(executorGone())
+	d.dropExpired(now)
+	set := d.ticketSets[t.Holder()]
+	if set == nil {
+		return refusedStep(executorGone())
 	}
-	if c.key != nil && !t.genuine(c.key) {
-		return refuse(invalid("the ticket is not genuine"))
+	if set.key != nil && !t.hasValidMAC(set.key) {
+		return refusedStep(invalid("the ticket is not genuine"))
 	}
-	if e := c.entries[t.Sequence]; e != nil {
-		return e.repeat(text, callHash)
+	if e := set.entries[t.Sequence]; e != nil {
+		return e.repeatStep(text, callHash)
 	}
-	if refusal := d.unusable(c, t, now); refusal != nil {
-		return refuse(refusal)
+	if refusal := d.checkUsable(set, t, now); refusal != nil {
+		return refusedStep(refusal)
 	}
 	return Step{
 		Kind:  Run,
-		Entry: d.open(c, t, text, callHash),
+		Entry: d.newEntry(set, t, text, callHash),
 	}
 }
 
-func refuse(r *result.Refusal) Step {
+func refusedStep(r *result.Refusal) Step {
 	return Step{
 		Kind:    Refused,
 		Refusal: r,
@@ -214,71 +215,71 @@
 	return result.Refuse(result.ExecutorGone, "no holder of the ticket's rights is known here")
 }
 
-// unusable gives why a ticket without a record cannot be run now.
-func (d *Desk) unusable(c *claim, t Ticket, now time.Time) *result.Refusal {
-	if !t.GoodUntil.After(c.swept) {
+// checkUsable refuses a ticket without a record that cannot be run now.
+func (d *Desk) checkUsable(set *ticketSet, t Ticket, now time.Time) *result.Refusal {
+	if !t.GoodUntil.After(set.droppedUntil) {
 		return result.Refuse(result.RecordLost, "records of tickets that old were dropped")
 	}
-	if !c.held {
+	if !set.executable {
 		return executorGone()
 	}
-	if refusal := c.expired(t.GoodUntil, now); refusal != nil {
+	if refusal := set.checkExpired(t.GoodUntil, now); refusal != nil {
 		return refusal
 	}
 	if d.stopping {
 		return result.Refuse(result.Stopping, "this VM is stopping")
 	}
-	return d.full(now)
+	return d.checkCapacity(now)
 }
 
-// expired also closes the claim for all tickets as old, so that a clock that
-// is set back cannot make a ticket good that was declared expired.
-func (c *claim) expired(goodUntil, now time.Time) *result.Refusal {
-	if goodUntil.After(c.closed) && !now.After(goodUntil) {
+// checkExpired refuses expired tickets. It also raises expiredUntil, so that a clock
+// that is set back cannot revive a ticket that was reported expired.
+func (set *ticketSet) checkExpired(goodUntil, now time.Time) *result.Refusal {
+	if goodUntil.After(set.expiredUntil) && !now.After(goodUntil) {
 		return nil
 	}
-	c.closed = moment.Later(c.closed, goodUntil)
+	set.expiredUntil = moment.Later(set.expiredUntil, goodUntil)
 	return result.Refuse(result.TicketExpired, "the ticket was good until %s and was never used", goodUntil.UTC().Format(time.RFC3339Nano))
 }
 
-// full gives RecordsFull when there is no room for one more record. A record
-// whose time is not over is never dropped for a new one.
-func (d *Desk) full(now time.Time) *result.Refusal {
-	if d.fits(1, RecordOverhead) {
+// checkCapacity returns RecordsFull if there is no room for another record. Records
+// other than copies are never evicted before their retention ends.
+func (d *Desk) checkCapacity(now time.Time) *result.Refusal {
+	if d.hasRoom(1, RecordOverhead) {
 		return nil
 	}
 	d.dropCopies()
-	if d.fits(1, RecordOverhead) {
+	if d.hasRoom(1, RecordOverhead) {
 		return nil
 	}
 	refusal := result.Refuse(result.RecordsFull, "all records are in use")
-	if len(d.ended) > 0 {
-		return refusal.Until(moment.Later(now, d.ended[0].keepUntil))
+	if len(d.finished) > 0 {
+		return refusal.Until(moment.Later(now, d.finished[0].keepUntil))
 	}
 	return refusal
 }
 
-func (d *Desk) fits(records, bytes int) bool {
-	return d.entries+records <= d.count && d.used+bytes <= d.bytes
+func (d *Desk) hasRoom(records, bytes int) bool {
+	return d.recordCount+records <= d.maxRecords && d.usedBytes+bytes <= d.maxBytes
 }
 
-// dropCopies makes room; copies carry no rights, so no run depends on them.
+// dropCopies frees memory by dropping copies, which carry no right to run a ticket.
 func (d *Desk) dropCopies() {
-	for of, c := range d.claims {
-		if c.held || c.key != nil {
+	for issuer, set := range d.ticketSets {
+		if set.executable || set.key != nil {
 			continue
 		}
-		for _, e := range c.entries {
-			d.drop(e)
+		for _, e := range set.entries {
+			d.dropEntry(e)
 		}
-		delete(d.claims, of)
+		delete(d.ticketSets, issuer)
 	}
 }
 
-func (d *Desk) open(c *claim, t Ticket, text string, callHash uint64) *Entry {
+func (d *Desk) newEntry(set *ticketSet, t Ticket, text string, callHash uint64) *Entry {
 	e := &Entry{
 		desk:      d,
-		claim:     c,
+		set:       set,
 		text:      strings.Clone(text),
 		sequence:  t.Sequence,
 		callHash:  callHash,
@@ -288,38 +289,37 @@
 		size:      RecordOverhead,
 		index:     -1,
 	}
-	d.add(e)
-	d.running++
+	d.addEntry(e)
+	d.runningCount++
 	return e
 }
 
-func (d *Desk) add(e *Entry) {
-	e.claim.entries[e.sequence] = e
-	d.entries++
-	d.used += e.size
+func (d *Desk) addEntry(e *Entry) {
+	e.set.entries[e.sequence] = e
+	d.recordCount++
+	d.usedBytes += e.size
 }
 
-// drop forgets an entry.
-func (d *Desk) drop(e *Entry) {
-	delete(e.claim.entries, e.sequence)
-	d.entries--
-	d.used -= e.size
+func (d *Desk) dropEntry(e *Entry) {
+	delete(e.set.entries, e.sequence)
+	d.recordCount--
+	d.usedBytes -= e.size
 	if e.index >= 0 {
-		heap.Remove(&d.ended, e.index)
+		heap.Remove(&d.finished, e.index)
 	}
 }
 
-// sweep drops the records whose time is over.
-func (d *Desk) sweep(now time.Time) {
-	for len(d.ended) > 0 && now.After(d.ended[0].keepUntil) {
-		e := d.ended[0]
-		e.claim.swept = moment.Later(e.claim.swept, e.goodUntil)
-		e.claim.closed = moment.Later(e.claim.closed, e.goodUntil)
-		d.drop(e)
+// dropExpired drops the records whose retention has ended.
+func (d *Desk) dropExpired(now time.Time) {
+	for len(d.finished) > 0 && now.After(d.finished[0].keepUntil) {
+		e := d.finished[0]
+		e.set.droppedUntil = moment.Later(e.set.droppedUntil, e.goodUntil)
+		e.set.expiredUntil = moment.Later(e.set.expiredUntil, e.goodUntil)
+		d.dropEntry(e)
 	}
 }
 
-// entryHeap orders entries by keepUntil.
+// entryHeap is a heap of entries ordered by keepUntil.
 type entryHeap []*Entry
 
 func (h entryHeap) Len() int { return len(h) }
--- a/ticket/desk_test.go
+++ b/ticket/desk_test.go
@@ -19,13 +19,13 @@
 
 var epoch = time.UnixMilli(1_700_000_000_000)
 
-// script runs the steps of one case of testdata/desk.json, "command words -> want".
-type script struct {
-	now     time.Time
-	desks   map[string]*Desk
-	tickets map[string]string
-	entries map[string]*Entry
-	given   map[*Desk]HandOver
+// scriptRunner runs the steps "command words -> want" of testdata/desk.json.
+type scriptRunner struct {
+	now       time.Time
+	desks     map[string]*Desk
+	tickets   map[string]string
+	entries   map[string]*Entry
+	handOvers map[*Desk]HandOver
 }
 
 func TestDesk(t *testing.T) {
@@ -35,35 +35,35 @@
 	}
 	for _, c := range readCase[[]scripted](t, "testdata/desk.json") {
 		t.Run(c.Name, func(t *testing.T) {
-			s := script{
-				now:     epoch,
-				desks:   map[string]*Desk{},
-				tickets: map[string]string{},
-				entries: map[string]*Entry{},
-				given:   map[*Desk]HandOver{},
+			s := scriptRunner{
+				now:       epoch,
+				desks:     map[string]*Desk{},
+				tickets:   map[string]string{},
+				entries:   map[string]*Entry{},
+				handOvers: map[*Desk]HandOver{},
 			}
 			for _, vm := range []string{"a", "b", "c"} {
 				s.start(vm, 1)
 			}
 			for i, line := range c.Steps {
 				command, want, _ := strings.Cut(line, " -> ")
-				assert.Equal(t, s.do(strings.Fields(command)), want, "step %d: %s", i, line)
+				assert.Equal(t, s.runStep(strings.Fields(command)), want, "step %d: %s", i, line)
 			}
 		})
 	}
 }
 
-func (s *script) start(vm string, incarnation uint64) {
+func (s *scriptRunner) start(vm string, incarnation uint64) {
 	s.desks[vm] = New(Options{
 		VM:          vm,
 		Incarnation: incarnation,
 		Count:       2,
 		AnswerBytes: 30,
-		Retain:      func(goodUntil time.Time) time.Time { return goodUntil.Add(goodFor) },
+		Retain:      func(goodUntil time.Time) time.Time { return goodUntil.Add(ticketLifetime) },
 	})
 }
 
-func (s *script) do(words []string) string {
+func (s *scriptRunner) runStep(words []string) string {
 	name := words[1]
 	desk := s.desks[name]
 	switch words[0] {
@@ -73,7 +73,7 @@
 	case "restart":
 		s.start(name, desk.self.Incarnation+1)
 	case "issue":
-		s.tickets[name] = s.desks[words[2]].Issue("w", s.now.Add(goodFor))
+		s.tickets[name] = s.desks[words[2]].Issue("w", s.now.Add(ticketLifetime))
 		return "ok"
 	case "forge":
 		t, _ := Parse(s.tickets[words[2]])
@@ -82,7 +82,7 @@
 	case "begin":
 		return s.begin(words)
 	case "sending":
-		return verdict(s.entries[name].Sending(s.now))
+		return refusalText(s.entries[name].Sending(s.now))
 	case "finish":
 		s.entries[name].Finish(recordOf(words))
 		return "ok"
@@ -94,7 +94,7 @@
 	case "idle":
 		return fmt.Sprint(desk.Idle())
 	case "give_up":
-		s.given[desk] = desk.GiveUp(s.now)
+		s.handOvers[desk] = desk.GiveUp(s.now)
 	case "adopt", "copy", "tampered":
 		return fmt.Sprint(s.adopt(words[0], desk, s.desks[words[2]]))
 	case "adopted":
@@ -105,7 +105,7 @@
 	return ""
 }
 
-func (s *script) begin(words []string) string {
+func (s *scriptRunner) begin(words []string) string {
 	workspace := "w"
 	if len(words) > 4 {
 		workspace = words[4]
@@ -121,11 +121,11 @@
 	case Replay:
 		return "replay " + string(step.Record.Body)
 	default:
-		return verdict(step.Refusal)
+		return refusalText(step.Refusal)
 	}
 }
 
-func verdict(r *result.Refusal) string {
+func refusalText(r *result.Refusal) string {
 	switch {
 	case r == nil:
 		return "ok"
@@ -148,13 +148,13 @@
 	return r
 }
 
-// adopt hands over what from gave up first.
-func (s *script) adopt(how string, to, from *Desk) bool {
-	if _, ok := s.given[from]; !ok {
-		s.given[from] = from.GiveUp(s.now)
+// adopt transfers the rights of from to to, after from gave them up.
+func (s *scriptRunner) adopt(how string, to, from *Desk) bool {
+	if _, ok := s.handOvers[from]; !ok {
+		s.handOvers[from] = from.GiveUp(s.now)
 	}
-	h := s.given[from].Addressed(to.self)
-	// Rights stay with the first successor: of a's, c gets those addressed to b.
+	h := s.handOvers[from].Addressed(to.self)
+	// Rights of a that are offered to c stay addressed to b, the first successor.
 	if to == s.desks["c"] && from == s.desks["a"] {
 		h.To = s.desks["b"].self
 	}
@@ -168,7 +168,7 @@
 	return to.Adopt(h, s.now)
 }
 
-func (s *script) adopted(d *Desk) string {
+func (s *scriptRunner) adopted(d *Desk) string {
 	var out []string
 	for _, a := range d.Adopted(s.now) {
 		out = append(out, fmt.Sprintf("%s.%d until %d", a.Of.VM, a.Of.Incarnation, a.Until.Sub(epoch).Milliseconds()))
@@ -221,8 +221,8 @@
 	}
 }
 
-// TestConcurrentCallers sends one ticket from many goroutines while the desk
-// gives up and a successor adopts; the race detector watches.
+// TestConcurrentCallers sends one ticket from many goroutines during a hand-over; run
+// with -race.
 func TestConcurrentCallers(t *testing.T) {
 	a := New(Options{
 		VM: "a",
@@ -231,7 +231,7 @@
 		VM: "b",
 	})
 	for range 50 {
-		text := a.Issue("w", epoch.Add(goodFor))
+		text := a.Issue("w", epoch.Add(ticketLifetime))
 		var runs atomic.Int32
 		var group sync.WaitGroup
 		for i := range 8 {
@@ -301,8 +301,8 @@
 	}
 }
 
-// BenchmarkRun begins, sends and finishes one call; with so many runs that the
-// records' memory shows in heap-B/record, for an answer of 200 bytes.
+// BenchmarkRun runs one call per iteration with a response of 200 bytes and reports
+// the memory per record.
 func BenchmarkRun(b *testing.B) {
 	d := New(Options{
 		VM:    "vm-1",
@@ -314,7 +314,7 @@
 	}
 	texts := make([]string, b.N)
 	for i := range texts {
-		texts[i] = d.Issue("fairway", epoch.Add(goodFor))
+		texts[i] = d.Issue("fairway", epoch.Add(ticketLifetime))
 	}
 	before := heapBytes()
 	b.ResetTimer()
@@ -333,7 +333,7 @@
 	b.StopTimer()
 	b.ReportMetric(float64(heapBytes()-before)/float64(b.N), "heap-B/record")
 	runtime.KeepAlive(texts)
-	b.ReportMetric(float64(d.used)/float64(b.N), "counted-B/record")
+	b.ReportMetric(float64(d.usedBytes)/float64(b.N), "counted-B/record")
 }
 
 func heapBytes() uint64 {
--- a/ticket/entry.go
+++ b/ticket/entry.go
@@ -10,8 +10,8 @@
 	"github.com/fuchsianotch/fuchsianotch/result"
 )
 
-// Record is the fate of one ticket's call. Header and Body are kept as given
-// and must not be changed afterwards.
+// Record is the recorded outcome of a ticket's call. Header and Body are not copied
+// and must not be modified afterwards.
 type Record struct {
 	Code   result.Code
 	Status int
@@ -30,24 +30,24 @@
 	return n
 }
 
-// state is how far a ticket's call has come.
+// state is the progress of a ticket's call.
 type state int
 
 const (
-	// admitted: may still be sent or abandoned.
+	// admitted: not sent yet.
 	admitted state = iota
-	// sent: the first byte may have gone out.
+	// sent: the first byte may have been sent.
 	sent
-	// finished: the record holds what became of it.
+	// finished: record holds the outcome.
 	finished
-	// released: the ticket is free again; this entry is void.
+	// released: the ticket can be used again and this entry is void.
 	released
 )
 
-// Entry is the one run of a ticket's call.
+// Entry tracks the run of one ticket's call.
 type Entry struct {
 	desk      *Desk
-	claim     *claim
+	set       *ticketSet
 	text      string
 	sequence  uint64
 	callHash  uint64
@@ -59,21 +59,21 @@
 	done   chan struct{}
 	record Record
 	size   int
-	// index is the place in the desk's heap, -1 when not there.
+	// index is the position in the desk's heap, -1 if not there.
 	index int
 }
 
-// Sending must be called directly before the first byte goes out, with a
-// fresh now. A nil return spends the ticket: the call counts as run. On a
-// refusal (TicketExpired or Stopping, both not run; RecordLost on a second
-// call) nothing may be sent, and the entry is over.
+// Sending must be called right before the first byte is sent, with the current time.
+// Nil means that the ticket is used and the call counts as run. On a refusal nothing
+// may be sent and the entry has ended: TicketExpired and Stopping are of class not
+// run, RecordLost is returned if the call was already sent.
 func (e *Entry) Sending(now time.Time) *result.Refusal {
 	e.desk.mu.Lock()
 	defer e.desk.mu.Unlock()
 	if e.state != admitted {
 		return result.Refuse(result.RecordLost, "the ticket's call was already sent")
 	}
-	if refusal := e.unsendable(now); refusal != nil {
+	if refusal := e.checkSendable(now); refusal != nil {
 		e.release()
 		return refusal
 	}
@@ -81,17 +81,16 @@
 	return nil
 }
 
-func (e *Entry) unsendable(now time.Time) *result.Refusal {
-	if !e.claim.held {
+func (e *Entry) checkSendable(now time.Time) *result.Refusal {
+	if !e.set.executable {
 		return result.Refuse(result.Stopping, "this VM gave up the ticket's rights")
 	}
-	return e.claim.expired(e.goodUntil, now)
+	return e.set.checkExpired(e.goodUntil, now)
 }
 
-// Finish records what became of the call. A code of class not run frees the
-// ticket, because the endpoint certainly ran nothing. Any other code is kept
-// until the ticket's time and the retention are over; an answer over the
-// bounds is kept without its body and is then answered RecordLost.
+// Finish records the outcome. A code of class not run makes the ticket usable again.
+// Any other outcome is kept until the ticket's expiry plus retention. A response over
+// the size limits is not kept; later requests get RecordLost.
 func (e *Entry) Finish(r Record) {
 	e.desk.mu.Lock()
 	defer e.desk.mu.Unlock()
@@ -102,12 +101,12 @@
 		e.release()
 		return
 	}
-	e.keep(r)
+	e.storeRecord(r)
 }
 
-// Abandon frees the ticket when nothing was sent. After Sending it records the
-// call as EndpointFailed (unknown) instead; after Finish it does nothing, so
-// it can be deferred.
+// Abandon ends the entry if Finish was not called, so it can be deferred. The ticket
+// becomes usable again if nothing was sent; otherwise the outcome is EndpointFailed
+// (unknown).
 func (e *Entry) Abandon() {
 	e.desk.mu.Lock()
 	defer e.desk.mu.Unlock()
@@ -115,40 +114,40 @@
 	case admitted:
 		e.release()
 	case sent:
-		e.keep(Record{
+		e.storeRecord(Record{
 			Code: result.EndpointFailed,
 		})
 	}
 }
 
-// release frees the ticket.
+// release makes the ticket usable again.
 func (e *Entry) release() {
 	e.state = released
-	e.desk.drop(e)
-	e.wake()
+	e.desk.dropEntry(e)
+	e.signalDone()
 }
 
-func (e *Entry) keep(r Record) {
+func (e *Entry) storeRecord(r Record) {
 	e.state = finished
-	e.record = e.desk.bounded(r)
+	e.record = e.desk.boundRecord(r)
 	size := e.record.size()
 	e.size += size
-	e.desk.used += size
+	e.desk.usedBytes += size
 	e.keepUntil = moment.Later(e.goodUntil, e.desk.retain(e.goodUntil))
-	heap.Push(&e.desk.ended, e)
-	e.wake()
+	heap.Push(&e.desk.finished, e)
+	e.signalDone()
 }
 
-// bounded returns the record, or RecordLost in its place when it is too large.
-// Of a call that did not end as done only the code is kept.
-func (d *Desk) bounded(r Record) Record {
+// boundRecord returns the record, or RecordLost if it exceeds the size limits. Only the
+// code is kept unless the call is done.
+func (d *Desk) boundRecord(r Record) Record {
 	if r.Code.Class() != result.ClassDone {
 		return Record{
 			Code: r.Code,
 		}
 	}
 	size := r.size()
-	if size <= d.answer && d.used+size <= d.bytes {
+	if size <= d.maxAnswerBytes && d.usedBytes+size <= d.maxBytes {
 		return r
 	}
 	return Record{
@@ -156,21 +155,21 @@
 	}
 }
 
-// wake ends the run for those who wait.
-func (e *Entry) wake() {
-	e.desk.running--
+// signalDone wakes the requests that wait for the run.
+func (e *Entry) signalDone() {
+	e.desk.runningCount--
 	close(e.done)
 	e.done = nil
 }
 
-// repeat answers another ask with the entry's ticket. The whole text is
-// compared, because a claim without a key cannot check the MAC.
-func (e *Entry) repeat(text string, callHash uint64) Step {
+// repeatStep handles another request with the entry's ticket. It compares the whole
+// text, because the MAC cannot be verified without the key.
+func (e *Entry) repeatStep(text string, callHash uint64) Step {
 	if subtle.ConstantTimeCompare([]byte(text), []byte(e.text)) == 0 {
-		return refuse(invalid("the ticket is not genuine"))
+		return refusedStep(invalid("the ticket is not genuine"))
 	}
 	if callHash != e.callHash {
-		return refuse(result.Refuse(result.TicketMismatch, "the ticket was used for another call"))
+		return refusedStep(result.Refuse(result.TicketMismatch, "the ticket was used for another call"))
 	}
 	if e.state != finished {
 		return Step{
@@ -179,7 +178,7 @@
 		}
 	}
 	if e.record.Code.Class() != result.ClassDone {
-		return refuse(result.Refuse(e.record.Code, "the ticket's call may have run; this is its recorded outcome"))
+		return refusedStep(result.Refuse(e.record.Code, "the ticket's call may have run; this is its recorded outcome"))
 	}
 	return Step{
 		Kind:   Replay,
--- a/ticket/handover.go
+++ b/ticket/handover.go
@@ -12,32 +12,33 @@
 	"github.com/fuchsianotch/fuchsianotch/result"
 )
 
-// HandOver passes rights and records from a stopping incarnation to one other.
+// HandOver transfers rights and records from a stopping incarnation to its successor.
 type HandOver struct {
 	From Holder
-	// To is the only incarnation that may take the rights. It names the
-	// incarnation and not only the VM, because a VM that was replaced under the
-	// same name does not know what the one before it did with the rights.
+	// To is the only incarnation that may take the rights. The VM alone would not do: a
+	// restarted process does not know what its predecessor did with the rights.
 	To     Holder
 	Rights []Rights
 }
 
-// Rights are those of one incarnation with its records. Each can be handed
-// over by itself.
+// Rights are the signing key and records of one incarnation's tickets. Each can be
+// transferred separately.
 type Rights struct {
 	Of Holder
-	// Key is the incarnation's MAC key; nil marks a copy, which carries no rights.
+	// Key is the incarnation's MAC key; nil marks a copy, which carries no right to run
+	// tickets.
 	Key []byte
-	// Until is when no ticket of the incarnation is good or recorded any more.
+	// Until is when all tickets of the incarnation have expired and their records may be
+	// dropped.
 	Until time.Time
-	// Closed and Swept are good-untils: tickets up to Closed can no longer be
-	// used; of those up to Swept records were dropped.
+	// Closed and Swept are ticket expiry times: tickets up to Closed cannot be used any
+	// more, and records of tickets up to Swept were dropped.
 	Closed  time.Time
 	Swept   time.Time
 	Records []HandedRecord
 }
 
-// HandedRecord is one ticket's record on its way.
+// HandedRecord is the record of one ticket in a HandOver.
 type HandedRecord struct {
 	Ticket    string
 	CallHash  uint64
@@ -45,13 +46,13 @@
 	Record    Record
 }
 
-// Addressed returns the hand-over with its receiver set.
+// Addressed returns the hand-over addressed to a receiver.
 func (h HandOver) Addressed(to Holder) HandOver {
 	h.To = to
 	return h
 }
 
-// Copy returns the hand-over without rights, for others than the successor.
+// Copy returns the hand-over without keys, for VMs other than the successor.
 func (h HandOver) Copy() HandOver {
 	rights := slices.Clone(h.Rights)
 	for i := range rights {
@@ -61,45 +62,44 @@
 	return h
 }
 
-// Adoption says that the desk's incarnation holds another's rights.
+// Adoption announces that this incarnation took over the rights of another one.
 type Adoption struct {
 	Of    Holder
 	Until time.Time
 }
 
-// Stop refuses unused tickets from now on. Runs that were admitted go on, and
-// repeats wait for them or get their records.
+// Stop refuses unused tickets from now on. Runs in progress continue, and repeated
+// requests still get their records.
 func (d *Desk) Stop() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.stopping = true
 }
 
-// Idle says that no run is admitted or sent.
+// Idle reports whether no run is in progress.
 func (d *Desk) Idle() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.running == 0
+	return d.runningCount == 0
 }
 
-// GiveUp gives up all rights for good: afterwards every Sending is refused.
-// A call that is sent and not finished is handed over as RecordLost. The
-// receiver is not set. A second call gives up nothing more and returns the
-// same rights.
+// GiveUp permanently gives up all rights: every later Sending is refused. A call that
+// was sent but has not finished is transferred as RecordLost. The receiver is left
+// unset. Further calls return the same rights.
 func (d *Desk) GiveUp(now time.Time) HandOver {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.sweep(now)
+	d.dropExpired(now)
 	d.stopping = true
 	d.gaveUp = true
-	d.own.until = moment.Later(d.latest, d.retain(d.latest))
+	d.ownTickets.expiresAt = moment.Later(d.latestGoodUntil, d.retain(d.latestGoodUntil))
 	h := HandOver{
 		From: d.self,
 	}
-	for _, c := range d.claims {
-		c.held = false
-		if c.key != nil && c.until.After(now) {
-			h.Rights = append(h.Rights, c.rights())
+	for _, set := range d.ticketSets {
+		set.executable = false
+		if set.key != nil && set.expiresAt.After(now) {
+			h.Rights = append(h.Rights, set.exportRights())
 		}
 	}
 	slices.SortFunc(h.Rights, func(a, b Rights) int {
@@ -108,24 +108,24 @@
 	return h
 }
 
-func (c *claim) rights() Rights {
+func (set *ticketSet) exportRights() Rights {
 	r := Rights{
-		Of:     c.of,
-		Key:    c.key,
-		Until:  c.until,
-		Closed: c.closed,
-		Swept:  c.swept,
+		Of:     set.issuer,
+		Key:    set.key,
+		Until:  set.expiresAt,
+		Closed: set.expiredUntil,
+		Swept:  set.droppedUntil,
 	}
-	for _, e := range c.entries {
+	for _, e := range set.entries {
 		if e.state != admitted {
-			r.Records = append(r.Records, e.handed())
+			r.Records = append(r.Records, e.exportRecord())
 		}
 	}
 	slices.SortFunc(r.Records, func(a, b HandedRecord) int { return cmp.Compare(a.Ticket, b.Ticket) })
 	return r
 }
 
-func (e *Entry) handed() HandedRecord {
+func (e *Entry) exportRecord() HandedRecord {
 	h := HandedRecord{
 		Ticket:    e.text,
 		CallHash:  e.callHash,
@@ -141,58 +141,57 @@
 	return h
 }
 
-// Adopt takes over what another incarnation gave up, or the copies of its
-// records. It is all or nothing, and true again for a hand-over taken before.
-// It is false when the rights are addressed to another incarnation, this desk
-// is stopping or has no room, or a record is not genuine; then nothing was taken.
+// Adopt takes over the rights, or copies of records, from another incarnation. It is
+// atomic and idempotent. It returns false if the rights are addressed to another
+// incarnation, this desk is stopping or full, or a record is not genuine.
 func (d *Desk) Adopt(h HandOver, now time.Time) bool {
-	incoming, ok := d.incoming(h)
+	incoming, ok := d.parseTicketSets(h)
 	if !ok {
 		return false
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.sweep(now)
-	if d.stopping || !d.acceptable(h, incoming, now) {
+	d.dropExpired(now)
+	if d.stopping || !d.canAdopt(h, incoming, now) {
 		return false
 	}
-	for _, c := range incoming {
-		d.take(c, now)
+	for _, set := range incoming {
+		d.install(set, now)
 	}
 	return true
 }
 
-// incoming builds the claims of a hand-over and checks every record.
-func (d *Desk) incoming(h HandOver) ([]*claim, bool) {
-	claims := make([]*claim, 0, len(h.Rights))
+// parseTicketSets decodes a hand-over and verifies every record.
+func (d *Desk) parseTicketSets(h HandOver) ([]*ticketSet, bool) {
+	sets := make([]*ticketSet, 0, len(h.Rights))
 	for _, r := range h.Rights {
-		c, ok := d.claimOf(r)
+		set, ok := d.parseTicketSet(r)
 		if !ok {
 			return nil, false
 		}
-		claims = append(claims, c)
+		sets = append(sets, set)
 	}
-	return claims, true
+	return sets, true
 }
 
-func (d *Desk) claimOf(r Rights) (*claim, bool) {
-	c := &claim{
-		of:      r.Of,
-		key:     bytes.Clone(r.Key),
-		held:    len(r.Key) > 0,
-		closed:  r.Closed,
-		swept:   r.Swept,
-		until:   r.Until,
-		entries: make(map[uint64]*Entry, len(r.Records)),
+func (d *Desk) parseTicketSet(r Rights) (*ticketSet, bool) {
+	set := &ticketSet{
+		issuer:       r.Of,
+		key:          bytes.Clone(r.Key),
+		executable:   len(r.Key) > 0,
+		expiredUntil: r.Closed,
+		droppedUntil: r.Swept,
+		expiresAt:    r.Until,
+		entries:      make(map[uint64]*Entry, len(r.Records)),
 	}
 	for _, record := range r.Records {
 		t, refusal := Parse(record.Ticket)
-		if refusal != nil || t.Holder() != r.Of || c.held && !t.genuine(r.Key) {
+		if refusal != nil || t.Holder() != r.Of || set.executable && !t.hasValidMAC(r.Key) {
 			return nil, false
 		}
-		c.entries[t.Sequence] = &Entry{
+		set.entries[t.Sequence] = &Entry{
 			desk:      d,
-			claim:     c,
+			set:       set,
 			text:      strings.Clone(record.Ticket),
 			sequence:  t.Sequence,
 			callHash:  record.CallHash,
@@ -204,102 +203,102 @@
 			index:     -1,
 		}
 	}
-	return c, true
+	return set, true
 }
 
-func (d *Desk) acceptable(h HandOver, incoming []*claim, now time.Time) bool {
+func (d *Desk) canAdopt(h HandOver, incoming []*ticketSet, now time.Time) bool {
 	records := 0
-	for _, c := range incoming {
-		if c.of == d.self || c.held && !d.mayHold(h, c) {
+	for _, set := range incoming {
+		if set.issuer == d.self || set.executable && !d.canTakeRights(h, set) {
 			return false
 		}
-		if d.isNew(c, now) {
-			records += len(c.entries)
+		if d.isNew(set, now) {
+			records += len(set.entries)
 		}
 	}
-	if d.entries+records > d.count {
+	if d.recordCount+records > d.maxRecords {
 		d.dropCopies()
 	}
-	return d.entries+records <= d.count
+	return d.recordCount+records <= d.maxRecords
 }
 
-// mayHold checks one claim with rights.
-func (d *Desk) mayHold(h HandOver, c *claim) bool {
-	held := d.claims[c.of]
-	same := held == nil || held.key == nil || bytes.Equal(held.key, c.key)
+// canTakeRights checks the receiver and the key of a set with rights.
+func (d *Desk) canTakeRights(h HandOver, set *ticketSet) bool {
+	existing := d.ticketSets[set.issuer]
+	same := existing == nil || existing.key == nil || bytes.Equal(existing.key, set.key)
 	return h.To == d.self && same
 }
 
-// isNew says that the claim brings rights or records which the desk lacks.
-// Those whose time is over are not taken: they may have been held and forgotten.
-func (d *Desk) isNew(c *claim, now time.Time) bool {
-	if !c.until.After(now) || !c.until.After(d.forgotten) {
+// isNew reports whether the set adds rights or records. Expired sets are not taken, as
+// this desk may have held and forgotten them.
+func (d *Desk) isNew(set *ticketSet, now time.Time) bool {
+	if !set.expiresAt.After(now) || !set.expiresAt.After(d.forgottenUntil) {
 		return false
 	}
-	held := d.claims[c.of]
-	return held == nil || c.held && !held.held
+	existing := d.ticketSets[set.issuer]
+	return existing == nil || set.executable && !existing.executable
 }
 
-// take adds a claim; a body that does not fit is left behind.
-func (d *Desk) take(c *claim, now time.Time) {
-	if !d.isNew(c, now) {
+// install adds a set. Responses over the size limits are dropped.
+func (d *Desk) install(set *ticketSet, now time.Time) {
+	if !d.isNew(set, now) {
 		return
 	}
-	if before := d.claims[c.of]; before != nil {
+	if before := d.ticketSets[set.issuer]; before != nil {
 		for _, e := range before.entries {
-			d.drop(e)
+			d.dropEntry(e)
 		}
 	}
-	d.claims[c.of] = c
-	for _, e := range c.entries {
-		e.record = d.bounded(e.record)
+	d.ticketSets[set.issuer] = set
+	for _, e := range set.entries {
+		e.record = d.boundRecord(e.record)
 		e.size = RecordOverhead + e.record.size()
-		d.add(e)
-		heap.Push(&d.ended, e)
+		d.addEntry(e)
+		heap.Push(&d.finished, e)
 	}
 }
 
-// Adopted lists the rights this incarnation holds from others, to be said on
-// heartbeats, and forgets those whose time is over.
+// Adopted lists the rights taken over from other incarnations, to be announced in
+// heartbeats, and forgets expired ones.
 func (d *Desk) Adopted(now time.Time) []Adoption {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.sweep(now)
+	d.dropExpired(now)
 	var out []Adoption
-	for of, c := range d.claims {
-		if of == d.self {
+	for issuer, set := range d.ticketSets {
+		if issuer == d.self {
 			continue
 		}
-		if now.After(c.until) {
-			d.forget(c)
+		if now.After(set.expiresAt) {
+			d.forget(set)
 			continue
 		}
-		if c.held {
+		if set.executable {
 			out = append(out, Adoption{
-				Of:    of,
-				Until: c.until,
+				Of:    issuer,
+				Until: set.expiresAt,
 			})
 		}
 	}
 	return out
 }
 
-// forget drops an adopted claim whose tickets are all over.
-func (d *Desk) forget(c *claim) {
-	if c.running() {
+// forget drops an adopted set whose tickets have all expired, unless one is running.
+func (d *Desk) forget(set *ticketSet) {
+	if set.hasRunningEntry() {
 		return
 	}
-	for _, e := range c.entries {
-		d.drop(e)
+	for _, e := range set.entries {
+		d.dropEntry(e)
 	}
-	delete(d.claims, c.of)
-	if c.key != nil {
-		d.forgotten = moment.Later(d.forgotten, c.until)
+	delete(d.ticketSets, set.issuer)
+	if set.key != nil {
+		d.forgottenUntil = moment.Later(d.forgottenUntil, set.expiresAt)
 	}
 }
 
-func (c *claim) running() bool {
-	for _, e := range c.entries {
+func (set *ticketSet) hasRunningEntry() bool {
+	for _, e := range set.entries {
 		if e.state != finished {
 			return true
 		}
--- a/ticket/keys_test.go
+++ b/ticket/keys_test.go
@@ -12,56 +12,56 @@
 	"github.com/fuchsianotch/fuchsianotch/result"
 )
 
-// The rules weighed for a call that brings an Idempotency-Key and no ticket.
+// Alternative rules for a call with an Idempotency-Key and no ticket.
 const (
-	// ruleStamp: an owner runs a key whose own time stamp is younger than the
-	// owner's takeover; an older one is unknown.
-	ruleStamp = "stamp_after_takeover"
-	// ruleMajority: the same, with the takeover the moment from which the owner
-	// holds the loans of most VMs without a gap.
+	// ruleTimestamp: an owner runs keys whose timestamp is later than its takeover; the
+	// outcome of earlier keys is unknown.
+	ruleTimestamp = "stamp_after_takeover"
+	// ruleMajority: as ruleTimestamp, with the takeover at the time since which the owner
+	// has continuously held leases from a majority of the VMs.
 	ruleMajority = "majority_of_loans"
-	// ruleTicket: the call is refused TicketRequired with a ticket enclosed, and
-	// the caller sends again with it.
+	// ruleTicket: the call is refused with TicketRequired and a ticket, which the caller
+	// uses for the retry.
 	ruleTicket = "ticket_required"
 )
 
-const loanTerm = 3 * time.Second
+const leaseTerm = 3 * time.Second
 
-// keyOwner is one VM that may think that it owns the workspace.
+// keyOwner is a VM that may believe that it owns the workspace.
 type keyOwner struct {
 	owner     bool
 	takenOver time.Time
-	// loans are the ends of the loans that others gave it; lent is when the
-	// loan it gave itself ends.
-	loans map[int]time.Time
-	lent  time.Time
-	used  map[int]bool
-	desk  *Desk
+	// leases holds the expiry of the leases granted by other VMs; grantedUntil is the
+	// expiry of the lease that this VM granted.
+	leases       map[int]time.Time
+	grantedUntil time.Time
+	used         map[int]bool
+	desk         *Desk
 }
 
-// keySend is a call that passed the checks and is not sent yet.
+// keySend is a call that was admitted but not sent.
 type keySend struct {
 	key   int
 	vm    int
 	entry *Entry
 }
 
-// keyWorld is three VMs with views of their own, and callers that repeat the
-// same key at any of them. All clocks agree, but for callers that "key_ahead".
-type keyWorld struct {
-	rule    string
-	now     time.Time
-	vms     [3]*keyOwner
-	keys    []time.Time
-	tickets map[int]string
-	sends   []*keySend
-	runs    map[int]int
-	doubled bool
-	sent    int
+// keySimulation simulates three VMs with independent views, and callers that retry a
+// key at any of them. Clocks agree, except for callers in "key_ahead" steps.
+type keySimulation struct {
+	rule     string
+	now      time.Time
+	vms      [3]*keyOwner
+	keys     []time.Time
+	tickets  map[int]string
+	sends    []*keySend
+	runs     map[int]int
+	ranTwice bool
+	sent     int
 }
 
-func newKeyWorld(rule string) *keyWorld {
-	w := &keyWorld{
+func newKeySimulation(rule string) *keySimulation {
+	w := &keySimulation{
 		rule:    rule,
 		now:     epoch,
 		tickets: map[int]string{},
@@ -69,16 +69,16 @@
 	}
 	for i := range w.vms {
 		w.start(i)
-		w.vms[i].lent = time.Time{}
+		w.vms[i].grantedUntil = time.Time{}
 	}
 	return w
 }
 
-func (w *keyWorld) start(vm int) {
+func (w *keySimulation) start(vm int) {
 	w.vms[vm] = &keyOwner{
-		loans: map[int]time.Time{},
-		lent:  w.now.Add(loanTerm), // a new process has forgotten its loans
-		used:  map[int]bool{},
+		leases:       map[int]time.Time{},
+		grantedUntil: w.now.Add(leaseTerm), // a restarted process does not know which lease it granted
+		used:         map[int]bool{},
 		desk: New(Options{
 			VM:          fmt.Sprint(vm),
 			Incarnation: uint64(w.now.UnixMilli()),
@@ -86,45 +86,46 @@
 	}
 }
 
-// apply does one step. Ticket is the key; Arg is seconds or the VM lent by.
-func (w *keyWorld) apply(s step) {
+// applyStep runs one step. Ticket is the key's index; Arg is seconds or the VM that gets
+// a lease.
+func (w *keySimulation) applyStep(s step) {
 	vm := s.VM % len(w.vms)
 	v := w.vms[vm]
 	switch s.Op {
 	case "key":
 		w.keys = append(w.keys, w.now)
 	case "key_ahead":
-		w.keys = append(w.keys, w.now.Add(2*loanTerm))
+		w.keys = append(w.keys, w.now.Add(2*leaseTerm))
 	case "take_over":
-		if w.rule == ruleStamp {
+		if w.rule == ruleTimestamp {
 			v.owner = true
 			v.takenOver = w.now
 		}
 	case "lend":
-		w.lend(w.vms[s.Arg%len(w.vms)], vm, s.Arg%len(w.vms))
+		w.grantLease(w.vms[s.Arg%len(w.vms)], vm, s.Arg%len(w.vms))
 	case "ask":
 		if len(w.keys) > 0 {
-			w.ask(vm, s.Ticket%len(w.keys))
+			w.request(vm, s.Ticket%len(w.keys))
 		}
 	case "send":
 		if len(w.sends) > 0 {
-			w.send(w.sends[s.Ask%len(w.sends)])
+			w.transmit(w.sends[s.Ask%len(w.sends)])
 		}
 	case "kill":
 		w.start(vm)
 	case "tick":
 		w.now = w.now.Add(time.Duration(s.Arg) * time.Second)
 	}
-	w.watchMajorities()
+	w.updateOwners()
 }
 
-// watchMajorities sets who owns under ruleMajority and since when.
-func (w *keyWorld) watchMajorities() {
+// updateOwners determines the owners under ruleMajority.
+func (w *keySimulation) updateOwners() {
 	if w.rule != ruleMajority {
 		return
 	}
 	for _, v := range w.vms {
-		holds := w.majority(v)
+		holds := w.holdsMajority(v)
 		if holds && !v.owner {
 			v.takenOver = w.now
 		}
@@ -132,19 +133,19 @@
 	}
 }
 
-// lend lends to one owner at a time: to another only when the last loan ended.
-func (w *keyWorld) lend(from *keyOwner, to, lender int) {
-	held := w.vms[to].loans[lender]
-	if w.now.Before(from.lent) && !held.Equal(from.lent) {
+// grantLease renews the current lease, or grants one to another VM after it expired.
+func (w *keySimulation) grantLease(from *keyOwner, to, lender int) {
+	held := w.vms[to].leases[lender]
+	if w.now.Before(from.grantedUntil) && !held.Equal(from.grantedUntil) {
 		return
 	}
-	from.lent = w.now.Add(loanTerm)
-	w.vms[to].loans[lender] = from.lent
+	from.grantedUntil = w.now.Add(leaseTerm)
+	w.vms[to].leases[lender] = from.grantedUntil
 }
 
-func (w *keyWorld) ask(vm, key int) {
+func (w *keySimulation) request(vm, key int) {
 	if w.rule == ruleTicket {
-		w.askWithTicket(vm, key)
+		w.requestWithTicket(vm, key)
 		return
 	}
 	v := w.vms[vm]
@@ -158,9 +159,9 @@
 	})
 }
 
-func (w *keyWorld) majority(v *keyOwner) bool {
+func (w *keySimulation) holdsMajority(v *keyOwner) bool {
 	n := 0
-	for _, until := range v.loans {
+	for _, until := range v.leases {
 		if w.now.Before(until) {
 			n++
 		}
@@ -168,11 +169,11 @@
 	return 2*n > len(w.vms)
 }
 
-// askWithTicket takes the first refusal's ticket; every later ask carries it.
-func (w *keyWorld) askWithTicket(vm, key int) {
+// requestWithTicket takes the ticket from the first refusal and uses it in later requests.
+func (w *keySimulation) requestWithTicket(vm, key int) {
 	desk := w.vms[vm].desk
 	if w.tickets[key] == "" {
-		w.tickets[key] = desk.Issue("w", w.now.Add(goodFor))
+		w.tickets[key] = desk.Issue("w", w.now.Add(ticketLifetime))
 		return
 	}
 	s := desk.Begin(w.tickets[key], "w", uint64(key), w.now)
@@ -185,15 +186,15 @@
 	}
 }
 
-// send passes the last check and transmits. A freeze lies before this step;
-// the rules without tickets have nothing to check here but the owner's belief.
-func (w *keyWorld) send(s *keySend) {
+// transmit makes the last check and sends the call. A process may pause before this
+// step; rules without tickets have no check here.
+func (w *keySimulation) transmit(s *keySend) {
 	if s.entry != nil && s.entry.Sending(w.now) != nil {
 		return
 	}
 	w.sent++
 	w.runs[s.key]++
-	w.doubled = w.doubled || w.runs[s.key] > 1
+	w.ranTwice = w.ranTwice || w.runs[s.key] > 1
 	if s.entry != nil {
 		s.entry.Finish(Record{
 			Code: result.EndpointCut,
@@ -212,10 +213,10 @@
 	return out
 }
 
-func playKeys(rule string, steps []step) *keyWorld {
-	w := newKeyWorld(rule)
+func runKeySchedule(rule string, steps []step) *keySimulation {
+	w := newKeySimulation(rule)
 	for _, s := range steps {
-		w.apply(s)
+		w.applyStep(s)
 	}
 	return w
 }
@@ -234,9 +235,9 @@
 	})
 }
 
-// TestKeyRules plays the schedules that rule out the two rules without
-// tickets, and random ones against the rule chosen. ruleMajority holds as long
-// as the stamps are true, so only a clock that runs ahead rules it out here.
+// TestKeyRules checks that recorded schedules run a call twice under the rules without
+// tickets but not under ruleTicket, and that random schedules do not under ruleTicket.
+// ruleMajority fails only if a caller's clock runs ahead.
 func TestKeyRules(t *testing.T) {
 	files, err := filepath.Glob("testdata/keys/*.json")
 	assert.NilError(t, err)
@@ -245,11 +246,11 @@
 		t.Run(filepath.Base(file), func(t *testing.T) {
 			s := readCase[schedule](t, file)
 			if *find {
-				s.Steps = searchSteps(t, keyStepGenerator("key", "key_ahead"), s.Steps, func(steps []step) bool { return playKeys(s.Variant, steps).doubled })
+				s.Steps = searchSteps(t, keyStepGenerator("key", "key_ahead"), s.Steps, func(steps []step) bool { return runKeySchedule(s.Variant, steps).ranTwice })
 				writeCase(t, file, s)
 			}
-			assert.Assert(t, playKeys(s.Variant, s.Steps).doubled)
-			assert.Assert(t, !playKeys(ruleTicket, s.Steps).doubled)
+			assert.Assert(t, runKeySchedule(s.Variant, s.Steps).ranTwice)
+			assert.Assert(t, !runKeySchedule(ruleTicket, s.Steps).ranTwice)
 		})
 	}
 	random := map[string]*rapid.Generator[step]{
@@ -260,8 +261,8 @@
 		t.Run(rule, func(t *testing.T) {
 			sent := 0
 			rapid.Check(t, func(t *rapid.T) {
-				w := playKeys(rule, rapid.SliceOfN(one, 40, 80).Draw(t, "steps"))
-				assert.Assert(t, !w.doubled)
+				w := runKeySchedule(rule, rapid.SliceOfN(one, 40, 80).Draw(t, "steps"))
+				assert.Assert(t, !w.ranTwice)
 				sent += w.sent
 			})
 			t.Log("sent:", sent)
--- a/ticket/plan.go
+++ b/ticket/plan.go
@@ -2,47 +2,47 @@
 
 import "slices"
 
-// Outcome is what the sender of a hand-over knows of one offer.
+// Outcome is the result of an offer as seen by its sender.
 type Outcome int
 
 // The outcomes of an offer.
 const (
-	// OfferAccepted: the receiver answered that it adopted.
+	// OfferAccepted: the receiver confirmed the adoption.
 	OfferAccepted Outcome = iota + 1
-	// OfferRefused: the receiver answered that it did not.
+	// OfferRefused: the receiver refused.
 	OfferRefused
-	// OfferNotSent: certainly nothing reached the receiver, as when no
-	// connection came about.
+	// OfferNotSent: the receiver certainly got nothing, for example because the connection
+	// failed.
 	OfferNotSent
-	// OfferLost: anything else; the receiver may have adopted, or may yet.
+	// OfferLost: the result is unknown; the receiver may have adopted, or may yet.
 	OfferLost
 )
 
-// Offer is one hand-over to make.
+// Offer is the next hand-over to send.
 type Offer struct {
 	To Holder
-	// Rights says that the keys go along; else it is HandOver.Copy.
+	// Rights selects the full hand-over; otherwise HandOver.Copy is sent.
 	Rights bool
 }
 
-// HandOverPlan decides to whom a stopping incarnation offers its rights. It is
-// a plain value; its zero value is the plan before the first offer. Rights go
-// to one incarnation only: once an offer may have arrived, no other gets them.
+// HandOverPlan chooses the successor of a stopping incarnation. It is an immutable
+// value whose zero value is the initial plan. Only one incarnation gets the rights:
+// once an offer may have arrived, they are offered to no other.
 type HandOverPlan struct {
-	// Bound is the only incarnation that may still be offered the rights; zero
-	// while none may have them.
+	// Bound is the only incarnation that may still be offered the rights; zero while any
+	// may be.
 	Bound Holder
-	// Accepted says that Bound has the rights.
+	// Accepted is set once Bound has the rights.
 	Accepted bool
-	// Declined are incarnations that certainly do not have the rights.
+	// Declined are incarnations that certainly did not take the rights.
 	Declined []Holder
 	// Copied are incarnations that were sent copies.
 	Copied []Holder
 }
 
-// Next returns the next offer among the candidates, best first; ok is false
-// when there is none. A lost offer is made again to the same incarnation for
-// as long as it is a candidate; the others get copies then.
+// Next returns the next offer to the candidates, which are ordered best first; ok is
+// false if there is none. A lost offer is repeated to the same incarnation while it is
+// a candidate; after that the others get copies.
 func (p HandOverPlan) Next(candidates []Holder) (offer Offer, ok bool) {
 	if p.Accepted {
 		return Offer{}, false
@@ -82,8 +82,8 @@
 	return Offer{}, false
 }
 
-// After returns the plan once the offer's outcome is known. A refusal that
-// follows a lost offer does not free the rights: the lost one may yet arrive.
+// After returns the plan after an offer. A refusal that follows a lost offer does not
+// allow another successor, as the lost offer may still arrive.
 func (p HandOverPlan) After(o Offer, outcome Outcome) HandOverPlan {
 	if !o.Rights {
 		p.Copied = append(slices.Clone(p.Copied), o.To)
--- a/ticket/schedule_test.go
+++ b/ticket/schedule_test.go
@@ -13,7 +13,7 @@
 
 var find = flag.Bool("find", false, "search new schedules that break the variants, and write them to testdata")
 
-// TestMain plays more random schedules than rapid's default; -rapid.checks goes before it.
+// TestMain raises rapid's default number of checks; the flag -rapid.checks overrides it.
 func TestMain(m *testing.M) {
 	if err := flag.Set("rapid.checks", "1000"); err != nil {
 		panic(err)
@@ -21,9 +21,8 @@
 	os.Exit(m.Run())
 }
 
-// schedule is one file of testdata/schedules. A variant is the desk with one
-// deliberate fault; the schedule must break it as Violation says, and must
-// leave the true desk whole.
+// schedule is one file of testdata/schedules. Variant injects a fault into the desk.
+// The steps must cause Violation with the fault and no violation without it.
 type schedule struct {
 	Variant   string `json:"variant"`
 	Why       string `json:"why"`
@@ -33,7 +32,7 @@
 
 var stepGenerator = rapid.Custom(func(t *rapid.T) step {
 	s := step{
-		// The steps of a call stand several times, so that calls get through.
+		// Steps of a call are listed several times so that calls complete.
 		Op: rapid.SampledFrom([]string{
 			"issue", "ask", "ask", "ask", "advance", "advance", "advance", "advance", "abandon",
 			"kill", "tick", "skew", "stop", "give_up", "offer", "offer", "deliver", "beat",
@@ -55,7 +54,7 @@
 		s.Arg = rapid.IntRange(-8, 8).Draw(t, "arg")
 	case "offer":
 		s.VM = small.Draw(t, "vm")
-		s.Arg = rapid.IntRange(0, offers-1).Draw(t, "arg")
+		s.Arg = rapid.IntRange(0, offerCount-1).Draw(t, "arg")
 	case "deliver":
 		s.Arg = small.Draw(t, "arg")
 	default:
@@ -64,20 +63,20 @@
 	return s
 })
 
-func play(variant string, steps []step) *world {
-	w := newWorld(variant)
+func runSchedule(variant string, steps []step) *simulation {
+	w := newSimulation(variant)
 	for _, s := range steps {
-		w.apply(s)
+		w.applyStep(s)
 	}
 	return w
 }
 
-// TestRandomSchedules lets kills, freezes, stops, hand-overs, lost and delayed
-// messages, clocks that run apart and full records meet in random order.
+// TestRandomSchedules checks the invariants under random kills, pauses, stops,
+// hand-overs, lost and delayed messages, clock skew and full record stores.
 func TestRandomSchedules(t *testing.T) {
 	seen := map[string]int{}
 	rapid.Check(t, func(t *rapid.T) {
-		w := play("", rapid.SliceOfN(stepGenerator, 40, 120).Draw(t, "steps"))
+		w := runSchedule("", rapid.SliceOfN(stepGenerator, 40, 120).Draw(t, "steps"))
 		assert.Equal(t, w.violation, "")
 		for name, n := range w.seen {
 			seen[name] += n
@@ -86,7 +85,7 @@
 	t.Log(seen)
 }
 
-// TestVariants proves that the same check notices each deliberate fault.
+// TestVariants checks that each injected fault is detected.
 func TestVariants(t *testing.T) {
 	files, err := filepath.Glob("testdata/schedules/*.json")
 	assert.NilError(t, err)
@@ -95,16 +94,16 @@
 		t.Run(filepath.Base(file), func(t *testing.T) {
 			s := readCase[schedule](t, file)
 			if *find {
-				s.Steps = searchSteps(t, stepGenerator, s.Steps, func(steps []step) bool { return play(s.Variant, steps).violation == s.Violation })
+				s.Steps = searchSteps(t, stepGenerator, s.Steps, func(steps []step) bool { return runSchedule(s.Variant, steps).violation == s.Violation })
 				writeCase(t, file, s)
 			}
-			assert.Equal(t, play(s.Variant, s.Steps).violation, s.Violation)
-			assert.Equal(t, play("", s.Steps).violation, "")
+			assert.Equal(t, runSchedule(s.Variant, s.Steps).violation, s.Violation)
+			assert.Equal(t, runSchedule("", s.Steps).violation, "")
 		})
 	}
 }
 
-// searchSteps returns a short schedule that breaks, from the steps there are if they do.
+// searchSteps returns a shrunk schedule for which breaks is true, starting from steps.
 func searchSteps(t *testing.T, one *rapid.Generator[step], steps []step, breaks func([]step) bool) []step {
 	t.Helper()
 	many := rapid.SliceOfN(one, 80, 80)
@@ -118,7 +117,7 @@
 	return nil
 }
 
-// shrink leaves out steps for as long as the rest still breaks.
+// shrink removes steps while breaks stays true.
 func shrink(steps []step, breaks func([]step) bool) []step {
 	for i := 0; i < len(steps); {
 		shorter := append(append([]step(nil), steps[:i]...), steps[i+1:]...)
--- a/ticket/world_test.go
+++ b/ticket/simulation_test.go
@@ -7,8 +7,8 @@
 	"github.com/fuchsianotch/fuchsianotch/result"
 )
 
-// step is one event of a schedule. Indices wrap around, and a step that does
-// not apply does nothing, so that every list of steps is a schedule.
+// step is one event of a schedule. Indices wrap around and inapplicable steps do
+// nothing, so every list of steps is a valid schedule.
 type step struct {
 	Op     string `json:"op"`
 	VM     int    `json:"vm,omitempty"`
@@ -17,12 +17,12 @@
 	Arg    int    `json:"arg,omitempty"`
 }
 
-// Arguments of "advance" when the endpoint answers, and of "offer".
+// Arguments of "advance" when the endpoint responds, and of "offer".
 const (
 	answerDone = iota
 	answerRefused
 	answerCut
-	answers
+	answerCount
 )
 
 const (
@@ -30,10 +30,10 @@
 	offerReplyLost
 	offerDelayed
 	offerNotSent
-	offers
+	offerCount
 )
 
-const goodFor = 3 * time.Second
+const ticketLifetime = 3 * time.Second
 
 // process is one incarnation of a VM.
 type process struct {
@@ -44,8 +44,8 @@
 	plan     HandOverPlan
 }
 
-// ask is one attempt of a caller with a ticket, at one process.
-type ask struct {
+// attempt is one request with a ticket at one process.
+type attempt struct {
 	ticket  int
 	process *process
 	entry   *Entry
@@ -56,21 +56,21 @@
 	over    bool
 }
 
-type delayed struct {
+type delayedMessage struct {
 	vm       int
 	handOver HandOver
 }
 
-// world is three VMs, one service that counts its runs, and callers. Freezes
-// need no step: an ask that is not advanced stands still while others go on.
-type world struct {
+// simulation simulates three VMs, callers, and a service that counts its runs. A paused
+// process needs no step: an attempt is paused while it is not advanced.
+type simulation struct {
 	variant  string
 	now      time.Time
 	skew     []time.Duration
 	vms      []*process
 	tickets  []string
-	asks     []*ask
-	messages []delayed
+	attempts []*attempt
+	messages []delayedMessage
 	runs     map[int]int
 	answers  map[int]string
 	expired  map[int]bool
@@ -79,8 +79,8 @@
 	seen      map[string]int
 }
 
-func newWorld(variant string) *world {
-	w := &world{
+func newSimulation(variant string) *simulation {
+	w := &simulation{
 		variant: variant,
 		now:     time.UnixMilli(1_700_000_000_000),
 		skew:    make([]time.Duration, 3),
@@ -96,7 +96,7 @@
 	return w
 }
 
-func (w *world) start(vm int) {
+func (w *simulation) start(vm int) {
 	h := Holder{
 		VM:          string(rune('a' + vm)),
 		Incarnation: 1,
@@ -111,35 +111,35 @@
 			VM:          h.VM,
 			Incarnation: h.Incarnation,
 			Count:       2,
-			Retain:      func(goodUntil time.Time) time.Time { return goodUntil.Add(goodFor) },
+			Retain:      func(goodUntil time.Time) time.Time { return goodUntil.Add(ticketLifetime) },
 		}),
 	}
 }
 
-func (w *world) clock(p *process) time.Time {
+func (w *simulation) clock(p *process) time.Time {
 	return w.now.Add(w.skew[int(p.holder.VM[0]-'a')])
 }
 
-func (w *world) broken(format string, args ...any) {
+func (w *simulation) violate(format string, args ...any) {
 	if w.violation == "" {
 		w.violation = fmt.Sprintf(format, args...)
 	}
 }
 
-func (w *world) apply(s step) {
+func (w *simulation) applyStep(s step) {
 	vm := s.VM % len(w.vms)
 	p := w.vms[vm]
 	switch s.Op {
 	case "issue":
-		w.tickets = append(w.tickets, p.desk.Issue("w", w.clock(p).Add(goodFor)))
+		w.tickets = append(w.tickets, p.desk.Issue("w", w.clock(p).Add(ticketLifetime)))
 	case "ask":
 		if len(w.tickets) > 0 {
 			ticket := s.Ticket % len(w.tickets)
 			w.ask(w.route(p, ticket, s.Arg), ticket)
 		}
 	case "advance", "abandon":
-		if len(w.asks) > 0 {
-			w.advance(w.asks[s.Ask%len(w.asks)], s)
+		if len(w.attempts) > 0 {
+			w.advance(w.attempts[s.Ask%len(w.attempts)], s)
 		}
 	case "kill":
 		w.start(vm)
@@ -152,7 +152,7 @@
 	case "give_up":
 		w.giveUp(p)
 	case "offer":
-		w.offer(p, s.Arg%offers)
+		w.offer(p, s.Arg%offerCount)
 	case "deliver":
 		if len(w.messages) > 0 {
 			m := w.messages[s.Arg%len(w.messages)]
@@ -161,37 +161,37 @@
 	case "beat":
 		p.desk.Adopted(w.clock(p))
 	default:
-		w.broken("no such step: %s", s.Op)
+		w.violate("no such step: %s", s.Op)
 	}
-	w.checkBounds()
+	w.checkCounters()
 }
 
-// route gives where a caller's ask arrives: with an argument at a process that
-// holds the ticket's rights, else anywhere.
-func (w *world) route(p *process, ticket, arg int) *process {
+// route returns the process that gets a request: with a nonzero arg one that knows the
+// ticket's issuer, otherwise p.
+func (w *simulation) route(p *process, ticket, arg int) *process {
 	t, _ := Parse(w.tickets[ticket])
 	for i := range w.vms {
 		other := w.vms[(i+arg)%len(w.vms)]
-		if c := other.desk.claims[t.Holder()]; c != nil && arg > 0 {
+		if c := other.desk.ticketSets[t.Holder()]; c != nil && arg > 0 {
 			return other
 		}
 	}
 	return p
 }
 
-func (w *world) ask(p *process, ticket int) {
-	a := &ask{
+func (w *simulation) ask(p *process, ticket int) {
+	a := &attempt{
 		ticket:  ticket,
 		process: p,
 	}
-	w.asks = append(w.asks, a)
+	w.attempts = append(w.attempts, a)
 	w.begin(a)
 }
 
-func (w *world) begin(a *ask) {
+func (w *simulation) begin(a *attempt) {
 	desk := a.process.desk
 	now := w.clock(a.process)
-	w.spoilBegin(desk, now)
+	w.injectFault(desk, now)
 	s := desk.Begin(w.tickets[a.ticket], "w", uint64(a.ticket), now)
 	a.entry = s.Entry
 	a.done = s.Done
@@ -200,46 +200,46 @@
 	case Replay:
 		a.over = true
 		if string(s.Record.Body) != w.answers[a.ticket] {
-			w.broken("replay_differs")
+			w.violate("replay_differs")
 		}
 	case Refused:
-		w.tell(a, s.Refusal.Code)
+		w.endAttempt(a, s.Refusal.Code)
 		if s.Refusal.Code.Class() == result.ClassNotRun && w.runs[a.ticket] > 0 {
-			w.broken("told_not_run")
+			w.violate("told_not_run")
 		}
 	}
 }
 
-// tell ends an ask with a code.
-func (w *world) tell(a *ask, code result.Code) {
+// endAttempt ends an attempt with a result code.
+func (w *simulation) endAttempt(a *attempt, code result.Code) {
 	a.over = true
 	w.seen[code.String()]++
 	if code.Class() == result.ClassNotRun && a.ran {
-		w.broken("told_not_run")
+		w.violate("told_not_run")
 	}
 	if code == result.TicketExpired {
 		w.expired[a.ticket] = true
 	}
 }
 
-func (w *world) advance(a *ask, s step) {
+func (w *simulation) advance(a *attempt, s step) {
 	switch {
 	case a.over || a.process.dead:
 	case a.entry == nil:
-		w.awake(a)
+		w.beginAgainIfDone(a)
 	case s.Op == "abandon":
 		a.entry.Abandon()
 		a.over = true
 	case !a.checked:
-		w.check(a)
+		w.checkSending(a)
 	case a.record == nil:
-		w.transmit(a, s.Arg%answers)
+		w.transmit(a, s.Arg%answerCount)
 	default:
 		w.finish(a)
 	}
 }
 
-func (w *world) awake(a *ask) {
+func (w *simulation) beginAgainIfDone(a *attempt) {
 	select {
 	case <-a.done:
 		w.begin(a)
@@ -247,18 +247,18 @@
 	}
 }
 
-func (w *world) check(a *ask) {
+func (w *simulation) checkSending(a *attempt) {
 	a.checked = true
 	if w.variant == "skip_check" {
 		a.entry.state = sent
 		return
 	}
 	if refusal := a.entry.Sending(w.clock(a.process)); refusal != nil {
-		w.tell(a, refusal.Code)
+		w.endAttempt(a, refusal.Code)
 	}
 }
 
-func (w *world) transmit(a *ask, answer int) {
+func (w *simulation) transmit(a *attempt, answer int) {
 	a.record = &Record{
 		Code: []result.Code{result.Done, result.EndpointRefused, result.EndpointCut}[answer],
 	}
@@ -270,24 +270,24 @@
 	a.record.Body = fmt.Appendf(nil, "answer %d to %d", w.runs[a.ticket], a.ticket)
 	w.answers[a.ticket] = string(a.record.Body)
 	if w.runs[a.ticket] > 1 {
-		w.broken("doubled")
+		w.violate("doubled")
 	}
 	if w.expired[a.ticket] {
-		w.broken("expired_ran")
+		w.violate("expired_ran")
 	}
 }
 
-func (w *world) finish(a *ask) {
+func (w *simulation) finish(a *attempt) {
 	if w.variant == "free_unknown" && a.record.Code == result.EndpointCut {
 		a.entry.release()
 		a.over = true
 		return
 	}
 	a.entry.Finish(*a.record)
-	w.tell(a, a.record.Code)
+	w.endAttempt(a, a.record.Code)
 }
 
-func (w *world) giveUp(p *process) {
+func (w *simulation) giveUp(p *process) {
 	early := w.variant == "adopt_before_give_up" && p.handOver == nil
 	h := p.desk.GiveUp(w.clock(p))
 	p.handOver = &h
@@ -296,12 +296,12 @@
 			h.Rights[i].Records = nil
 		}
 		if early {
-			p.desk.claims[h.Rights[i].Of].held = true
+			p.desk.ticketSets[h.Rights[i].Of].executable = true
 		}
 	}
 }
 
-func (w *world) offer(p *process, how int) {
+func (w *simulation) offer(p *process, how int) {
 	if p.handOver == nil {
 		return
 	}
@@ -318,7 +318,7 @@
 	p.plan = p.plan.After(o, w.send(p, o, how))
 }
 
-func (w *world) send(p *process, o Offer, how int) Outcome {
+func (w *simulation) send(p *process, o Offer, how int) Outcome {
 	h := p.handOver.Addressed(o.To)
 	if !o.Rights {
 		h = h.Copy()
@@ -332,7 +332,7 @@
 	case offerNotSent:
 		return OfferNotSent
 	case offerDelayed:
-		w.messages = append(w.messages, delayed{
+		w.messages = append(w.messages, delayedMessage{
 			vm:       vm,
 			handOver: h,
 		})
@@ -349,7 +349,7 @@
 	}
 }
 
-func (w *world) adopt(p *process, h HandOver) bool {
+func (w *simulation) adopt(p *process, h HandOver) bool {
 	if w.variant == "address_by_vm" {
 		h.To = p.holder
 	}
@@ -358,29 +358,29 @@
 	return ok
 }
 
-// spoilBegin breaks a desk as the variant says.
-func (w *world) spoilBegin(d *Desk, now time.Time) {
+// injectFault applies the variant's fault to a desk.
+func (w *simulation) injectFault(d *Desk, now time.Time) {
 	switch w.variant {
 	case "evict_at_bound":
-		if d.entries == d.count && len(d.ended) > 0 {
-			d.drop(d.ended[0])
+		if d.recordCount == d.maxRecords && len(d.finished) > 0 {
+			d.dropEntry(d.finished[0])
 		}
 	case "sweep_unmarked":
-		for len(d.ended) > 0 && now.After(d.ended[0].keepUntil) {
-			d.drop(d.ended[0])
+		for len(d.finished) > 0 && now.After(d.finished[0].keepUntil) {
+			d.dropEntry(d.finished[0])
 		}
 	case "expire_unmarked":
-		for _, c := range d.claims {
-			c.closed = time.Time{}
+		for _, c := range d.ticketSets {
+			c.expiredUntil = time.Time{}
 		}
 	}
 }
 
-// checkBounds compares each desk's counters with its entries.
-func (w *world) checkBounds() {
+// checkCounters compares each desk's counters and limits with its entries.
+func (w *simulation) checkCounters() {
 	for _, p := range w.vms {
 		entries, used, running := 0, 0, 0
-		for _, c := range p.desk.claims {
+		for _, c := range p.desk.ticketSets {
 			for _, e := range c.entries {
 				entries++
 				used += e.size
@@ -390,11 +390,11 @@
 			}
 		}
 		d := p.desk
-		if entries != d.entries || used != d.used || running != d.running || len(d.ended) != entries-running {
-			w.broken("miscounted")
+		if entries != d.recordCount || used != d.usedBytes || running != d.runningCount || len(d.finished) != entries-running {
+			w.violate("miscounted")
 		}
-		if entries > d.count || used > d.bytes {
-			w.broken("over_bound")
+		if entries > d.maxRecords || used > d.maxBytes {
+			w.violate("over_bound")
 		}
 	}
 }
--- a/ticket/ticket.go
+++ b/ticket/ticket.go
@@ -1,7 +1,7 @@
-// Package ticket makes non-idempotent calls run at most once without a store.
-// A ticket names the one incarnation of a VM that may send its call to an
-// endpoint. That incarnation's Desk holds, in memory and within bounds, what
-// became of each ticket. The package reads no clock and sends nothing.
+// Package ticket gives non-idempotent calls at-most-once execution without a store.
+// A ticket names the one incarnation of a VM that may send its call to an endpoint.
+// That incarnation's Desk keeps a bounded record of each used ticket in memory. The
+// package uses no clock and no network.
 package ticket
 
 import (
@@ -14,7 +14,7 @@
 	"github.com/fuchsianotch/fuchsianotch/result"
 )
 
-// Bounds of a ticket's text and names, in bytes.
+// Maximum lengths of a ticket's text and names, in bytes.
 const (
 	MaxLength    = 512
 	MaxVM        = 100
@@ -29,27 +29,27 @@
 
 var textEncoding = base64.RawURLEncoding.Strict()
 
-// Holder names one incarnation: a VM and one life of its process.
+// Holder identifies one incarnation: one run of a VM's gateway process.
 type Holder struct {
 	VM          string
 	Incarnation uint64
 }
 
-// Ticket is the right to run one call once, at the incarnation it names.
+// Ticket permits the named incarnation to run one call once.
 type Ticket struct {
 	VM          string
 	Incarnation uint64
-	// Sequence is unique for the incarnation.
+	// Sequence is unique within the incarnation.
 	Sequence  uint64
 	Workspace string
-	// GoodUntil has a resolution of one millisecond.
+	// GoodUntil is the expiry time, with a resolution of one millisecond.
 	GoodUntil time.Time
 	// MAC is a truncated HMAC-SHA256 of the other fields under the incarnation's key.
 	MAC [macLength]byte
 }
 
-// Parse reads a ticket's text. It does not check the MAC, so a VM without the
-// key learns where to forward. The refusal is TicketInvalid.
+// Parse decodes a ticket. It does not verify the MAC, so a VM without the key can
+// still route the call to its executor. A refusal is TicketInvalid.
 func Parse(text string) (Ticket, *result.Refusal) {
 	if len(text) > MaxLength {
 		return Ticket{}, invalid("the ticket is over %d bytes", MaxLength)
@@ -68,7 +68,7 @@
 	return t, nil
 }
 
-// Holder names the incarnation that issued the ticket.
+// Holder returns the incarnation that issued the ticket.
 func (t Ticket) Holder() Holder {
 	return Holder{
 		VM:          t.VM,
@@ -76,7 +76,7 @@
 	}
 }
 
-// Text returns the form that Parse reads.
+// Text encodes the ticket in the form that Parse decodes.
 func (t Ticket) Text() string {
 	return textEncoding.EncodeToString(append(t.payload(), t.MAC[:]...))
 }
@@ -100,7 +100,7 @@
 	return [macLength]byte(sum[:macLength])
 }
 
-func (t Ticket) genuine(key []byte) bool {
+func (t Ticket) hasValidMAC(key []byte) bool {
 	want := t.sign(key)
 	return hmac.Equal(want[:], t.MAC[:])
 }
@@ -129,8 +129,8 @@
 	return t, r.ok && len(r.rest) == 0
 }
 
-// reader takes fields off a byte slice; after the first fault ok is false and
-// every field is zero.
+// reader decodes fields from a byte slice. After an error ok is false and every field
+// is zero.
 type reader struct {
 	rest []byte
 	ok   bool
@@ -165,7 +165,7 @@
 	return v * int64(r.skip(n))
 }
 
-// skip passes over n bytes; it gives 1 when they were a valid number, else 0.
+// skip advances by n bytes. It returns 1 if they held a valid number, else 0.
 func (r *reader) skip(n int) int {
 	if !r.ok || n <= 0 {
 		r.ok = false
