--- a/call/call.go
+++ b/call/call.go
@@ -1,5 +1,5 @@
-// Package call holds one caller's request and its outcome as plain data, in
-// the form that every part of the system passes on.
+// Package call defines a caller's request and its outcome as plain data that the
+// other packages share.
 package call
 
 import (
@@ -11,7 +11,7 @@
 	"github.com/fuchsianotch/fuchsianotch/logs"
 )
 
-// Kind tells what a call is for.
+// Kind is the type of a call.
 type Kind int
 
 // The kinds of calls.
@@ -22,11 +22,11 @@
 	KindRouted
 )
 
-// Priority orders calls that wait for the same endpoints.
+// Priority orders calls that queue for the same endpoints.
 type Priority int
 
-// Priorities from first to last. Urgent calls are short ones such as confirm,
-// release, flags and acknowledgements; reports tolerate delay.
+// Priorities, highest first. Urgent is for short calls such as confirmations and
+// acknowledgements; reports tolerate delay.
 const (
 	PriorityUrgent Priority = iota
 	PriorityChat
@@ -42,7 +42,7 @@
 	return priorityNames[p]
 }
 
-// ParsePriority reads a name as String gives it.
+// ParsePriority parses a name returned by String.
 func ParsePriority(name string) (Priority, bool) {
 	for i, n := range priorityNames {
 		if n == name {
@@ -52,19 +52,19 @@
 	return 0, false
 }
 
-// Call is one request of a caller, read whole.
+// Call is one complete request of a caller.
 type Call struct {
-	// ID is the request's id, unique per arrival, on the time line and in answers.
+	// ID is the request's id, unique per arrival, used in timelines and responses.
 	ID        string
 	Workspace string
 	Kind      Kind
 	// Model or Service names the target.
 	Model   string
 	Service string
-	// Method and Path are what the endpoint is sent; Path keeps its query.
+	// Method and Path are sent to the endpoint; Path includes the query.
 	Method string
 	Path   string
-	// Header holds only headers that may pass to the endpoint.
+	// Header holds the headers that may be passed to the endpoint.
 	Header     http.Header
 	Body       []byte
 	Stream     bool
@@ -72,34 +72,32 @@
 	Priority   Priority
 	// Ticket is the caller's ticket for a non-idempotent call.
 	Ticket string
-	// FirstBy and WholeBy are the deadlines of the first token and the whole answer.
+	// FirstBy and WholeBy are the deadlines of the first token and the complete response.
 	FirstBy time.Time
 	WholeBy time.Time
-	// PromptTokens is an estimate; MaxTokens bounds the generated tokens.
+	// PromptTokens is an estimate; MaxTokens limits the generated tokens.
 	PromptTokens int
 	MaxTokens    int
 	// PrefixHash identifies the prompt prefix for cache affinity; zero means none.
 	PrefixHash uint64
-	// Forwarded is set on a call that came from another VM; it is never forwarded again.
+	// Forwarded is set on a call from another VM, which is never forwarded again.
 	Forwarded bool
-	// Origin is the region whose limits were charged, set on a borrowed call.
+	// Origin is the region that charged the call, set on calls overflowing from there.
 	Origin string
 	// Routed is set on calls of KindRouted only.
 	Routed *Routed
-	// Content tells calls with another content apart, see ContentHash; zero until
-	// the call is served.
+	// Content is the result of ContentHash; zero until the call is served.
 	Content uint64
-	// Trial is set on a call that is held, as endpoints crashed under it, and is let
-	// through to see whether they still do.
+	// Trial is set on a quarantined call that is let through to test whether it still
+	// crashes endpoints.
 	Trial bool
-	// Trail takes the log lines about the call; it may be nil.
+	// Trail collects the call's log lines; it may be nil.
 	Trail *logs.Trail
 }
 
-// ContentHash hashes what a call asks for: its workspace, host, method, path and
-// body. A call that a caller sends again has the same one under another id, at
-// whatever VM. What describes the try only (deadlines, estimates, the event to go on
-// after) is left out.
+// ContentHash hashes the workspace, host, method, path and body. Retries of a call
+// have the same hash under different ids, on any VM. Deadlines, estimates and the
+// resume position are excluded.
 func (c *Call) ContentHash() uint64 {
 	var d xxhash.Digest
 	d.Reset()
@@ -108,7 +106,7 @@
 		host = c.Routed.Host
 	}
 	for _, part := range [...]string{c.Workspace, host, c.Method, c.Path} {
-		// A Digest never fails to write.
+		// Writing to a Digest never fails.
 		_, _ = d.WriteString(part)
 		_, _ = d.Write(contentSeparator)
 	}
@@ -116,10 +114,10 @@
 	return d.Sum64()
 }
 
-// contentSeparator is in no host, method or path.
+// contentSeparator occurs in no host, method or path.
 var contentSeparator = []byte{0}
 
-// Target names the model or service.
+// Target returns the name of the model or service.
 func (c *Call) Target() string {
 	if c.Kind == KindChat {
 		return c.Model
@@ -127,7 +125,7 @@
 	return c.Service
 }
 
-// Usage is what an answer consumed, in tokens.
+// Usage is a call's token usage.
 type Usage struct {
 	PromptTokens    int `json:"prompt_tokens"`
 	CachedTokens    int `json:"cached_tokens"`
--- a/call/call_test.go
+++ b/call/call_test.go
@@ -10,7 +10,7 @@
 
 type contentCase struct {
 	Name string
-	// Same says that the call asks for the same as the first one of the table.
+	// Same is set if the call has the same content as the first row.
 	Same      bool
 	ID        string
 	Workspace string
@@ -18,7 +18,7 @@
 	Method    string
 	Path      string
 	Body      string
-	// LastEvent is the event after which the caller wants the stream to go on.
+	// LastEvent is the id of the event after which the stream resumes.
 	LastEvent string
 	Tokens    int
 }
@@ -38,8 +38,8 @@
 	}
 }
 
-// TestContentHash holds that tries of one call have one content, and that whatever
-// an endpoint is asked makes another one.
+// TestContentHash checks that retries share a content hash, and that a change of what
+// an endpoint receives changes it.
 func TestContentHash(t *testing.T) {
 	cases := datatest.Read[[]contentCase](t, "testdata/content.json")
 	first := cases[0].call().ContentHash()
--- a/call/routed.go
+++ b/call/routed.go
@@ -9,64 +9,65 @@
 	"github.com/fuchsianotch/fuchsianotch/apikey"
 )
 
-// PromptPart is one part of a prompt. Prompts that begin with the same parts
-// share what an engine keeps of them.
+// PromptPart is one segment of a prompt. Prompts with the same leading segments share
+// an engine's prefix cache.
 type PromptPart struct {
 	ID     uint64
 	Tokens int
 }
 
-// Routed is what a call carries whose terms follow from a published route
-// and not from a workspace's contract.
+// Routed holds the fields of a call whose terms follow from a published route
+// rather than from a workspace's contract.
 type Routed struct {
-	// Host is the host that the caller named.
+	// Host is the host in the caller's request.
 	Host string
-	// Route is the route's name, and Version that of the table it is from.
+	// Route is the route's name, Version the version of its route table.
 	Route   string
 	Version uint64
-	// Key is the digest of the caller's key; zero means that none was needed.
+	// Key is the digest of the caller's API key; zero if the route requires none.
 	Key apikey.Digest
-	// Cost is what the call counts against the limit of its workspace, in the limit's unit.
+	// Cost is charged against the workspace's limit, in the limit's unit.
 	Cost float64
-	// Rank orders calls at an engine, 0 first.
+	// Rank orders calls in an endpoint's queue, 0 first.
 	Rank int
-	// MaxAttempts bounds the endpoints that may run the call.
+	// MaxAttempts limits the endpoints that may run the call.
 	MaxAttempts int
-	// Resumable says that a broken stream may go on at another endpoint.
+	// Resumable allows a broken stream to continue at another endpoint.
 	Resumable bool
-	// Homes are the regions that may serve the call; none means all.
+	// Homes are the regions that may serve the call; empty means all.
 	Homes []string
-	// Parts are the parts of the prompt in order; the last is the call's own.
+	// Parts are the segments of the prompt in order. The last one is not shared with
+	// other calls.
 	Parts []PromptPart
-	// ArrivedAt is when the call came to this VM.
+	// ArrivedAt is when the call arrived at this VM.
 	ArrivedAt time.Time
 	// CallerBy is when the caller stops waiting; WholeBy may be earlier.
 	CallerBy time.Time
-	// ResumeAfter is the id of the last event that the caller has of a stream.
+	// ResumeAfter is the id of the last stream event that the caller received.
 	ResumeAfter string
-	// AnswerTokens is the caller's estimate of the tokens that will be generated, right
-	// in the middle and often far off; zero means that there is none.
+	// AnswerTokens is the caller's estimate of the generated tokens. It is
+	// accurate in the median but often far off; zero means that there is none.
 	AnswerTokens int
-	// EventTokens is how many generated tokens one event of the stream holds.
+	// EventTokens is the number of generated tokens in one stream event.
 	EventTokens int
-	// Gap is the longest pause between events of a stream that is still on time;
-	// zero means that any is.
+	// Gap is the maximum time between events of a stream that meets its objective; zero
+	// means no maximum.
 	Gap time.Duration
-	// Late is set when no first token is expected by the objective: the call yields
-	// to all that can still be on time.
+	// Late is set when the first token is expected to miss its objective. Such a call
+	// yields to calls that can still meet theirs.
 	Late bool
-	// Repeated is set when an attempt of the call was made on another VM.
+	// Repeated is set when another VM already attempted the call.
 	Repeated bool
 }
 
-// Turns is how many places in the order there are at an endpoint.
+// Turns is the number of levels in an endpoint's queue.
 const Turns = 10
 
-// lateTurns is how many of them are for calls that can be on time.
+// lateTurns is the number of levels for late calls, and the first of them.
 const lateTurns = Turns / 2
 
-// Turn is the call's place in the order at an endpoint, 0 first: by rank, and
-// after all others if it is late.
+// Turn returns the call's level in an endpoint's queue, 0 first: ordered by rank, with
+// late calls after all others.
 func (r *Routed) Turn() int {
 	turn := min(max(r.Rank, 0), lateTurns-1)
 	if r.Late {
@@ -75,13 +76,12 @@
 	return turn
 }
 
-// Yields reports whether a place in the order is of calls that make way for those
-// that can be on time.
+// Yields reports whether a queue level is for late calls.
 func Yields(turn int) bool {
 	return turn >= lateTurns
 }
 
-// Allows reports whether the call may be served in a region.
+// Allows reports whether a region may serve the call.
 func (r *Routed) Allows(region string) bool {
 	if len(r.Homes) == 0 {
 		return true
@@ -94,16 +94,16 @@
 	return false
 }
 
-// SharedPrefix hashes all parts but the call's own, for cache affinity; zero
-// means that the prompt shares nothing. Engines keep the prompts of one workspace
-// from those of others, so its name counts; it is empty where calls have none.
+// SharedPrefix hashes the workspace and all parts but the last, for cache affinity; zero
+// means that there is no shared prefix. The workspace, which may be empty, is included
+// because engines do not share caches between workspaces.
 func SharedPrefix(workspace string, parts []PromptPart) uint64 {
 	if len(parts) < 2 {
 		return 0
 	}
 	var d xxhash.Digest
 	d.Reset()
-	// A Digest never fails to write.
+	// Writing to a Digest never fails.
 	_, _ = d.WriteString(workspace)
 	for _, p := range parts[:len(parts)-1] {
 		var id [8]byte
@@ -115,8 +115,8 @@
 	return d.Sum64()
 }
 
-// Answer is a whole answer that is held back until it is decided whether
-// another attempt follows.
+// Answer is a complete response that is buffered until it is known whether another
+// attempt follows.
 type Answer struct {
 	Status int
 	Header http.Header
--- /dev/null
+++ b/serving/answer_tracker.go
@@ -0,0 +1,91 @@
+package serving
+
+import (
+	"errors"
+	"net/http"
+	"time"
+
+	"github.com/fuchsianotch/fuchsianotch/call"
+	"github.com/fuchsianotch/fuchsianotch/endpoint"
+	"github.com/fuchsianotch/fuchsianotch/retry"
+)
+
+// answerTracker wraps a caller's sink and records what was delivered, so that another
+// place can continue a broken stream.
+type answerTracker struct {
+	sink        call.Sink
+	now         func() time.Time
+	headSent    bool
+	lastEventID string
+	// lastChunkAt is when the last chunk was delivered, longestGap the longest time
+	// between two chunks.
+	lastChunkAt time.Time
+	longestGap  time.Duration
+}
+
+func (t *answerTracker) wrappedSink() call.Sink {
+	return call.Sink{
+		Head: func(status int, header http.Header) error {
+			if t.headSent {
+				return t.checkContinuation(status, header)
+			}
+			t.headSent = true
+			return t.sink.Head(status, header)
+		},
+		Chunk: func(data []byte) error {
+			if id := endpoint.LastEventID(data); id != "" {
+				t.lastEventID = id
+			}
+			t.recordChunkGap()
+			return t.sink.Chunk(data)
+		},
+	}
+}
+
+func (t *answerTracker) recordChunkGap() {
+	now := t.now()
+	if !t.lastChunkAt.IsZero() {
+		t.longestGap = max(t.longestGap, now.Sub(t.lastChunkAt))
+	}
+	t.lastChunkAt = now
+}
+
+// errNotContinuation reports a response that cannot continue what the caller received.
+var errNotContinuation = errors.New("the answer does not continue the stream")
+
+// checkContinuation rejects any response after the first that is not a continued stream.
+func (t *answerTracker) checkContinuation(status int, header http.Header) error {
+	if status != http.StatusOK || header.Get("Content-Length") != "" {
+		return errNotContinuation
+	}
+	return nil
+}
+
+// placeResult describes the outcome at one VM and what the caller received of it.
+func (t *answerTracker) placeResult(c *call.Call, o call.Outcome) retry.Place {
+	return retry.Place{
+		Code:       o.Code,
+		Ran:        o.Ran,
+		Idempotent: c.Idempotent,
+		Headed:     t.headSent,
+		Resumable:  c.Routed.Resumable,
+		HasEvent:   t.lastEventID != "",
+	}
+}
+
+// nextCall returns the call to send to the next place, after the previous one failed.
+func (t *answerTracker) nextCall(c *call.Call, previous retry.Place, attemptsLeft int) *call.Call {
+	next := *c
+	routed := *c.Routed
+	routed.MaxAttempts = attemptsLeft
+	next.Routed = &routed
+	if t.lastEventID != "" {
+		routed.ResumeAfter = t.lastEventID
+	}
+	if previous.IsRepeat() {
+		routed.Repeated = true
+		// A quarantine trial ends with its first attempt.
+		next.Trial = false
+	}
+	return &next
+}
--- a/serving/once_test.go
+++ b/serving/at_most_once_test.go
@@ -20,31 +20,33 @@
 	"github.com/fuchsianotch/fuchsianotch/ticket"
 )
 
-// onceCase is one schedule of asks and faults; testdata/once.json holds them.
-type onceCase struct {
+// atMostOnceCase is a sequence of requests and faults from testdata/once.json.
+type atMostOnceCase struct {
 	Name string `json:"name"`
 	// Kind is book (with a ticket), look or chat (both idempotent).
 	Kind string `json:"kind"`
-	// Answers are what the endpoint does with each request in turn.
+	// Answers are the endpoint's scripted answers, in order.
 	Answers []string `json:"answers"`
 	Steps   []string `json:"steps"`
-	// Want names each ask's code, Text what a chat's caller has.
+	// Want is the result code of each request, Text the text that a chat's caller received.
 	Want map[string]string `json:"want"`
 	Text string            `json:"text"`
 	Runs int               `json:"runs"`
-	// Spent is what VM 0 has charged, unset where it died.
+	// Spent is what VM 0 charged; unset where it was killed.
 	Spent *float64 `json:"spent"`
-	// OtherAskRan excuses a not-run ask where another ask of the ticket ran.
+	// OtherAskRan allows a not-run outcome if another request with the ticket ran.
 	OtherAskRan bool `json:"other_ask_ran"`
-	// Variant breaks one decision; Violation is what the check must then find.
+	// Variant injects a fault; the check must then report Violation.
 	Variant   string `json:"variant"`
 	Violation string `json:"violation"`
 }
 
+// TestOnce checks that no sequence of faults runs a non-idempotent call twice or
+// reports a call as not run that may have run.
 func TestOnce(t *testing.T) {
 	data, err := os.ReadFile("testdata/once.json")
 	assert.NilError(t, err)
-	var cases []onceCase
+	var cases []atMostOnceCase
 	decoder := json.NewDecoder(strings.NewReader(string(data)))
 	decoder.DisallowUnknownFields()
 	assert.NilError(t, decoder.Decode(&cases))
@@ -55,51 +57,51 @@
 	}
 }
 
-func (c onceCase) test(t *testing.T) {
-	w := newWorld(t, c.Answers)
-	c.breakDecision(w)
+func (c atMostOnceCase) test(t *testing.T) {
+	w := newCluster(t, c.Answers)
+	c.injectFault(w)
 	for _, step := range c.Steps {
-		c.do(w, strings.Fields(step))
+		c.runStep(w, strings.Fields(step))
 	}
-	w.fake.freeAll()
+	w.endpoint.releaseAll()
 	w.wait.Wait()
-	// Late answers and idle connections end.
+	// Let late answers and idle connections end.
 	time.Sleep(time.Minute)
-	w.fake.group.Wait()
+	w.endpoint.group.Wait()
 	if c.Variant != "" {
-		assert.Assert(t, slices.Contains(c.violations(w), c.Violation), "the check did not see variant %s: %v", c.Variant, c.violations(w))
+		assert.Assert(t, slices.Contains(c.violations(w), c.Violation), "the check did not detect variant %s: %v", c.Variant, c.violations(w))
 	} else {
 		c.compare(t, w)
 	}
 	for _, p := range w.processes {
-		w.assertAllGivenBack(p)
+		w.assertNoneInFlight(p)
 	}
 }
 
-func (c onceCase) compare(t *testing.T, w *world) {
+func (c atMostOnceCase) compare(t *testing.T, w *cluster) {
 	assert.DeepEqual(t, c.violations(w), []string(nil))
 	got := make(map[string]string)
-	for name, a := range w.asks {
+	for name, a := range w.requests {
 		got[name] = a.outcome.Code.String()
 		if c.Text != "" {
-			assert.Equal(t, tokens(a.text.String()), c.Text)
+			assert.Equal(t, streamText(a.text.String()), c.Text)
 		}
 	}
 	assert.DeepEqual(t, got, c.Want)
-	assert.Equal(t, w.fake.counted(), c.Runs)
+	assert.Equal(t, w.endpoint.runCount(), c.Runs)
 	if c.Spent != nil {
-		assert.Equal(t, w.spent(w.processes[0]), *c.Spent)
+		assert.Equal(t, w.settledSpend(w.processes[0]), *c.Spent)
 	}
 }
 
-// violations compares what callers were told with what the endpoint counted.
-func (c onceCase) violations(w *world) []string {
+// violations compares the outcomes of callers with the runs at the endpoint.
+func (c atMostOnceCase) violations(w *cluster) []string {
 	var found []string
-	runs := w.fake.counted()
+	runs := w.endpoint.runCount()
 	if c.kind() == "book" && runs > 1 {
 		found = append(found, "doubled")
 	}
-	for _, a := range w.asks {
+	for _, a := range w.requests {
 		class := a.outcome.Code.Class()
 		if class == result.ClassNotRun && runs > 0 && !c.OtherAskRan && !slices.Contains(found, "ran_though_not_run") {
 			found = append(found, "ran_though_not_run")
@@ -111,37 +113,37 @@
 	return found
 }
 
-func (c onceCase) kind() string {
+func (c atMostOnceCase) kind() string {
 	if c.Kind == "" {
 		return "book"
 	}
 	return c.Kind
 }
 
-// breakDecision puts a wrong decision in place of the right one.
-func (c onceCase) breakDecision(w *world) {
+// injectFault replaces a decision with a faulty one.
+func (c atMostOnceCase) injectFault(w *cluster) {
 	for _, p := range w.processes {
 		switch c.Variant {
 		case "":
 		case "ignores_sending":
-			p.server.spend = func(*ticket.Entry, time.Time) *result.Refusal { return nil }
+			p.server.markSent = func(*ticket.Entry, time.Time) *result.Refusal { return nil }
 		case "repeats_what_may_have_run":
 			p.server.decide = func(a retry.Attempt, now time.Time) retry.Verdict {
 				a.Idempotent = true
 				return retry.Decide(a, now)
 			}
 		case "lost_is_not_run":
-			p.server.options.Forward = lostIsNotRun(p.server.options.Forward)
+			p.server.options.Forward = reportLostAsNotRun(p.server.options.Forward)
 		default:
 			w.t.Fatalf("unknown variant %q", c.Variant)
 		}
 	}
 }
 
-type forwarding func(context.Context, fleet.VM, *call.Call, call.Sink) call.Outcome
+type forwardFunc func(context.Context, fleet.VM, *call.Call, call.Sink) call.Outcome
 
-// lostIsNotRun calls a VM that was lost during a call unreachable.
-func lostIsNotRun(forward forwarding) forwarding {
+// reportLostAsNotRun reports a VM that was lost during a call as not run.
+func reportLostAsNotRun(forward forwardFunc) forwardFunc {
 	return func(ctx context.Context, vm fleet.VM, c *call.Call, sink call.Sink) call.Outcome {
 		o := forward(ctx, vm, c, sink)
 		if o.Code == result.PeerLost {
@@ -158,39 +160,39 @@
 	}
 }
 
-// do plays one step; "ask NAME [VM [BY [unreached]]]" asks VM, or asks it by way
-// of BY, which may take it for unreached.
-func (c onceCase) do(w *world, words []string) {
+// runStep runs one step. "ask NAME [VM [BY [unreached]]]" sends a request to VM,
+// forwarded by BY, which may consider VM unreachable.
+func (c atMostOnceCase) runStep(w *cluster, words []string) {
 	arg := func(i int, fallback string) string {
 		if i < len(words) {
 			return words[i]
 		}
 		return fallback
 	}
-	vm := func(i int) *process { return w.processes[number(w, arg(i, "0"))] }
+	vm := func(i int) *process { return w.processes[parseIndex(w, arg(i, "0"))] }
 	switch words[0] {
 	case "ask":
 		to := arg(2, "0")
-		w.ask(words[1], number(w, to), number(w, arg(3, to)), c.kind(), arg(4, "") == "unreached")
+		w.send(words[1], parseIndex(w, to), parseIndex(w, arg(3, to)), c.kind(), arg(4, "") == "unreached")
 		synctest.Wait()
 	case "leave":
-		w.asks[words[1]].leave()
+		w.requests[words[1]].cancel()
 		synctest.Wait()
 	case "hold":
-		w.fake.hold(words[1])
+		w.endpoint.hold(words[1])
 	case "at":
-		w.fake.await(words[1])
+		w.endpoint.waitUntilReached(words[1])
 	case "free":
-		w.fake.free(words[1])
+		w.endpoint.release(words[1])
 		synctest.Wait()
 	case "sleep":
 		d, err := time.ParseDuration(words[1])
 		assert.NilError(w.t, err)
 		time.Sleep(d)
 	case "kill":
-		vm(1).dead.Store(true)
+		vm(1).killed.Store(true)
 	case "restart":
-		w.processes[number(w, words[1])] = w.replaced(number(w, words[1]))
+		w.processes[parseIndex(w, words[1])] = w.newIncarnation(parseIndex(w, words[1]))
 	case "stop":
 		vm(1).desk.Stop()
 	case "drain":
@@ -205,8 +207,8 @@
 	}
 }
 
-// replaced starts a new incarnation under the same name.
-func (w *world) replaced(i int) *process {
+// newIncarnation starts a new incarnation with the same id.
+func (w *cluster) newIncarnation(i int) *process {
 	p := w.newProcess(i)
 	p.desk = ticket.New(ticket.Options{
 		VM:          p.vm.ID,
@@ -216,14 +218,14 @@
 	return p
 }
 
-func number(w *world, text string) int {
+func parseIndex(w *cluster, text string) int {
 	n, err := strconv.Atoi(text)
 	assert.NilError(w.t, err)
 	return n
 }
 
-// tokens returns the text of a stream, with "done" at its whole end.
-func tokens(text string) string {
+// streamText returns the text of a stream, with "done" at the end of a complete one.
+func streamText(text string) string {
 	var out strings.Builder
 	for event := range strings.SplitSeq(text, "\n\n") {
 		data := strings.TrimPrefix(event, "data: ")
--- a/serving/charge.go
+++ b/serving/charge.go
@@ -15,23 +15,24 @@
 )
 
 const (
-	tokensPerPrice = 1000
-	// leaseWithin bounds the wait for an owner's answer.
-	leaseWithin = 250 * time.Millisecond
-	// shareWithin is when shares have most likely moved to their new owner.
-	shareWithin = 500 * time.Millisecond
+	// tokensPerPriceUnit is the number of tokens that a model's price refers to.
+	tokensPerPriceUnit = 1000
+	// leaseTimeout bounds the wait for a lease from the owner.
+	leaseTimeout = 250 * time.Millisecond
+	// defaultRetryAfter allows for limit shares to move to their new owner.
+	defaultRetryAfter = 500 * time.Millisecond
 )
 
-// charge takes the call's estimated cost from the limits of its workspace.
+// charge reserves the call's estimated cost from the workspace's limits.
 func (s *Server) charge(ctx context.Context, c *call.Call, terms Terms) (limit.Reservation, *result.Refusal) {
-	reservation, refusal := s.take(ctx, c, terms)
+	reservation, refusal := s.reserve(ctx, c, terms)
 	if refusal != nil && refusal.ComeBackAt.IsZero() {
-		refusal = refusal.Until(s.options.Now().Add(shareWithin))
+		refusal = refusal.Until(s.options.Now().Add(defaultRetryAfter))
 	}
 	return reservation, refusal
 }
 
-func (s *Server) take(ctx context.Context, c *call.Call, terms Terms) (limit.Reservation, *result.Refusal) {
+func (s *Server) reserve(ctx context.Context, c *call.Call, terms Terms) (limit.Reservation, *result.Refusal) {
 	view := s.options.View()
 	now := s.options.Now()
 	r := s.limitRequest(c, terms, view, now)
@@ -39,8 +40,8 @@
 	if refusal == nil || r.Owner {
 		return reservation, refusal
 	}
-	if lease := s.askOwner(ctx, c.Workspace, terms, view); lease != nil {
-		return reservation, lease
+	if leaseRefusal := s.requestLease(ctx, c.Workspace, terms, view); leaseRefusal != nil {
+		return reservation, leaseRefusal
 	}
 	return s.options.Ledger.Take(r, s.options.Now())
 }
@@ -51,8 +52,8 @@
 	return r
 }
 
-// LimitRequest returns what the ledger needs to know of this VM's place in the
-// view, without a cost.
+// LimitRequest builds a ledger request from this VM's share in the view. The cost is
+// left unset.
 func LimitRequest(workspace string, terms contract.RegionTerms, view *membership.View, now time.Time) limit.Request {
 	owner, ok := view.Owner(workspace)
 	hold := view.Hold(workspace, now)
@@ -68,8 +69,9 @@
 	}
 }
 
-// askOwner asks for a lease; calls of one workspace share one question.
-func (s *Server) askOwner(ctx context.Context, workspace string, terms Terms, view *membership.View) *result.Refusal {
+// requestLease requests a lease from the workspace's owner. Concurrent requests for
+// one workspace are merged.
+func (s *Server) requestLease(ctx context.Context, workspace string, terms Terms, view *membership.View) *result.Refusal {
 	owner, ok := view.Owner(workspace)
 	if !ok {
 		return result.Refuse(result.LimitNoShare, "no VM owns workspace %s now", workspace)
@@ -80,11 +82,11 @@
 }
 
 func (s *Server) fetchLease(ctx context.Context, owner fleet.VM, workspace string, terms Terms) *result.Refusal {
-	want, unused, ask := s.options.Ledger.Want(workspace, terms.Region, s.options.Now())
-	if !ask {
+	want, unused, needed := s.options.Ledger.Want(workspace, terms.Region, s.options.Now())
+	if !needed {
 		return nil
 	}
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), leaseWithin)
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), leaseTimeout)
 	defer cancel()
 	lease, refusal := s.options.Lease(ctx, owner, workspace, want, unused)
 	if refusal != nil {
@@ -94,7 +96,7 @@
 	return nil
 }
 
-// Estimate is what a call is charged before it runs.
+// Estimate returns the cost reserved for a call before it runs.
 func Estimate(c *call.Call, snapshot *configuration.Snapshot) limit.Amounts {
 	return Cost(c, call.Usage{
 		PromptTokens:    c.PromptTokens,
@@ -102,7 +104,7 @@
 	}, snapshot)
 }
 
-// Cost is what a call's usage costs by the published prices.
+// Cost returns the cost of a call with the given usage at the published prices.
 func Cost(c *call.Call, u call.Usage, snapshot *configuration.Snapshot) limit.Amounts {
 	cost := limit.Amounts{
 		Requests:    1,
@@ -118,23 +120,23 @@
 	if model, ok := snapshot.Model(c.Model); ok {
 		prompt := float64(u.PromptTokens) * model.PromptPrice
 		generated := float64(u.GeneratedTokens) * model.GeneratedPrice
-		cost.Spend = (prompt + generated) / tokensPerPrice
+		cost.Spend = (prompt + generated) / tokensPerPriceUnit
 	}
 	return cost
 }
 
-// leaseFlights joins concurrent questions about one workspace into one.
-type leaseFlights struct {
+// leaseSingleflight merges concurrent lease requests for the same workspace.
+type leaseSingleflight struct {
 	mu      sync.Mutex
-	flights map[string]*leaseFlight
+	flights map[string]*inFlightLease
 }
 
-type leaseFlight struct {
+type inFlightLease struct {
 	done    chan struct{}
 	refusal *result.Refusal
 }
 
-func (f *leaseFlights) do(workspace string, ask func() *result.Refusal) *result.Refusal {
+func (f *leaseSingleflight) do(workspace string, request func() *result.Refusal) *result.Refusal {
 	f.mu.Lock()
 	if flight, ok := f.flights[workspace]; ok {
 		f.mu.Unlock()
@@ -142,15 +144,15 @@
 		return flight.refusal
 	}
 	if f.flights == nil {
-		f.flights = make(map[string]*leaseFlight)
+		f.flights = make(map[string]*inFlightLease)
 	}
-	flight := &leaseFlight{
+	flight := &inFlightLease{
 		done: make(chan struct{}),
 	}
 	f.flights[workspace] = flight
 	f.mu.Unlock()
 
-	flight.refusal = ask()
+	flight.refusal = request()
 	f.mu.Lock()
 	delete(f.flights, workspace)
 	f.mu.Unlock()
--- a/serving/world_test.go
+++ b/serving/cluster_test.go
@@ -35,7 +35,7 @@
 	service     = "s"
 	model       = "m"
 	concurrency = 5
-	wholeWithin = 10 * time.Second
+	callTimeout = 10 * time.Second
 	spentMetric = "fuchsianotch_spend_millionths_total "
 )
 
@@ -43,42 +43,42 @@
 "models":[{"model":"m","prompt_price":1000,"generated_price":1000,"max_tokens":64}],
 "services":[{"service":"s","call_price":10,"calls":[]}]}`
 
-// process is one VM's serving parts. A dead one sends and answers nothing more.
+// process holds the serving components of one VM. A killed one sends nothing more.
 type process struct {
 	vm     fleet.VM
 	desk   *ticket.Desk
 	server *Server
 	ledger *limit.Ledger
-	dead   atomic.Bool
+	killed atomic.Bool
 }
 
-// world is a few processes before one scripted endpoint.
-type world struct {
+// cluster is a set of VMs in front of one scripted endpoint.
+type cluster struct {
 	t         *testing.T
-	fake      *fake
+	endpoint  *scriptedEndpoint
 	processes []*process
 	terms     Terms
 	ticket    string
 	handOver  ticket.HandOver
 
-	mu   sync.Mutex
-	asks map[string]*asked
-	wait sync.WaitGroup
+	mu       sync.Mutex
+	requests map[string]*callerRequest
+	wait     sync.WaitGroup
 }
 
-// asked is one ask with what its caller was told.
-type asked struct {
+// callerRequest is one caller's request and its outcome.
+type callerRequest struct {
 	ticketed bool
-	leave    context.CancelFunc
+	cancel   context.CancelFunc
 	outcome  call.Outcome
 	text     strings.Builder
 }
 
-func newWorld(t *testing.T, answers []string) *world {
-	w := &world{
-		t:    t,
-		fake: newFake(t, answers),
-		asks: make(map[string]*asked),
+func newCluster(t *testing.T, answers []string) *cluster {
+	w := &cluster{
+		t:        t,
+		endpoint: newScriptedEndpoint(t, answers),
+		requests: make(map[string]*callerRequest),
 		terms: Terms{
 			Contract: &contract.Contract{
 				Workspace: workspace,
@@ -99,7 +99,7 @@
 	return w
 }
 
-func (w *world) newProcess(i int) *process {
+func (w *cluster) newProcess(i int) *process {
 	p := &process{
 		vm: fleet.VM{
 			ID:     "vm-" + strconv.Itoa(i),
@@ -128,7 +128,7 @@
 		Endpoint: endpoint.New(endpoint.Options{
 			Client: &http.Client{
 				Transport: &http.Transport{
-					DialContext:     w.fake.dial(p),
+					DialContext:     w.endpoint.dial(p),
 					IdleConnTimeout: time.Second,
 				},
 			},
@@ -144,7 +144,7 @@
 	return p
 }
 
-func (w *world) snapshot() func() *configuration.Snapshot {
+func (w *cluster) snapshot() func() *configuration.Snapshot {
 	store := configuration.New(configuration.Options{})
 	verdicts := store.Offer([]configuration.Document{
 		{
@@ -170,7 +170,7 @@
 	return func() *membership.View { return view }
 }
 
-func (w *world) pool() func(string) (*Pool, bool) {
+func (w *cluster) pool() func(string) (*Pool, bool) {
 	pools := make(map[string]*Pool)
 	for _, target := range []string{service, model} {
 		endpoints := routing.New(routing.Options{})
@@ -196,63 +196,63 @@
 	}
 }
 
-// forward carries a call to the process that it names, as the peer protocol
-// does: a dead one is not reached, one that dies later is lost.
-func (w *world) forward(ctx context.Context, vm fleet.VM, c *call.Call, sink call.Sink) call.Outcome {
+// forward emulates the peer protocol: a killed process is unreachable, and one killed
+// during the call is lost.
+func (w *cluster) forward(ctx context.Context, vm fleet.VM, c *call.Call, sink call.Sink) call.Outcome {
 	var p *process
 	for _, other := range w.processes {
 		if other.vm.ID == vm.ID {
 			p = other
 		}
 	}
-	if p.dead.Load() {
+	if p.killed.Load() {
 		return call.Refused(result.Refuse(result.PeerUnreachable, "not reached"))
 	}
 	forwarded := *c
 	forwarded.Forwarded = true
-	o := p.server.Serve(ctx, &forwarded, w.here(), sink)
-	if p.dead.Load() {
+	o := p.server.Serve(ctx, &forwarded, w.localPlacement(), sink)
+	if p.killed.Load() {
 		return call.Refused(result.Refuse(result.PeerLost, "lost"))
 	}
 	return o
 }
 
-func (w *world) here() Placement {
+func (w *cluster) localPlacement() Placement {
 	return Placement{
 		Kind:  PlaceHere,
 		Terms: w.terms,
 	}
 }
 
-// ask sends one call in the background: to a process, or to one by another.
-func (w *world) ask(name string, vm int, by int, kind string, unreached bool) {
-	ctx, leave := context.WithCancel(w.t.Context())
-	a := &asked{
+// send sends one call in the background to VM vm, forwarded by VM by if they differ.
+func (w *cluster) send(name string, vm int, by int, kind string, unreached bool) {
+	ctx, cancel := context.WithCancel(w.t.Context())
+	a := &callerRequest{
 		ticketed: kind == "book",
-		leave:    leave,
+		cancel:   cancel,
 	}
 	w.mu.Lock()
-	w.asks[name] = a
+	w.requests[name] = a
 	w.mu.Unlock()
-	place := w.here()
+	place := w.localPlacement()
 	if by != vm {
 		place = Placement{
-			Kind:      PlaceForward,
-			VM:        w.processes[vm].vm,
-			Unreached: unreached,
-			Terms:     w.terms,
+			Kind:        PlaceForward,
+			VM:          w.processes[vm].vm,
+			Unreachable: unreached,
+			Terms:       w.terms,
 		}
 	}
 	w.wait.Go(func() {
 		p := w.processes[by]
 		a.outcome = p.server.Serve(ctx, w.newCall(name, kind), place, a.sink())
-		if p.dead.Load() {
+		if p.killed.Load() {
 			a.outcome = call.Refused(result.Refuse(result.PeerLost, "the VM's connection broke"))
 		}
 	})
 }
 
-func (a *asked) sink() call.Sink {
+func (a *callerRequest) sink() call.Sink {
 	return call.Sink{
 		Head: func(int, http.Header) error { return nil },
 		Chunk: func(data []byte) error {
@@ -262,7 +262,7 @@
 	}
 }
 
-func (w *world) newCall(name, kind string) *call.Call {
+func (w *cluster) newCall(name, kind string) *call.Call {
 	c := &call.Call{
 		ID:        name,
 		Workspace: workspace,
@@ -274,7 +274,7 @@
 			"Idempotency-Key": {"operation"},
 		},
 		Body:    []byte(`{}`),
-		WholeBy: time.Now().Add(wholeWithin),
+		WholeBy: time.Now().Add(callTimeout),
 	}
 	switch kind {
 	case "book":
@@ -295,9 +295,9 @@
 	return c
 }
 
-// spent is what a process has settled, in millionths of the currency, as its
-// metrics tell.
-func (w *world) spent(p *process) float64 {
+// settledSpend returns a process's settled spend from its metrics, in millionths of
+// the currency.
+func (w *cluster) settledSpend(p *process) float64 {
 	answer := httptest.NewRecorder()
 	p.server.options.Metrics.Handler().ServeHTTP(answer, httptest.NewRequest(http.MethodGet, "/metrics", http.NoBody))
 	for line := range strings.Lines(answer.Body.String()) {
@@ -307,23 +307,23 @@
 			return spent
 		}
 	}
-	w.t.Error("no metric of what was spent")
+	w.t.Error("the spend metric is missing")
 	return 0
 }
 
-// assertAllGivenBack fails if a call in flight was left counted in a ledger.
-func (w *world) assertAllGivenBack(p *process) {
+// assertNoneInFlight fails if a ledger still counts a call as in flight.
+func (w *cluster) assertNoneInFlight(p *process) {
 	now := time.Now()
 	r := LimitRequest(workspace, w.terms.Region, p.server.options.View(), now)
 	r.Cost = limit.Amounts{
 		Concurrency: concurrency,
 	}
 	reservation, refusal := p.ledger.Take(r, now)
-	assert.Check(w.t, refusal == nil, "a call in flight was not given back: %v", refusal)
+	assert.Check(w.t, refusal == nil, "a call is still counted as in flight: %v", refusal)
 	p.ledger.Cancel(reservation, now)
 }
 
-// budgetOf is one budget for the calls of all targets.
+// budgetOf applies one retry budget to all targets.
 func budgetOf(b *retry.Budget) Budget {
 	return Budget{
 		OnRequest: func(string) { b.OnRequest() },
--- a/serving/away.go
+++ b/serving/overflow.go
@@ -9,13 +9,13 @@
 	"github.com/fuchsianotch/fuchsianotch/timeline"
 )
 
-// lendersPerCall is how many VMs of other regions one call is sent to at most.
-const lendersPerCall = 2
+// maxOverflowAttempts bounds the VMs of other regions that one call is sent to.
+const maxOverflowAttempts = 2
 
-// mayBorrow reports whether a call that this region could not serve may go to
-// another one: nothing ran, it did not come from another VM, and it is
-// idempotent, so no ticket ties it to this one.
-func mayBorrow(c *call.Call, o call.Outcome) bool {
+// canOverflow reports whether a call that this region could not serve may be sent to
+// another one. Nothing may have run, the call must not have been forwarded, and it
+// must be idempotent, as a ticket binds a call to its executor.
+func canOverflow(c *call.Call, o call.Outcome) bool {
 	if c.Forwarded || !c.Idempotent {
 		return false
 	}
@@ -27,17 +27,17 @@
 	}
 }
 
-// borrow sends the call to a region with surplus, and once more if that has
-// none by then. The charge stays with this region's part of the contract.
-// Without such a region the last outcome stands.
-func (s *Server) borrow(ctx context.Context, c *call.Call, terms Terms, sink call.Sink, local call.Outcome) call.Outcome {
+// overflow sends the call to a region with spare capacity, and retries once if that
+// capacity is gone by then. The charge stays with this region's limits. If no region
+// has spare capacity, the last outcome is returned.
+func (s *Server) overflow(ctx context.Context, c *call.Call, terms Terms, sink call.Sink, local call.Outcome) call.Outcome {
 	outcome := local
-	for range lendersPerCall {
-		away, ok := s.borrowOnce(ctx, c, terms, sink)
+	for range maxOverflowAttempts {
+		remote, ok := s.overflowOnce(ctx, c, terms, sink)
 		if !ok {
 			return outcome
 		}
-		outcome = away
+		outcome = remote
 		if outcome.Code != result.NoSurplus {
 			return outcome
 		}
@@ -45,8 +45,8 @@
 	return outcome
 }
 
-// borrowOnce sends the call away. It returns false if nothing was sent.
-func (s *Server) borrowOnce(ctx context.Context, c *call.Call, terms Terms, sink call.Sink) (call.Outcome, bool) {
+// overflowOnce sends the call to one other region. It returns false if nothing was sent.
+func (s *Server) overflowOnce(ctx context.Context, c *call.Call, terms Terms, sink call.Sink) (call.Outcome, bool) {
 	vm, ok := s.options.Borrow(c, terms)
 	if !ok {
 		return call.Outcome{}, false
@@ -55,19 +55,19 @@
 	if !ok {
 		return call.Outcome{}, false
 	}
-	away := *c
-	away.Origin = s.options.Region
-	s.event(c, "call_sent_away", timeline.Event{
+	overflowCall := *c
+	overflowCall.Origin = s.options.Region
+	s.addEvent(c, "call_sent_away", timeline.Event{
 		Peer:   vm.ID,
 		Detail: vm.Region,
 	})
 	s.options.Metrics.SentAway(vm.Region)
-	outcome := s.options.Forward(ctx, vm, &away, sink)
+	outcome := s.options.Forward(ctx, vm, &overflowCall, sink)
 	s.settleBorrowed(borrowed, outcome)
 	return outcome, true
 }
 
-// chargeBorrowed takes the call's tokens from what the region may borrow.
+// chargeBorrowed reserves the call's tokens from the region's borrowing limit.
 func (s *Server) chargeBorrowed(c *call.Call, terms Terms) (limit.Reservation, bool) {
 	now := s.options.Now()
 	r := LimitRequest(c.Workspace, terms.Region, s.options.View(), now)
--- a/serving/away_test.go
+++ b/serving/overflow_test.go
@@ -14,29 +14,29 @@
 	"github.com/fuchsianotch/fuchsianotch/result"
 )
 
-// awayCase is one row of testdata/away.json: VM 0's region has no endpoint, VMs
-// 1 and 2 lend.
-type awayCase struct {
+// overflowCase is one row of testdata/away.json. VM 0's region has no endpoint; VMs 1
+// and 2 offer capacity.
+type overflowCase struct {
 	Name string `json:"name"`
-	// Refusing are the lenders without surplus.
+	// Refusing are the VMs without spare capacity.
 	Refusing []int   `json:"refusing"`
 	Share    float64 `json:"share"`
 	Want     string  `json:"want"`
-	// Asked are the lenders that were asked, in turn.
+	// Asked are the VMs expected to be asked, in order.
 	Asked []int `json:"asked"`
 	Runs  int   `json:"runs"`
 }
 
-// TestAway holds that a borrowed call runs at most once and is charged only at
-// its origin, once, whatever the lenders say.
+// TestAway checks that a call sent to another region runs at most once and is charged
+// once, in its own region.
 func TestAway(t *testing.T) {
-	for _, c := range datatest.Read[[]awayCase](t, "testdata/away.json") {
+	for _, c := range datatest.Read[[]overflowCase](t, "testdata/away.json") {
 		t.Run(c.Name, func(t *testing.T) { synctest.Test(t, c.test) })
 	}
 }
 
-func (c awayCase) test(t *testing.T) {
-	w := newWorld(t, []string{"stream 5"})
+func (c overflowCase) test(t *testing.T) {
+	w := newCluster(t, []string{"stream 5"})
 	w.terms.Region.BorrowShare = c.Share
 	origin := w.processes[0]
 	var asked []int
@@ -53,20 +53,20 @@
 			return func() {}, nil
 		}
 	}
-	w.ask("a", 0, 0, "chat", false)
+	w.send("a", 0, 0, "chat", false)
 	w.wait.Wait()
 	time.Sleep(time.Minute)
-	w.fake.group.Wait()
+	w.endpoint.group.Wait()
 
-	assert.Equal(t, w.asks["a"].outcome.Code.String(), c.Want)
+	assert.Equal(t, w.requests["a"].outcome.Code.String(), c.Want)
 	assert.DeepEqual(t, asked, c.Asked)
-	assert.Equal(t, w.fake.counted(), c.Runs)
-	usage := w.asks["a"].outcome.Usage
+	assert.Equal(t, w.endpoint.runCount(), c.Runs)
+	usage := w.requests["a"].outcome.Usage
 	cost := Cost(w.newCall("a", "chat"), usage, origin.server.options.Snapshot()).Spend
-	assert.Equal(t, w.spent(origin), cost)
+	assert.Equal(t, w.settledSpend(origin), cost)
 	assert.Equal(t, cost > 0, c.Runs > 0)
 	for _, p := range w.processes {
-		w.assertAllGivenBack(p)
-		assert.Assert(t, p == origin || w.spent(p) == 0)
+		w.assertNoneInFlight(p)
+		assert.Assert(t, p == origin || w.settledSpend(p) == 0)
 	}
 }
--- a/serving/placement.go
+++ b/serving/placement.go
@@ -11,51 +11,51 @@
 	"github.com/fuchsianotch/fuchsianotch/ticket"
 )
 
-// PlaceKind says where a call is served.
+// PlaceKind is the decision on where a call is served.
 type PlaceKind int
 
-// The places.
+// The kinds of placement.
 const (
 	PlaceHere PlaceKind = iota + 1
 	PlaceForward
 	PlaceRefuse
 )
 
-// Terms are a contract with its terms in this region.
+// Terms is a contract with its terms in this region.
 type Terms struct {
 	Contract *contract.Contract
 	Region   contract.RegionTerms
 }
 
-// Placement is where a call goes. It is decided from headers alone, before
-// any body is read.
+// Placement is the decision on where a call is served. It depends on headers only, so
+// that it is made before the body is read.
 type Placement struct {
 	Kind PlaceKind
-	// VM is where to forward to.
+	// VM is the VM to forward to.
 	VM fleet.VM
-	// Unreached says that VM did not answer of late. It is asked nevertheless,
-	// but not by a VM that stops: waiting for it would hold up the stop.
-	Unreached bool
-	// Refusal is why the call goes nowhere.
+	// Unreachable is set when VM did not respond recently. It is still tried, except by a
+	// draining VM, where the timeout would delay the shutdown.
+	Unreachable bool
+	// Refusal is set on PlaceRefuse.
 	Refusal *result.Refusal
 	Terms   Terms
 }
 
-// PlaceRequest is what the decision needs to know of a call.
+// PlaceRequest is the input of Place.
 type PlaceRequest struct {
 	Contract  *contract.Contract
 	Ticket    string
 	Forwarded bool
-	// Borrowed is set on a call that another region charged.
+	// Borrowed is set on a call that another region forwarded and charged.
 	Borrowed bool
 }
 
-// Place decides where a call is served. It is a pure function of the view.
+// Place decides where a call is served. It is a pure function of its arguments.
 func Place(r PlaceRequest, view *membership.View) Placement {
 	region := view.Self.Region
 	terms, ok := r.Contract.Terms(region)
 	if !ok {
-		return placeElsewhere(r, view)
+		return placeOutsideContract(r, view)
 	}
 	here := Placement{
 		Kind: PlaceHere,
@@ -73,15 +73,17 @@
 	return placeEntry(r, view, here)
 }
 
-// placeElsewhere handles a call in a region that its contract does not name.
-func placeElsewhere(r PlaceRequest, view *membership.View) Placement {
+// placeOutsideContract places a call that arrived in a region outside its contract:
+// it is forwarded to the home region, unless the workspace is bound to its regions or
+// the call was forwarded before.
+func placeOutsideContract(r PlaceRequest, view *membership.View) Placement {
 	refusal := result.Refuse(result.WrongRegion, "the contract of workspace %s does not allow region %s", r.Contract.Workspace, view.Self.Region)
 	if r.Contract.Bound || r.Forwarded {
-		return refuse(refusal)
+		return refusedPlacement(refusal)
 	}
 	vms := view.EntriesIn(r.Contract.Home, r.Contract.Workspace)
 	if len(vms) == 0 {
-		return refuse(refusal)
+		return refusedPlacement(refusal)
 	}
 	return Placement{
 		Kind: PlaceForward,
@@ -89,42 +91,42 @@
 	}
 }
 
-// placeTicket sends a ticket's call to its executor and nowhere else.
+// placeTicket places a call with a ticket on the ticket's executor only.
 func placeTicket(r PlaceRequest, view *membership.View, here Placement) Placement {
 	t, refusal := ticket.Parse(r.Ticket)
 	if refusal != nil {
-		return refuse(refusal)
+		return refusedPlacement(refusal)
 	}
 	vm, ok := view.Executor(t.VM, t.Incarnation)
 	if !ok {
-		return refuse(result.Refuse(result.ExecutorGone, "the executor %s of the ticket is gone", t.VM))
+		return refusedPlacement(result.Refuse(result.ExecutorGone, "the executor %s of the ticket is gone", t.VM))
 	}
 	if vm.ID == view.Self.ID {
 		return here
 	}
 	if _, allowed := r.Contract.Terms(vm.Region); !allowed {
-		return refuse(result.Refuse(result.TicketInvalid, "the ticket's executor is in a region that the contract does not allow"))
+		return refusedPlacement(result.Refuse(result.TicketInvalid, "the ticket's executor is in a region that the contract does not allow"))
 	}
 	return Placement{
-		Kind:      PlaceForward,
-		VM:        vm,
-		Unreached: isUnreached(view, vm.ID),
-		Terms:     here.Terms,
+		Kind:        PlaceForward,
+		VM:          vm,
+		Unreachable: isUnreachable(view, vm.ID),
+		Terms:       here.Terms,
 	}
 }
 
-func isUnreached(view *membership.View, id string) bool {
-	isIt := func(m membership.Member) bool { return m.VM.ID == id && !m.Reachable }
-	return slices.ContainsFunc(view.Region, isIt) || slices.ContainsFunc(view.Others, isIt)
+func isUnreachable(view *membership.View, id string) bool {
+	matches := func(m membership.Member) bool { return m.VM.ID == id && !m.Reachable }
+	return slices.ContainsFunc(view.Region, matches) || slices.ContainsFunc(view.Others, matches)
 }
 
-// placeEntry keeps a call at an entry VM of its workspace, and sends it to the
-// owner from elsewhere.
+// placeEntry serves the call here if this VM is one of the workspace's entry VMs, and
+// forwards it to the owner otherwise.
 func placeEntry(r PlaceRequest, view *membership.View, here Placement) Placement {
 	vms := view.Entries(r.Contract.Workspace)
-	k := entry.Spread(here.Terms.Region, len(vms))
+	entryCount := entry.Spread(here.Terms.Region, len(vms))
 	isSelf := func(vm fleet.VM) bool { return vm.ID == view.Self.ID }
-	if len(vms) == 0 || slices.ContainsFunc(vms[:min(k, len(vms))], isSelf) {
+	if len(vms) == 0 || slices.ContainsFunc(vms[:min(entryCount, len(vms))], isSelf) {
 		return here
 	}
 	return Placement{
@@ -134,7 +136,7 @@
 	}
 }
 
-func refuse(r *result.Refusal) Placement {
+func refusedPlacement(r *result.Refusal) Placement {
 	return Placement{
 		Kind:    PlaceRefuse,
 		Refusal: r,
--- a/serving/placement_test.go
+++ b/serving/placement_test.go
@@ -16,16 +16,16 @@
 )
 
 const (
-	homeVMs      = 3
-	elsewhere    = "q"
-	lifeOfPeers  = 7
-	entriesOfRow = 2
+	homeVMs               = 3
+	otherRegion           = "q"
+	peerIncarnation       = 7
+	homeRequestsPerSecond = 2
 )
 
-var placedAt = time.Unix(1e9, 0)
+var testTime = time.Unix(1e9, 0)
 
-// placementRow is one row of testdata/placement.json. VMs of the home region
-// are named by their rank for the workspace.
+// placementRow is one row of testdata/placement.json. VMs of the home region are
+// identified by their rank for the workspace.
 type placementRow struct {
 	Name           string `json:"name"`
 	Rank           int    `json:"rank"`
@@ -51,9 +51,9 @@
 }
 
 func (row placementRow) place() string {
-	self := homeRanked()[row.Rank]
+	self := rankedHomeVMs()[row.Rank]
 	if row.Elsewhere {
-		self = placementVM(elsewhere, 0)
+		self = placementVM(otherRegion, 0)
 	}
 	reaches := row.Reaches
 	if reaches == nil {
@@ -79,20 +79,20 @@
 	if row.TicketText != "" {
 		return row.TicketText
 	}
-	executor := placementVM(elsewhere, 0).ID
+	executor := placementVM(otherRegion, 0).ID
 	if row.Ticket != nil {
-		executor = homeRanked()[*row.Ticket].ID
+		executor = rankedHomeVMs()[*row.Ticket].ID
 	} else if !row.TicketElsewhere {
 		return ""
 	}
-	life := uint64(lifeOfPeers)
+	incarnation := uint64(peerIncarnation)
 	if row.Incarnation != 0 {
-		life = row.Incarnation
+		incarnation = row.Incarnation
 	}
 	return ticket.New(ticket.Options{
 		VM:          executor,
-		Incarnation: life,
-	}).Issue(workspace, placedAt.Add(time.Minute))
+		Incarnation: incarnation,
+	}).Issue(workspace, testTime.Add(time.Minute))
 }
 
 func placementVM(region string, i int) fleet.VM {
@@ -105,8 +105,8 @@
 	}
 }
 
-// homeRanked returns the home region's VMs in the workspace's order.
-func homeRanked() []fleet.VM {
+// rankedHomeVMs returns the home region's VMs by rank for the workspace.
+func rankedHomeVMs() []fleet.VM {
 	var vms []fleet.VM
 	for i := range homeVMs {
 		vms = append(vms, placementVM(region, i))
@@ -115,7 +115,7 @@
 }
 
 func rankOf(id string) int {
-	for i, vm := range homeRanked() {
+	for i, vm := range rankedHomeVMs() {
 		if vm.ID == id {
 			return i
 		}
@@ -131,48 +131,48 @@
 		Regions: []contract.RegionTerms{
 			{
 				Region:            region,
-				RequestsPerSecond: entriesOfRow,
+				RequestsPerSecond: homeRequestsPerSecond,
 			},
 		},
 	}
 	if listsElsewhere {
 		c.Regions = append(c.Regions, contract.RegionTerms{
-			Region: elsewhere,
+			Region: otherRegion,
 		})
 	}
 	return c
 }
 
-// placementView is the view of a VM that reaches some VMs of the home region, by rank.
+// placementView builds the view of a VM that reaches the home VMs of the given ranks.
 func placementView(self fleet.VM, reaches []int) *membership.View {
 	s := membership.New(membership.Options{
 		Self:        self,
-		Incarnation: lifeOfPeers,
+		Incarnation: peerIncarnation,
 	})
 	s.SetList(&fleet.List{
 		Revision: 1,
-		VMs:      append(homeRanked(), placementVM(elsewhere, 0)),
-	}, placedAt)
-	s.SetReady(true, placedAt)
+		VMs:      append(rankedHomeVMs(), placementVM(otherRegion, 0)),
+	}, testTime)
+	s.SetReady(true, testTime)
 	for _, rank := range reaches {
 		for range 2 {
 			s.Heard(membership.Beat{
-				VM:          homeRanked()[rank].ID,
-				Incarnation: lifeOfPeers,
+				VM:          rankedHomeVMs()[rank].ID,
+				Incarnation: peerIncarnation,
 				Region:      region,
 				Ready:       true,
-			}, placedAt, placedAt)
+			}, testTime, testTime)
 		}
 	}
-	return s.View(placedAt)
+	return s.View(testTime)
 }
 
-// hop places a call that came to a VM; it says whether it was forwarded.
-type hop func(c *contract.Contract, ticketText string, forwarded bool, view *membership.View) Placement
+// placeFunc places a call on the VM that has the view.
+type placeFunc func(c *contract.Contract, ticketText string, forwarded bool, view *membership.View) Placement
 
-// hops are the decision, and a deliberately broken one that a receiver makes
-// as if the call had come from a caller.
-var hops = map[string]hop{
+// placeFuncs holds the real decision and a faulty one that ignores whether a call was
+// forwarded.
+var placeFuncs = map[string]placeFunc{
 	"decision": func(c *contract.Contract, ticketText string, forwarded bool, view *membership.View) Placement {
 		return Place(PlaceRequest{
 			Contract:  c,
@@ -188,30 +188,30 @@
 	},
 }
 
-// TestForwardsUnderDisagreeingViews follows calls through every combination of
-// views that three VMs of a region can have of each other, from every VM, with
-// each executor's ticket or none, for a bound and an unbound workspace.
+// TestForwardsUnderDisagreeingViews checks every combination of views in a region of
+// three VMs for forwarding loops, and for calls of a bound workspace that leave the
+// region.
 func TestForwardsUnderDisagreeingViews(t *testing.T) {
-	decision, _ := mostForwards(hops["decision"])
+	decision, _ := countForwards(placeFuncs["decision"])
 	assert.Equal(t, decision, 1)
-	broken, _ := mostForwards(hops["forgets_that_it_was_forwarded"])
+	broken, _ := countForwards(placeFuncs["forgets_that_it_was_forwarded"])
 	assert.Assert(t, broken > 1, "the check finds no loop in a decision that has one")
-	_, left := mostForwards(hops["decision"])
+	_, left := countForwards(placeFuncs["decision"])
 	assert.Equal(t, left, 0, "a bound workspace's call was forwarded out of its region")
 }
 
-// mostForwards returns the most forwards of one call, and how many calls of a
-// bound workspace left its region.
-func mostForwards(place hop) (most, left int) {
+// countForwards returns the maximum forwards of one call, and the number of forwards of
+// a bound workspace's calls out of its region.
+func countForwards(place placeFunc) (most, left int) {
 	views := allViews()
-	starts := append(homeRanked(), placementVM(elsewhere, 0))
+	starts := append(rankedHomeVMs(), placementVM(otherRegion, 0))
 	for _, view := range views {
 		for _, start := range starts {
 			for executor := -1; executor < homeVMs; executor++ {
 				for _, bound := range []bool{true, false} {
-					n, away := follow(place, view, start, executor, bound)
+					n, departures := followCall(place, view, start, executor, bound)
 					most = max(most, n)
-					left += away
+					left += departures
 				}
 			}
 		}
@@ -219,30 +219,30 @@
 	return most, left
 }
 
-// allViews gives every combination of views by the VM's id. A VM's view is a
-// set of bits, one for each other VM of the region that it reaches.
+// allViews returns every combination of views, keyed by VM id. A view is a bit set of
+// the home VMs that are reached.
 func allViews() []map[string]*membership.View {
 	const subsets = 1 << homeVMs
 	byVM := make([][]*membership.View, homeVMs)
-	for rank, vm := range homeRanked() {
+	for rank, vm := range rankedHomeVMs() {
 		for set := range subsets {
-			byVM[rank] = append(byVM[rank], placementView(vm, members(set, rank)))
+			byVM[rank] = append(byVM[rank], placementView(vm, reachedRanks(set, rank)))
 		}
 	}
-	away := placementView(placementVM(elsewhere, 0), []int{0, 1, 2})
+	outsideView := placementView(placementVM(otherRegion, 0), []int{0, 1, 2})
 	var out []map[string]*membership.View
 	for i := range subsets * subsets * subsets {
 		out = append(out, map[string]*membership.View{
-			homeRanked()[0].ID: byVM[0][i%subsets],
-			homeRanked()[1].ID: byVM[1][i/subsets%subsets],
-			homeRanked()[2].ID: byVM[2][i/subsets/subsets],
-			away.Self.ID:       away,
+			rankedHomeVMs()[0].ID: byVM[0][i%subsets],
+			rankedHomeVMs()[1].ID: byVM[1][i/subsets%subsets],
+			rankedHomeVMs()[2].ID: byVM[2][i/subsets/subsets],
+			outsideView.Self.ID:   outsideView,
 		})
 	}
 	return out
 }
 
-func members(set, self int) []int {
+func reachedRanks(set, self int) []int {
 	var out []int
 	for rank := range homeVMs {
 		if set&(1<<rank) != 0 && rank != self {
@@ -252,8 +252,9 @@
 	return out
 }
 
-// follow carries one call from VM to VM, at most as often as there are VMs.
-func follow(place hop, views map[string]*membership.View, at fleet.VM, executor int, bound bool) (forwards, left int) {
+// followCall places one call on VM after VM until it is no longer forwarded, at most
+// once per VM.
+func followCall(place placeFunc, views map[string]*membership.View, at fleet.VM, executor int, bound bool) (forwards, left int) {
 	c := placementContract(bound, false)
 	text := ""
 	if executor >= 0 {
--- a/serving/crashes_test.go
+++ b/serving/quarantine_test.go
@@ -20,26 +20,27 @@
 	"github.com/fuchsianotch/fuchsianotch/timeline"
 )
 
+// crashCase is one row of testdata/crashes.json.
 type crashCase struct {
 	Name string
-	// Admits answers one question after the other whether endpoints may get the call:
-	// "yes", "no" or "trial". All of them must be asked.
+	// Admits are the answers to successive quarantine checks: "yes", "no" or "trial".
+	// All must be consumed.
 	Admits []string
-	// Cuts is how many attempts break off; those after them are answered.
+	// Cuts is the number of attempts that break off before the rest are answered.
 	Cuts     int64
 	WantSent int64       `json:"want_sent"`
 	WantCode result.Code `json:"want_code"`
-	// WantTold is what was told of the ends of attempts.
+	// WantTold lists the reported ends of attempts.
 	WantTold string `json:"want_told"`
 }
 
-// TestCrashes holds that a call which is held reaches no endpoint from where it is, and
-// what is told of attempts.
+// TestCrashes checks that quarantined calls reach no endpoint, and what is reported
+// about each attempt.
 func TestCrashes(t *testing.T) {
 	for _, c := range datatest.Read[[]crashCase](t, "testdata/crashes.json") {
 		t.Run(c.Name, func(t *testing.T) {
 			var sent atomic.Int64
-			var told []string
+			var reported []string
 			server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 				if sent.Add(1) <= c.Cuts {
 					panic(http.ErrAbortHandler)
@@ -65,11 +66,11 @@
 						}
 						return nil, next == "trial"
 					},
-					Cut:       func(uint64, fleet.Endpoint, time.Time) { told = append(told, "cut") },
-					EndedWell: func(uint64) { told = append(told, "ended_well") },
+					Cut:       func(uint64, fleet.Endpoint, time.Time) { reported = append(reported, "cut") },
+					EndedWell: func(uint64) { reported = append(reported, "ended_well") },
 				},
 			})
-			out := s.attempt(t.Context(), &call.Call{
+			out := s.sendWithRetries(t.Context(), &call.Call{
 				ID:         "x",
 				Kind:       call.KindService,
 				Service:    service,
@@ -83,14 +84,14 @@
 			}, nil)
 			assert.Equal(t, out.Code, c.WantCode)
 			assert.Equal(t, sent.Load(), c.WantSent)
-			assert.Equal(t, strings.Join(told, " "), c.WantTold)
+			assert.Equal(t, strings.Join(reported, " "), c.WantTold)
 			assert.Equal(t, len(admits), 0)
 		})
 	}
 }
 
-// TestHeldAtArrival holds that a call which is held is refused before it is looked for
-// a place, also one that another VM has sent.
+// TestHeldAtArrival checks that a quarantined call is refused before it is placed,
+// also if another VM forwarded it.
 func TestHeldAtArrival(t *testing.T) {
 	for _, forwarded := range []bool{false, true} {
 		s := New(Options{
--- a/serving/routed.go
+++ b/serving/routed.go
@@ -10,97 +10,97 @@
 	"github.com/fuchsianotch/fuchsianotch/timeline"
 )
 
-// serveRouted serves a call whose terms follow from its route, here or in
-// another region. One that came from another VM is served here or not at all.
+// serveRouted serves a call whose terms follow from its route, here or in another
+// region. A forwarded call is served here only.
 func (s *Server) serveRouted(ctx context.Context, c *call.Call, sink call.Sink) call.Outcome {
-	if r := s.refuseNew(); r != nil {
-		return call.Refused(r.Until(s.options.Now().Add(shareWithin)))
+	if r := s.refuseIfStopping(); r != nil {
+		return call.Refused(r.Until(s.options.Now().Add(defaultRetryAfter)))
 	}
-	if r := s.admitCrashing(c); r != nil {
+	if r := s.checkQuarantine(c); r != nil {
 		return call.Refused(r)
 	}
 	if c.Forwarded {
-		return s.attempt(ctx, c, sink, nil)
+		return s.sendWithRetries(ctx, c, sink, nil)
 	}
 	if r := s.options.Limits.Take(ctx, c); r != nil {
 		return call.Refused(r)
 	}
-	seen := &passed{
+	tracker := &answerTracker{
 		sink: sink,
 		now:  s.options.Now,
 	}
-	outcome := s.serveSomewhere(ctx, c, seen)
-	outcome.Pause = seen.pause
+	outcome := s.serveWithFailover(ctx, c, tracker)
+	outcome.LongestGap = tracker.longestGap
 	if outcome.Code.Class() == result.ClassNotRun {
 		s.options.Limits.GiveBack(c)
 	}
 	return outcome
 }
 
-// serveSomewhere tries one place after the other until one serves the call.
-func (s *Server) serveSomewhere(ctx context.Context, c *call.Call, seen *passed) call.Outcome {
+// serveWithFailover tries places in turn until one serves the call.
+func (s *Server) serveWithFailover(ctx context.Context, c *call.Call, tracker *answerTracker) call.Outcome {
 	var tried []string
 	var outcome call.Outcome
-	var certain certainty
+	var ambiguous ambiguity
 	for len(tried) < retry.PlacesPerCall {
-		vm, away, refusal := s.options.PlaceRouted(ctx, c, tried)
+		vm, remote, refusal := s.options.PlaceRouted(ctx, c, tried)
 		if refusal != nil {
-			return unlessTried(outcome, tried, refusal)
+			return refusedUnlessTried(outcome, tried, refusal)
 		}
-		if !away {
+		if !remote {
 			vm = fleet.VM{
 				ID: s.options.VM,
 			}
-			outcome = s.attempt(ctx, c, seen.tracked(), nil)
+			outcome = s.sendWithRetries(ctx, c, tracker.wrappedSink(), nil)
 		} else {
-			outcome = s.sendAway(ctx, c, vm, seen.tracked())
+			outcome = s.forwardToRegion(ctx, c, vm, tracker.wrappedSink())
 		}
 		tried = append(tried, vm.ID)
-		left := seen.place(c, outcome).RunsLeft(c.Routed.MaxAttempts)
-		outcome = certain.judge(outcome)
-		here := seen.place(c, outcome)
-		if ctx.Err() != nil || left < 1 || !here.MayMove() {
+		attemptsLeft := tracker.placeResult(c, outcome).RunsLeft(c.Routed.MaxAttempts)
+		outcome = ambiguous.resolve(outcome)
+		current := tracker.placeResult(c, outcome)
+		if ctx.Err() != nil || attemptsLeft < 1 || !current.MayMove() {
 			return outcome
 		}
-		c = seen.moved(c, here, left)
+		c = tracker.nextCall(c, current, attemptsLeft)
 	}
 	return outcome
 }
 
-// certainty keeps the first outcome of a call of which it is not known whether
-// it ran: a later refusal does not make that certain.
-type certainty struct {
+// ambiguity keeps the first outcome that leaves open whether the call ran. A later
+// "not run" outcome must not replace it.
+type ambiguity struct {
 	unknown *call.Outcome
 }
 
-func (c *certainty) judge(o call.Outcome) call.Outcome {
+func (a *ambiguity) resolve(o call.Outcome) call.Outcome {
 	switch o.Code.Class() {
 	case result.ClassUnknown:
-		if c.unknown == nil {
-			c.unknown = &o
+		if a.unknown == nil {
+			a.unknown = &o
 		}
 	case result.ClassNotRun:
-		if c.unknown != nil {
-			return *c.unknown
+		if a.unknown != nil {
+			return *a.unknown
 		}
 	}
 	return o
 }
 
-// unlessTried returns the outcome of the last place that looked at the call.
-func unlessTried(o call.Outcome, tried []string, r *result.Refusal) call.Outcome {
+// refusedUnlessTried returns the last outcome, or the refusal if no place was tried.
+func refusedUnlessTried(o call.Outcome, tried []string, r *result.Refusal) call.Outcome {
 	if len(tried) == 0 {
 		return call.Refused(r)
 	}
 	return o
 }
 
-func (s *Server) sendAway(ctx context.Context, c *call.Call, vm fleet.VM, sink call.Sink) call.Outcome {
-	s.event(c, "call_sent_away", timeline.Event{
+func (s *Server) forwardToRegion(ctx context.Context, c *call.Call, vm fleet.VM, sink call.Sink) call.Outcome {
+	s.addEvent(c, "call_sent_away", timeline.Event{
 		Peer:   vm.ID,
 		Detail: vm.Region,
 	})
-	traceAway(c, vm)
+	traceOverflow(c, vm)
 	s.options.Metrics.SentAway(vm.Region)
 	return s.options.Forward(ctx, vm, c, sink)
 }
--- a/serving/routed_test.go
+++ b/serving/routed_test.go
@@ -18,18 +18,18 @@
 	"github.com/fuchsianotch/fuchsianotch/timeline"
 )
 
-// routedPlace is what one VM does with the call.
+// routedPlace is the scripted behaviour of one VM.
 type routedPlace struct {
 	VM     string
 	Status int
 	From   int
 	Events int
 	Code   result.Code
-	// WantResume and WantRepeated are what the VM must be told.
+	// WantResume and WantRepeated are the expected fields of the call sent to the VM.
 	WantResume   string `json:"want_resume"`
 	WantRepeated bool   `json:"want_repeated"`
-	// Ran is how many endpoints it had run the call, WantAttempts how many it must
-	// be told that may; zero is not looked at.
+	// Ran is the number of endpoints that ran the call on the VM, WantAttempts the expected
+	// limit in the call; zero is not checked.
 	Ran          int
 	WantAttempts int `json:"want_attempts"`
 }
@@ -44,7 +44,8 @@
 	WantSent   []string    `json:"want_sent"`
 }
 
-// TestRouted sends calls to places that fail in turn.
+// TestRouted checks failover between places, in particular that streams continue
+// without loss and that unsafe retries do not happen.
 func TestRouted(t *testing.T) {
 	for _, c := range datatest.Read[[]routedCase](t, "testdata/routed.json") {
 		t.Run(c.Name, func(t *testing.T) {
@@ -135,8 +136,8 @@
 	return text.String()
 }
 
-// TestSpentBudget holds that a repeat which the budget refuses ends with a
-// refusal, and that nothing is sent.
+// TestSpentBudget checks that a retry from another VM is refused, with nothing sent,
+// when the retry budget is exhausted.
 func TestSpentBudget(t *testing.T) {
 	s := New(Options{
 		Now:     time.Now,
--- a/serving/run.go
+++ b/serving/run.go
@@ -18,22 +18,23 @@
 	"github.com/fuchsianotch/fuchsianotch/timeline"
 )
 
-const attemptBase = 36
+// attemptIDBase is the numeric base of the counter in attempt ids.
+const attemptIDBase = 36
 
-// sending is called right before a call's first byte goes to an endpoint.
-// Its error, a refusal, stops the call with nothing sent.
-type sending func() error
+// beforeSendFunc is called right before the first byte of an attempt is sent. An
+// error, which is a refusal, aborts the attempt with nothing sent.
+type beforeSendFunc func() error
 
-// run charges the call, serves it here or in a region with surplus, and
-// settles the charge by what was used.
-func (s *Server) run(ctx context.Context, c *call.Call, terms Terms, sink call.Sink, before sending) call.Outcome {
+// run reserves the call's cost, serves it in this region or in one with spare
+// capacity, and settles the reservation by the actual usage.
+func (s *Server) run(ctx context.Context, c *call.Call, terms Terms, sink call.Sink, beforeSend beforeSendFunc) call.Outcome {
 	reservation, refusal := s.charge(ctx, c, terms)
 	if refusal != nil {
 		return call.Refused(refusal)
 	}
-	outcome := s.attempt(ctx, c, sink, before)
-	if mayBorrow(c, outcome) {
-		outcome = s.borrow(ctx, c, terms, sink, outcome)
+	outcome := s.sendWithRetries(ctx, c, sink, beforeSend)
+	if canOverflow(c, outcome) {
+		outcome = s.overflow(ctx, c, terms, sink, outcome)
 	}
 	s.settle(c, reservation, outcome)
 	return outcome
@@ -50,43 +51,47 @@
 	s.options.Ledger.Settle(reservation, used, now)
 }
 
-// progress is what the attempts of one call have come to.
+// progress accumulates the results of a call's attempts.
 type progress struct {
-	excluded  [2]string
-	history   retry.History
+	// excluded holds the endpoints of the last attempts, which the next one avoids.
+	excluded [2]string
+	history  retry.History
+	// delivered is the number of generated tokens passed to the caller.
 	delivered int
-	// lastEvent is the id of the last event that the caller has of a routed stream.
-	lastEvent string
-	outcome   call.Outcome
-	last      endpoint.Outcome
+	// lastEventID is the id of the last event of a routed stream that the caller received.
+	lastEventID string
+	outcome     call.Outcome
+	lastAttempt endpoint.Outcome
 }
 
-// attempt serves the call on this region's endpoints. It tries another
-// endpoint only where nothing ran, or where the answer goes on without a seam.
-func (s *Server) attempt(ctx context.Context, c *call.Call, sink call.Sink, before sending) call.Outcome {
+// sendWithRetries serves the call on this region's endpoints. It retries only if
+// nothing ran, or if the call is idempotent and its response was not started or can be
+// resumed.
+func (s *Server) sendWithRetries(ctx context.Context, c *call.Call, sink call.Sink, beforeSend beforeSendFunc) call.Outcome {
 	var p progress
-	if !s.countFirst(c) {
+	if !s.countFirstAttempt(c) {
 		c.Trail.Fail("repeat_refused", slog.String("service", c.Target()))
-		return call.Refused(result.Refuse(result.RetryBudget, "the retry budget is spent").Until(s.options.Now().Add(shareWithin)))
+		return call.Refused(result.Refuse(result.RetryBudget, "the retry budget is spent").Until(s.options.Now().Add(defaultRetryAfter)))
 	}
 	for {
-		if refusal := s.attemptOnce(ctx, c, sink, before, &p); refusal != nil {
-			return s.end(&p, sink, p.refusedAs(refusal))
+		if refusal := s.attemptOnce(ctx, c, sink, beforeSend, &p); refusal != nil {
+			return s.finish(&p, sink, p.outcomeOnRefusal(refusal))
 		}
-		if p.last.Code.Class() == result.ClassDone || !s.mayRepeat(c, &p) {
-			return s.end(&p, sink, p.outcome)
+		if p.lastAttempt.Code.Class() == result.ClassDone || !s.shouldRetry(c, &p) {
+			return s.finish(&p, sink, p.outcome)
 		}
-		if p.last.Sent && !s.options.Budget.Allow(c.Target()) {
+		if p.lastAttempt.Sent && !s.options.Budget.Allow(c.Target()) {
 			c.Trail.Fail("repeat_refused", slog.String("service", c.Target()))
-			return s.end(&p, sink, p.budgetSpent())
+			return s.finish(&p, sink, p.outcomeOnBudgetExhausted())
 		}
 		s.options.Metrics.Retried()
 	}
 }
 
-// countFirst counts a call's first attempt. That of a call which another VM
-// has sent to an endpoint already is one more, and may not be allowed.
-func (s *Server) countFirst(c *call.Call) bool {
+// countFirstAttempt records the first attempt on this VM in the retry budget. If
+// another VM sent the call to an endpoint before, it is a retry, which the budget
+// may refuse.
+func (s *Server) countFirstAttempt(c *call.Call) bool {
 	if c.Routed != nil && c.Routed.Repeated {
 		return s.options.Budget.Allow(c.Target())
 	}
@@ -94,10 +99,10 @@
 	return true
 }
 
-// end passes an endpoint's own failure on where no other attempt follows.
-func (s *Server) end(p *progress, sink call.Sink, o call.Outcome) call.Outcome {
+// finish passes the endpoint's own error response on if no retry follows.
+func (s *Server) finish(p *progress, sink call.Sink, o call.Outcome) call.Outcome {
 	o.Ran = p.history.Ran()
-	held := p.last.Held
+	held := p.lastAttempt.Held
 	if held == nil || o.Code.Class() == result.ClassDone || p.delivered > 0 {
 		return o
 	}
@@ -112,9 +117,9 @@
 	return o
 }
 
-// attemptOnce sends the call once. A refusal means that it was not sent.
-func (s *Server) attemptOnce(ctx context.Context, c *call.Call, sink call.Sink, before sending, p *progress) *result.Refusal {
-	if refusal := s.admitCrashing(c); refusal != nil {
+// attemptOnce makes one attempt. A refusal means that nothing was sent.
+func (s *Server) attemptOnce(ctx context.Context, c *call.Call, sink call.Sink, beforeSend beforeSendFunc, p *progress) *result.Refusal {
+	if refusal := s.checkQuarantine(c); refusal != nil {
 		return refusal
 	}
 	pool, ok := s.options.Pool(c.Target())
@@ -127,10 +132,10 @@
 	}
 	traceChoice(c, slot, p)
 	chosen := slot.Choice.Endpoint.ID
-	s.event(c, "call_admitted", timeline.Event{
+	s.addEvent(c, "call_admitted", timeline.Event{
 		Endpoint: chosen,
 	})
-	attempt := s.newAttempt(c, slot, permit, before, p)
+	attempt := s.newAttempt(c, slot, permit, beforeSend, p)
 	attempt.Began = func() {
 		pool.Endpoints.Began(slot.Choice, s.options.Now())
 	}
@@ -139,81 +144,81 @@
 	}
 	out := s.options.Endpoint.Send(ctx, attempt, endpoint.Sink(sink))
 	pool.Queue.Release(slot, routingOutcome(out, slot.Choice), s.options.Now())
-	s.heedLeaving(pool, chosen, out)
-	s.noteCrash(c, slot.Choice.Endpoint, out)
-	p.take(out, chosen)
+	s.reportDraining(pool, chosen, out)
+	s.reportToQuarantine(c, slot.Choice.Endpoint, out)
+	p.addAttempt(out, chosen)
 	s.reportAttempt(c, p)
 	return nil
 }
 
-// heedLeaving takes an endpoint's word on its answer that it leaves, which may
-// come long before its next load report. Its other load is left to the reports.
-func (s *Server) heedLeaving(pool *Pool, endpointID string, out endpoint.Outcome) {
+// reportDraining applies an endpoint's drain notice from its response, which may
+// arrive well before the next load report. Other load figures come from reports only.
+func (s *Server) reportDraining(pool *Pool, endpointID string, out endpoint.Outcome) {
 	if out.Load != nil && out.Load.Leaving {
 		pool.Endpoints.Report(endpointID, routing.Load(*out.Load), s.options.Now())
 	}
 }
 
-func (s *Server) newAttempt(c *call.Call, slot admission.Slot, permit *throttle.Permit, before sending, p *progress) endpoint.Attempt {
-	sending := s.beforeSending(c, func() error {
-		if err := s.options.Throttle.Sending(slot.Choice.Endpoint, permit, p.way(c)); err != nil {
+func (s *Server) newAttempt(c *call.Call, slot admission.Slot, permit *throttle.Permit, beforeSend beforeSendFunc, p *progress) endpoint.Attempt {
+	checkedBeforeSend := s.withQuarantineCheck(c, func() error {
+		if err := s.options.Throttle.Sending(slot.Choice.Endpoint, permit, p.attemptKind(c)); err != nil {
 			return err
 		}
-		if before == nil {
+		if beforeSend == nil {
 			return nil
 		}
-		return before()
+		return beforeSend()
 	})
 	if c.Kind == call.KindRouted {
-		return s.routedAttempt(c, slot, sending, p)
+		return s.routedAttempt(c, slot, checkedBeforeSend, p)
 	}
 	n := s.attempts.Add(1)
 	return endpoint.Attempt{
-		ID:         c.ID + "." + s.options.VM + "." + strconv.FormatUint(n, attemptBase),
+		ID:         c.ID + "." + s.options.VM + "." + strconv.FormatUint(n, attemptIDBase),
 		AnswerID:   c.ID,
 		Endpoint:   slot.Choice.Endpoint,
 		Call:       c,
 		ResumeFrom: p.delivered,
-		Sending:    sending,
+		Sending:    checkedBeforeSend,
 	}
 }
 
-// routedAttempt returns the attempt the caller's own id: one try of a client has
-// one id, also where it is sent twice.
-func (s *Server) routedAttempt(c *call.Call, slot admission.Slot, sending sending, p *progress) endpoint.Attempt {
-	e, from := slot.Choice.Endpoint, s.options.Now()
+// routedAttempt keeps the caller's request id, so that all attempts at one request
+// share an id.
+func (s *Server) routedAttempt(c *call.Call, slot admission.Slot, beforeSend beforeSendFunc, p *progress) endpoint.Attempt {
+	e, startedAt := slot.Choice.Endpoint, s.options.Now()
 	return endpoint.Attempt{
 		ID:          c.ID,
 		Endpoint:    e,
 		Call:        c,
-		ResumeAfter: p.lastEvent,
+		ResumeAfter: p.lastEventID,
 		FetchFrom:   slot.Choice.FetchFrom,
-		Rated:       func(r fleet.Rate) { s.options.Throttle.Answered(e, r, from) },
-		Sending:     sending,
+		Rated:       func(r fleet.Rate) { s.options.Throttle.Answered(e, r, startedAt) },
+		Sending:     beforeSend,
 	}
 }
 
 func (s *Server) reportAttempt(c *call.Call, p *progress) {
-	if p.last.Code.Class() == result.ClassDone {
+	if p.lastAttempt.Code.Class() == result.ClassDone {
 		return
 	}
 	traceAttempt(c, p)
-	s.event(c, "attempt_failed", timeline.Event{
+	s.addEvent(c, "attempt_failed", timeline.Event{
 		Endpoint: p.outcome.Endpoint,
-		Code:     p.last.Code,
+		Code:     p.lastAttempt.Code,
 	})
 }
 
-func (s *Server) mayRepeat(c *call.Call, p *progress) bool {
-	if p.last.CallerGone {
+func (s *Server) shouldRetry(c *call.Call, p *progress) bool {
+	if p.lastAttempt.CallerGone {
 		return false
 	}
 	a := retry.Attempt{
-		Code:       p.last.Code,
-		Sent:       p.last.Sent,
+		Code:       p.lastAttempt.Code,
+		Sent:       p.lastAttempt.Sent,
 		Idempotent: c.Idempotent,
 		Delivered:  p.delivered > 0,
-		Resumable:  p.last.Resumable,
+		Resumable:  p.lastAttempt.Resumable,
 		Attempts:   p.history.Attempts,
 		WholeBy:    c.WholeBy,
 	}
@@ -225,7 +230,7 @@
 	return verdict == retry.VerdictRetry || verdict == retry.VerdictResume
 }
 
-func (p *progress) admission(c *call.Call) admission.Request {
+func (p *progress) admissionRequest(c *call.Call) admission.Request {
 	r := admission.Request{
 		Priority:     c.Priority,
 		FirstBy:      c.FirstBy,
@@ -235,7 +240,7 @@
 		MaxTokens:    c.MaxTokens,
 		Turn:         int(c.Priority),
 		Exclude:      p.excluded,
-		Again:        p.last.Held != nil,
+		Again:        p.lastAttempt.Held != nil,
 	}
 	if c.Routed != nil {
 		r.Prefixes = routing.Prefixes(c.Workspace, c.Routed.Parts)
@@ -245,14 +250,14 @@
 	return r
 }
 
-// take adds an attempt's outcome to the call's.
-func (p *progress) take(out endpoint.Outcome, endpointID string) {
-	p.last = out
+// addAttempt merges an attempt's outcome into the call's.
+func (p *progress) addAttempt(out endpoint.Outcome, endpointID string) {
+	p.lastAttempt = out
 	p.excluded[p.history.Attempts%len(p.excluded)] = endpointID
 	p.history.Take(out.Code, out.Sent)
 	p.delivered += out.Delivered
 	if out.LastEvent != "" {
-		p.lastEvent = out.LastEvent
+		p.lastEventID = out.LastEvent
 	}
 	usage := p.outcome.Usage
 	usage.PromptTokens += out.Usage.PromptTokens
@@ -268,17 +273,17 @@
 		FirstAt:  firstAt,
 		Endpoint: endpointID,
 	}
-	p.explain()
+	p.setRefusal()
 }
 
-// explain gives the outcome its refusal.
-func (p *progress) explain() {
-	if p.last.Code.Class() == result.ClassDone {
+// setRefusal sets the refusal of an outcome that is not done.
+func (p *progress) setRefusal() {
+	if p.lastAttempt.Code.Class() == result.ClassDone {
 		return
 	}
-	code := p.history.Code(p.last.Code)
+	code := p.history.Code(p.lastAttempt.Code)
 	p.outcome.Code = code
-	p.outcome.Refusal = refusalOf(code, p.last)
+	p.outcome.Refusal = refusalOf(code, p.lastAttempt)
 }
 
 func refusalOf(code result.Code, out endpoint.Outcome) *result.Refusal {
@@ -290,8 +295,8 @@
 	return refusal.Until(out.ComeBackAt)
 }
 
-// refusedAs is the outcome of a call that could not be sent, or not be gone on with.
-func (p *progress) refusedAs(refusal *result.Refusal) call.Outcome {
+// outcomeOnRefusal returns the refusal, unless an earlier attempt may have run.
+func (p *progress) outcomeOnRefusal(refusal *result.Refusal) call.Outcome {
 	if p.history.Attempts == 0 {
 		return call.Refused(refusal)
 	}
@@ -301,16 +306,17 @@
 	return p.outcome
 }
 
-// budgetSpent is the outcome where another attempt was possible but not allowed.
-func (p *progress) budgetSpent() call.Outcome {
+// outcomeOnBudgetExhausted returns the outcome of a call that could be retried but
+// for the retry budget.
+func (p *progress) outcomeOnBudgetExhausted() call.Outcome {
 	if p.outcome.Code.Class() != result.ClassNotRun {
 		return p.outcome
 	}
-	return call.Refused(result.Refuse(result.RetryBudget, "the endpoint refused and the retry budget is spent").Until(p.last.ComeBackAt))
+	return call.Refused(result.Refuse(result.RetryBudget, "the endpoint refused and the retry budget is spent").Until(p.lastAttempt.ComeBackAt))
 }
 
-// routingOutcome is what routing learns from. The endpoints of routed calls do
-// not tell what they read, so that is taken from the choice.
+// routingOutcome converts an attempt's outcome into routing's feedback. Endpoints of
+// routed calls do not report cached tokens, so the router's estimate is used.
 func routingOutcome(out endpoint.Outcome, chosen routing.Choice) routing.Outcome {
 	usage := out.Usage
 	if usage.PromptTokens > 0 && usage.CachedTokens == 0 {
--- a/serving/fake_test.go
+++ b/serving/scripted_endpoint_test.go
@@ -15,43 +15,43 @@
 	"time"
 )
 
-var errDead = errors.New("the process was killed")
+var errKilled = errors.New("the process was killed")
 
-// fake stands for all endpoints of a world. Each request plays the next of
-// its answers, the last one again when they are used up, and is counted as a
-// run unless the endpoint refused before running.
-type fake struct {
+// scriptedEndpoint is a fake for all endpoints of a cluster. Each request gets the next
+// scripted answer, and the last one is repeated. A request counts as a run unless the
+// answer refuses it before running.
+type scriptedEndpoint struct {
 	t       *testing.T
 	answers []string
 
-	mu    sync.Mutex
-	asked int
-	runs  int
-	group sync.WaitGroup
-	holds map[string]chan struct{}
-	// arrived holds the names of points at which something waits or waited.
-	arrived map[string]chan struct{}
+	mu       sync.Mutex
+	requests int
+	runs     int
+	group    sync.WaitGroup
+	holds    map[string]chan struct{}
+	// reached holds a channel for each point, closed when a request reaches it.
+	reached map[string]chan struct{}
 }
 
-func newFake(t *testing.T, answers []string) *fake {
-	return &fake{
+func newScriptedEndpoint(t *testing.T, answers []string) *scriptedEndpoint {
+	return &scriptedEndpoint{
 		t:       t,
 		answers: answers,
 		holds:   make(map[string]chan struct{}),
-		arrived: make(map[string]chan struct{}),
+		reached: make(map[string]chan struct{}),
 	}
 }
 
-// hold lets the next one that passes the point wait there.
-func (f *fake) hold(point string) {
+// hold makes the next request that reaches the point wait there.
+func (f *scriptedEndpoint) hold(point string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.holds[point] = make(chan struct{})
-	f.arrived[point] = make(chan struct{})
+	f.reached[point] = make(chan struct{})
 }
 
-// free lets those at the point go on, and holds no more there.
-func (f *fake) free(point string) {
+// release resumes the requests at the point and removes the hold.
+func (f *scriptedEndpoint) release(point string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if held, ok := f.holds[point]; ok {
@@ -60,27 +60,27 @@
 	}
 }
 
-func (f *fake) freeAll() {
+func (f *scriptedEndpoint) releaseAll() {
 	for _, point := range []string{pointDial, pointWrite, pointAnswer} {
-		f.free(point)
+		f.release(point)
 	}
 }
 
-// The points where a step of the executor can be held.
+// Points at which a request can be held.
 const (
-	// pointDial is before the ticket is spent.
+	// pointDial is before the ticket is marked as used.
 	pointDial = "dial"
-	// pointWrite is after the ticket was spent, before the first byte.
+	// pointWrite is after the ticket was marked as used, before the first byte.
 	pointWrite = "write"
-	// pointAnswer is after the run, before the answer.
+	// pointAnswer is after the run, before the response.
 	pointAnswer = "answer"
 )
 
-// pass waits at a point that is held. Who comes second passes by.
-func (f *fake) pass(point string) {
+// waitIfHeld blocks the first request at a held point; later ones pass.
+func (f *scriptedEndpoint) waitIfHeld(point string) {
 	f.mu.Lock()
-	held, arrived := f.holds[point], f.arrived[point]
-	delete(f.arrived, point)
+	held, arrived := f.holds[point], f.reached[point]
+	delete(f.reached, point)
 	f.mu.Unlock()
 	if held == nil || arrived == nil {
 		return
@@ -89,69 +89,69 @@
 	<-held
 }
 
-// await waits until something is at a point.
-func (f *fake) await(point string) {
+// waitUntilReached waits until a request reaches the point.
+func (f *scriptedEndpoint) waitUntilReached(point string) {
 	f.mu.Lock()
-	arrived := f.arrived[point]
+	arrived := f.reached[point]
 	f.mu.Unlock()
 	if arrived != nil {
 		<-arrived
 	}
 }
 
-func (f *fake) dial(p *process) func(context.Context, string, string) (net.Conn, error) {
+func (f *scriptedEndpoint) dial(p *process) func(context.Context, string, string) (net.Conn, error) {
 	return func(context.Context, string, string) (net.Conn, error) {
-		f.pass(pointDial)
-		if p.dead.Load() {
-			return nil, errDead
+		f.waitIfHeld(pointDial)
+		if p.killed.Load() {
+			return nil, errKilled
 		}
 		near, far := net.Pipe()
 		f.group.Go(func() { f.serve(far) })
 		return &heldConn{
-			Conn:    near,
-			fake:    f,
-			process: p,
+			Conn:     near,
+			endpoint: f,
+			process:  p,
 		}, nil
 	}
 }
 
-// heldConn holds the first byte of a request; a dead process writes none.
+// heldConn can hold a request's first byte. It fails writes once the process is killed.
 type heldConn struct {
 	net.Conn
-	fake    *fake
-	process *process
+	endpoint *scriptedEndpoint
+	process  *process
 }
 
 // Write writes unless the process was killed.
 func (c *heldConn) Write(b []byte) (int, error) {
-	c.fake.pass(pointWrite)
-	if c.process.dead.Load() {
-		return 0, errDead
+	c.endpoint.waitIfHeld(pointWrite)
+	if c.process.killed.Load() {
+		return 0, errKilled
 	}
 	return c.Conn.Write(b)
 }
 
-func (f *fake) next() string {
+func (f *scriptedEndpoint) nextAnswer() string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	answer := f.answers[min(f.asked, len(f.answers)-1)]
-	f.asked++
+	answer := f.answers[min(f.requests, len(f.answers)-1)]
+	f.requests++
 	return answer
 }
 
-func (f *fake) ran() {
+func (f *scriptedEndpoint) countRun() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.runs++
 }
 
-func (f *fake) counted() int {
+func (f *scriptedEndpoint) runCount() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.runs
 }
 
-func (f *fake) serve(conn net.Conn) {
+func (f *scriptedEndpoint) serve(conn net.Conn) {
 	defer func() { _ = conn.Close() }()
 	reader := bufio.NewReader(conn)
 	for {
@@ -162,21 +162,21 @@
 		if _, err := io.Copy(io.Discard, r.Body); err != nil {
 			return
 		}
-		if !f.answer(conn, r, f.next()) {
+		if !f.answer(conn, r, f.nextAnswer()) {
 			return
 		}
 	}
 }
 
-// answer plays one answer and says whether the connection lives on.
-func (f *fake) answer(conn net.Conn, r *http.Request, step string) bool {
+// answer sends one scripted answer and reports whether the connection stays open.
+func (f *scriptedEndpoint) answer(conn net.Conn, r *http.Request, step string) bool {
 	name, arg, _ := strings.Cut(step, " ")
 	id := r.Header.Get("X-Request-Id")
 	if name == "refuse" {
 		return f.write(conn, head("503", id, "X-Run: none", "Content-Length: 0"))
 	}
-	f.ran()
-	f.pass(pointAnswer)
+	f.countRun()
+	f.waitIfHeld(pointAnswer)
 	const body = `{"run":1}`
 	length := "Content-Length: " + strconv.Itoa(len(body))
 	switch name {
@@ -210,8 +210,8 @@
 	}
 }
 
-// stream sends tokens up to a number, from where the request resumes.
-func (f *fake) stream(conn net.Conn, r *http.Request, arg string) {
+// stream sends tokens up to the number in arg, starting where the request resumes.
+func (f *scriptedEndpoint) stream(conn net.Conn, r *http.Request, arg string) {
 	until, err := strconv.Atoi(arg)
 	if err != nil {
 		f.t.Error(err)
@@ -232,7 +232,7 @@
 	return `data: {"id":"chatcmpl-` + id + `","choices":[{"index":0,` + choice + `}]}` + "\n\n"
 }
 
-func (f *fake) write(conn net.Conn, text string) bool {
+func (f *scriptedEndpoint) write(conn net.Conn, text string) bool {
 	_, err := io.WriteString(conn, text)
 	return err == nil
 }
--- a/serving/serving_test.go
+++ b/serving/serving_test.go
@@ -14,8 +14,8 @@
 	"github.com/fuchsianotch/fuchsianotch/timeline"
 )
 
-// TestStoppingForwards checks that a stopping VM sends no new call on, so that
-// callers leave it, except with a ticket, whose fate only its executor knows.
+// TestStoppingForwards checks that a draining VM forwards only calls with a ticket, as
+// only the ticket's executor knows whether they ran.
 func TestStoppingForwards(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
--- a/serving/throttle.go
+++ b/serving/throttle.go
@@ -12,21 +12,21 @@
 	"github.com/fuchsianotch/fuchsianotch/throttle"
 )
 
-// Throttle keeps to the rates that endpoints name.
+// Throttle enforces the rate limits that endpoints announce.
 type Throttle struct {
-	// Take returns a permit to send a request to an endpoint, or when it takes the next one.
+	// Take returns a permit for one request to an endpoint, or nil and when the endpoint
+	// accepts the next request.
 	Take func(ctx context.Context, e fleet.Endpoint) (permit *throttle.Permit, opensAt time.Time)
-	// Sending uses a permit right before the first byte of the request goes out.
+	// Sending consumes a permit right before the first byte of the request is sent.
 	Sending func(e fleet.Endpoint, permit *throttle.Permit, way throttle.Way) error
-	// Answered is told what an answer says of its endpoint's rate, and when its request
-	// was sent.
+	// Answered reports the rate limit in a response, and when its request was sent.
 	Answered func(e fleet.Endpoint, r fleet.Rate, sentAt time.Time)
-	// ComeBackAt returns when a caller is to come back for whom all endpoints of a target
-	// are closed. They are given with the time at which the first of them opens.
+	// ComeBackAt returns the retry-after time for a caller when all endpoints of a target
+	// are closed; opensAt is when the first of them opens.
 	ComeBackAt func(target string, endpointIDs []string, opensAt time.Time) time.Time
 }
 
-// noThrottle knows of no rate.
+// noThrottle permits every request.
 var noThrottle = Throttle{
 	Take: func(context.Context, fleet.Endpoint) (*throttle.Permit, time.Time) {
 		return &throttle.Permit{}, time.Time{}
@@ -37,46 +37,45 @@
 }
 
 const (
-	// permitWithin bounds how long one attempt asks for permits, at one endpoint after the
-	// other.
-	permitWithin = 200 * time.Millisecond
-	// choicesMost bounds at how many endpoints.
-	choicesMost = 64
-	// closedLeast is how long an endpoint at least gets no call that has permitted none.
-	closedLeast = 10 * time.Millisecond
+	// permitTimeout bounds the time one attempt spends on permits over all endpoints.
+	permitTimeout = 200 * time.Millisecond
+	// maxEndpointChoices bounds the endpoints that one attempt asks for a permit.
+	maxEndpointChoices = 64
+	// minClosedDuration is the minimum time that an endpoint without a permit is closed.
+	minClosedDuration = 10 * time.Millisecond
 )
 
-// admit finds a place for a call at an endpoint that takes a request now. What this VM may
-// not send there goes to another one, or is refused at once.
+// admit waits for a slot at an endpoint and a permit to send there. An endpoint that
+// refuses a permit is closed until it opens, and the next one is tried.
 func (s *Server) admit(ctx context.Context, c *call.Call, pool *Pool, p *progress) (admission.Slot, *throttle.Permit, *result.Refusal) {
-	asking, cancel := context.WithTimeout(ctx, permitWithin)
+	permitCtx, cancel := context.WithTimeout(ctx, permitTimeout)
 	defer cancel()
-	r := p.admission(c)
+	r := p.admissionRequest(c)
 	r.Tentative = true
-	for range choicesMost {
+	for range maxEndpointChoices {
 		slot, refusal := pool.Queue.Admit(ctx, r, s.options.Now())
 		if refusal != nil {
 			return slot, nil, s.UntilOpen(c, pool, refusal)
 		}
 		e := slot.Choice.Endpoint
-		permit, opensAt := s.options.Throttle.Take(asking, e)
+		permit, opensAt := s.options.Throttle.Take(permitCtx, e)
 		now := s.options.Now()
 		if permit != nil {
 			pool.Endpoints.Confirm(slot.Choice, r.Prefixes, now)
 			return slot, permit, nil
 		}
-		if least := now.Add(closedLeast); opensAt.Before(least) {
-			opensAt = least
+		if earliest := now.Add(minClosedDuration); opensAt.Before(earliest) {
+			opensAt = earliest
 		}
 		pool.Endpoints.CloseUntil(e.ID, opensAt)
 		pool.Queue.Release(slot, routing.Outcome{Canceled: true}, now)
-		traceClosed(c, e, opensAt.Sub(now))
+		traceEndpointClosed(c, e, opensAt.Sub(now))
 	}
 	return admission.Slot{}, nil, s.UntilOpen(c, pool, result.Refuse(result.NoEndpoint, "no endpoint of %s takes a request now", c.Target()))
 }
 
-// UntilOpen tells the caller of a call that no endpoint takes when one does again, where
-// they are closed.
+// UntilOpen converts a NoEndpoint refusal into LimitEndpoint with a retry-after time if
+// endpoints are closed by their rate limits. Other refusals are returned unchanged.
 func (s *Server) UntilOpen(c *call.Call, pool *Pool, refusal *result.Refusal) *result.Refusal {
 	if refusal.Code != result.NoEndpoint {
 		return refusal
@@ -89,8 +88,8 @@
 	return refusal.Until(s.options.Throttle.ComeBackAt(c.Target(), ids, opensAt))
 }
 
-// way is how the next attempt at a call comes to be sent.
-func (p *progress) way(c *call.Call) throttle.Way {
+// attemptKind classifies the next attempt for the throttle.
+func (p *progress) attemptKind(c *call.Call) throttle.Way {
 	switch {
 	case p.delivered > 0 || (c.Routed != nil && c.Routed.ResumeAfter != ""):
 		return throttle.WayResumed
--- a/serving/throttle_test.go
+++ b/serving/throttle_test.go
@@ -25,30 +25,30 @@
 	"github.com/fuchsianotch/fuchsianotch/timeline"
 )
 
-// throttleCase is a call at a pool of endpoints, of which some permit nothing.
+// throttleCase is a call to a pool in which some endpoints refuse permits.
 type throttleCase struct {
 	Name string
-	// Takes is what each endpoint in turn says when it is asked for a permit: "yes", "no",
-	// or "late" for a permit that cannot be used any more.
+	// Takes are the answers to successive permit requests: "yes", "no", or "late" for a
+	// permit that has expired when it is used.
 	Takes []string
-	// Fails is how many requests endpoints refuse.
+	// Fails is the number of requests that endpoints refuse.
 	Fails    int64
 	WantSent int64       `json:"want_sent"`
 	WantCode result.Code `json:"want_code"`
 	WantWays string      `json:"want_ways"`
-	// ComesBack says that the caller is told the time at which an endpoint opens.
+	// ComesBack is set if the refusal must carry the time at which an endpoint opens.
 	ComesBack bool `json:"comes_back"`
 }
 
-// TestThrottle holds that a call goes to an endpoint only with a permit of its own, and to
-// another one or back to its caller at once without.
+// TestThrottle checks that each request is sent with a permit of its own, and that a
+// call without one moves to another endpoint or is refused at once.
 func TestThrottle(t *testing.T) {
 	for _, c := range datatest.Read[[]throttleCase](t, "testdata/throttle.json") {
-		t.Run(c.Name, c.play)
+		t.Run(c.Name, c.test)
 	}
 }
 
-func (c throttleCase) play(t *testing.T) {
+func (c throttleCase) test(t *testing.T) {
 	var sent atomic.Int64
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("X-Request-Id", r.Header.Get("X-Request-Id"))
@@ -96,7 +96,7 @@
 		Ring:    timeline.New(timeline.Options{Capacity: 16, Now: time.Now}),
 		Metrics: metrics.New(),
 	})
-	out := s.attempt(t.Context(), &call.Call{
+	out := s.sendWithRetries(t.Context(), &call.Call{
 		ID:         "x",
 		Kind:       call.KindService,
 		Service:    "s",
@@ -119,7 +119,7 @@
 	}
 }
 
-// poolOf is a pool of so many endpoints at one address.
+// poolOf returns a pool of count endpoints at one address.
 func poolOf(count int, addr string) func(string) (*Pool, bool) {
 	endpoints := routing.New(routing.Options{})
 	var list []fleet.Endpoint
--- a/serving/ticketed.go
+++ b/serving/ticketed.go
@@ -14,7 +14,8 @@
 	"github.com/fuchsianotch/fuchsianotch/timeline"
 )
 
-// serveTicketed runs a non-idempotent call at most once, or replays its answer.
+// serveTicketed runs a non-idempotent call at most once. A repeated request gets the
+// recorded response.
 func (s *Server) serveTicketed(ctx context.Context, c *call.Call, terms Terms, sink call.Sink) call.Outcome {
 	if c.Ticket == "" {
 		return call.Refused(result.Refuse(result.TicketRequired, "a non-idempotent call needs a ticket"))
@@ -25,9 +26,9 @@
 		case ticket.Run:
 			return s.runTicket(ctx, c, terms, sink, step.Entry)
 		case ticket.Replay:
-			return replay(*step.Record, sink)
+			return replayRecord(*step.Record, sink)
 		case ticket.Wait:
-			if refusal := s.await(ctx, step.Done); refusal != nil {
+			if refusal := s.waitForRun(ctx, step.Done); refusal != nil {
 				return call.Refused(refusal)
 			}
 		default:
@@ -36,8 +37,8 @@
 	}
 }
 
-// await waits for another call of the same ticket.
-func (s *Server) await(ctx context.Context, done <-chan struct{}) *result.Refusal {
+// waitForRun waits for a concurrent request with the same ticket to finish.
+func (s *Server) waitForRun(ctx context.Context, done <-chan struct{}) *result.Refusal {
 	select {
 	case <-done:
 		return nil
@@ -46,40 +47,40 @@
 	}
 }
 
-// runTicket runs the call to its end even if the caller goes, so that a
-// repeat with the same ticket finds the answer.
+// runTicket runs the call to completion even if the caller disconnects, so that a
+// repeated request with the same ticket finds the response.
 func (s *Server) runTicket(ctx context.Context, c *call.Call, terms Terms, sink call.Sink, e *ticket.Entry) call.Outcome {
 	ctx, cancel := clock.WithDeadline(context.WithoutCancel(ctx), s.options.Now(), c.WholeBy)
 	defer cancel()
 	defer e.Abandon()
 	var recorder answerRecorder
-	outcome := s.run(ctx, c, terms, recorder.sink(), s.sendOnce(c, e))
+	outcome := s.run(ctx, c, terms, recorder.sink(), s.spendOnFirstSend(c, e))
 	record := recorder.record(outcome)
 	e.Finish(record)
 	if outcome.Code.Class() == result.ClassDone {
-		_ = pass(record, sink)
+		_ = writeRecord(record, sink)
 	}
 	return outcome
 }
 
-// sendOnce spends the ticket right before the first attempt's first byte.
-// Later attempts follow only on one that certainly ran nothing.
-func (s *Server) sendOnce(c *call.Call, e *ticket.Entry) sending {
+// spendOnFirstSend marks the ticket as used right before the first byte of the first
+// attempt. Later attempts follow only if no earlier one ran.
+func (s *Server) spendOnFirstSend(c *call.Call, e *ticket.Entry) beforeSendFunc {
 	spent := false
 	return func() error {
 		if spent {
 			return nil
 		}
-		if refusal := s.spend(e, s.options.Now()); refusal != nil {
+		if refusal := s.markSent(e, s.options.Now()); refusal != nil {
 			return refusal
 		}
 		spent = true
-		s.event(c, "ticket_spent", timeline.Event{})
+		s.addEvent(c, "ticket_spent", timeline.Event{})
 		return nil
 	}
 }
 
-// answerRecorder keeps an answer until it is known to be whole.
+// answerRecorder buffers a response until it is complete.
 type answerRecorder struct {
 	status int
 	header http.Header
@@ -109,11 +110,11 @@
 	}
 }
 
-func replay(r ticket.Record, sink call.Sink) call.Outcome {
+func replayRecord(r ticket.Record, sink call.Sink) call.Outcome {
 	if r.Code.Class() != result.ClassDone {
 		return call.Refused(result.Refuse(r.Code, "the ticket's call ended so: %s", r.Code))
 	}
-	if err := pass(r, sink); err != nil {
+	if err := writeRecord(r, sink); err != nil {
 		return call.Refused(result.Refuse(result.PeerLost, "the caller has gone").Because(err))
 	}
 	return call.Outcome{
@@ -121,14 +122,14 @@
 	}
 }
 
-func pass(r ticket.Record, sink call.Sink) error {
+func writeRecord(r ticket.Record, sink call.Sink) error {
 	if err := sink.Head(r.Status, r.Header); err != nil {
 		return err
 	}
 	return sink.Chunk(r.Body)
 }
 
-// hashCall identifies what a ticket was used for.
+// hashCall identifies the call that a ticket is used for.
 func hashCall(c *call.Call) uint64 {
 	h := xxhash.New()
 	for _, part := range []string{c.Target(), c.Method, c.Path} {
--- a/serving/trace.go
+++ b/serving/trace.go
@@ -13,7 +13,7 @@
 	"github.com/fuchsianotch/fuchsianotch/retry"
 )
 
-// The lines about one call. docs/logs.md lists them with their fields.
+// This file writes the log lines of one call; docs/logs.md documents them.
 
 func milliseconds(name string, d time.Duration) slog.Attr {
 	return slog.Int64(name, d.Milliseconds())
@@ -35,17 +35,17 @@
 		milliseconds("gap_ms", c.Routed.Gap),
 		slog.Int("prompt_tokens", c.PromptTokens),
 		slog.Int("max_tokens", c.MaxTokens),
-		traceContent(c),
+		contentAttr(c),
 	)
 }
 
-// traceContent lets the tries of a call be found that came under several ids.
-func traceContent(c *call.Call) slog.Attr {
-	return slog.String("content", strconv.FormatUint(c.Content, contentBase))
+// contentAttr returns the content hash, which is shared by retries under several ids.
+func contentAttr(c *call.Call) slog.Attr {
+	return slog.String("content", strconv.FormatUint(c.Content, contentHashBase))
 }
 
-// contentBase is the base in which lines show a content.
-const contentBase = 16
+// contentHashBase is the numeric base of content hashes in log lines.
+const contentHashBase = 16
 
 func traceChoice(c *call.Call, slot admission.Slot, p *progress) {
 	choice := slot.Choice
@@ -65,22 +65,22 @@
 	c.Trail.Fail("attempt_failed",
 		slog.String("endpoint", p.outcome.Endpoint),
 		slog.Int("attempt", p.history.Attempts),
-		slog.Int("code", int(p.last.Code)),
-		slog.Bool("sent", p.last.Sent),
-		slog.Int("events", p.last.Delivered),
-		slog.Bool("caller_gone", p.last.CallerGone),
-		traceContent(c),
-		slog.String("reason", reasonOf(p.last.Err)),
-		slog.String("cause", causeOf(p.last.Err)),
+		slog.Int("code", int(p.lastAttempt.Code)),
+		slog.Bool("sent", p.lastAttempt.Sent),
+		slog.Int("events", p.lastAttempt.Delivered),
+		slog.Bool("caller_gone", p.lastAttempt.CallerGone),
+		contentAttr(c),
+		slog.String("reason", errorText(p.lastAttempt.Err)),
+		slog.String("cause", causeOf(p.lastAttempt.Err)),
 	)
 }
 
-// causeOf is the error underneath a refusal, such as how a connection ended.
+// causeOf returns the text of the error that a refusal wraps, such as a connection error.
 func causeOf(err error) string {
-	return reasonOf(errors.Unwrap(err))
+	return errorText(errors.Unwrap(err))
 }
 
-func reasonOf(err error) string {
+func errorText(err error) string {
 	if err == nil {
 		return ""
 	}
@@ -95,7 +95,7 @@
 	)
 }
 
-func traceAway(c *call.Call, vm fleet.VM) {
+func traceOverflow(c *call.Call, vm fleet.VM) {
 	c.Trail.Add("call_sent_away",
 		slog.String("peer", vm.ID),
 		slog.String("region", vm.Region),
@@ -115,8 +115,8 @@
 	if !o.FirstAt.IsZero() {
 		attrs = append(attrs, milliseconds("first_ms", o.FirstAt.Sub(arrivedAt)))
 	}
-	if o.Pause > 0 {
-		attrs = append(attrs, milliseconds("pause_ms", o.Pause))
+	if o.LongestGap > 0 {
+		attrs = append(attrs, milliseconds("pause_ms", o.LongestGap))
 	}
 	if o.Code == result.Done {
 		c.Trail.Add("call_ended", attrs...)
@@ -131,7 +131,7 @@
 	c.Trail.Fail("call_ended", attrs...)
 }
 
-func traceClosed(c *call.Call, e fleet.Endpoint, left time.Duration) {
+func traceEndpointClosed(c *call.Call, e fleet.Endpoint, left time.Duration) {
 	c.Trail.Add("endpoint_closed",
 		slog.String("endpoint", e.ID),
 		milliseconds("opens_in_ms", left),
