--- a/serving/at_most_once_test.go
+++ b/serving/at_most_once_test.go
@@ -58,50 +58,50 @@
 }
 
 func (c atMostOnceCase) test(t *testing.T) {
-	w := newCluster(t, c.Answers)
-	c.injectFault(w)
+	cl := newCluster(t, c.Answers)
+	c.injectFault(cl)
 	for _, step := range c.Steps {
-		c.runStep(w, strings.Fields(step))
+		c.runStep(cl, strings.Fields(step))
 	}
-	w.endpoint.releaseAll()
-	w.wait.Wait()
+	cl.endpoint.releaseAll()
+	cl.wait.Wait()
 	// Let late answers and idle connections end.
 	time.Sleep(time.Minute)
-	w.endpoint.group.Wait()
+	cl.endpoint.group.Wait()
 	if c.Variant != "" {
-		assert.Assert(t, slices.Contains(c.violations(w), c.Violation), "the check did not detect variant %s: %v", c.Variant, c.violations(w))
+		assert.Assert(t, slices.Contains(c.violations(cl), c.Violation), "the check did not detect variant %s: %v", c.Variant, c.violations(cl))
 	} else {
-		c.compare(t, w)
+		c.compare(t, cl)
 	}
-	for _, p := range w.processes {
-		w.assertNoneInFlight(p)
+	for _, p := range cl.processes {
+		cl.assertNoneInFlight(p)
 	}
 }
 
-func (c atMostOnceCase) compare(t *testing.T, w *cluster) {
-	assert.DeepEqual(t, c.violations(w), []string(nil))
+func (c atMostOnceCase) compare(t *testing.T, cl *cluster) {
+	assert.DeepEqual(t, c.violations(cl), []string(nil))
 	got := make(map[string]string)
-	for name, a := range w.requests {
+	for name, a := range cl.requests {
 		got[name] = a.outcome.Code.String()
 		if c.Text != "" {
 			assert.Equal(t, streamText(a.text.String()), c.Text)
 		}
 	}
 	assert.DeepEqual(t, got, c.Want)
-	assert.Equal(t, w.endpoint.runCount(), c.Runs)
+	assert.Equal(t, cl.endpoint.runCount(), c.Runs)
 	if c.Spent != nil {
-		assert.Equal(t, w.settledSpend(w.processes[0]), *c.Spent)
+		assert.Equal(t, cl.settledSpend(cl.processes[0]), *c.Spent)
 	}
 }
 
 // violations compares the outcomes of callers with the runs at the endpoint.
-func (c atMostOnceCase) violations(w *cluster) []string {
+func (c atMostOnceCase) violations(cl *cluster) []string {
 	var found []string
-	runs := w.endpoint.runCount()
+	runs := cl.endpoint.runCount()
 	if c.kind() == "book" && runs > 1 {
 		found = append(found, "doubled")
 	}
-	for _, a := range w.requests {
+	for _, a := range cl.requests {
 		class := a.outcome.Code.Class()
 		if class == result.ClassNotRun && runs > 0 && !c.OtherAskRan && !slices.Contains(found, "ran_though_not_run") {
 			found = append(found, "ran_though_not_run")
@@ -121,8 +121,8 @@
 }
 
 // injectFault replaces a decision with a faulty one.
-func (c atMostOnceCase) injectFault(w *cluster) {
-	for _, p := range w.processes {
+func (c atMostOnceCase) injectFault(cl *cluster) {
+	for _, p := range cl.processes {
 		switch c.Variant {
 		case "":
 		case "ignores_sending":
@@ -135,7 +135,7 @@
 		case "lost_is_not_run":
 			p.server.options.Forward = reportLostAsNotRun(p.server.options.Forward)
 		default:
-			w.t.Fatalf("unknown variant %q", c.Variant)
+			cl.t.Fatalf("unknown variant %q", c.Variant)
 		}
 	}
 }
@@ -162,54 +162,54 @@
 
 // runStep runs one step. "ask NAME [VM [BY [unreached]]]" sends a request to VM,
 // forwarded by BY, which may consider VM unreachable.
-func (c atMostOnceCase) runStep(w *cluster, words []string) {
+func (c atMostOnceCase) runStep(cl *cluster, words []string) {
 	arg := func(i int, fallback string) string {
 		if i < len(words) {
 			return words[i]
 		}
 		return fallback
 	}
-	vm := func(i int) *process { return w.processes[parseIndex(w, arg(i, "0"))] }
+	vm := func(i int) *process { return cl.processes[parseIndex(cl, arg(i, "0"))] }
 	switch words[0] {
 	case "ask":
 		to := arg(2, "0")
-		w.send(words[1], parseIndex(w, to), parseIndex(w, arg(3, to)), c.kind(), arg(4, "") == "unreached")
+		cl.send(words[1], parseIndex(cl, to), parseIndex(cl, arg(3, to)), c.kind(), arg(4, "") == "unreached")
 		synctest.Wait()
 	case "leave":
-		w.requests[words[1]].cancel()
+		cl.requests[words[1]].cancel()
 		synctest.Wait()
 	case "hold":
-		w.endpoint.hold(words[1])
+		cl.endpoint.hold(words[1])
 	case "at":
-		w.endpoint.waitUntilReached(words[1])
+		cl.endpoint.waitUntilReached(words[1])
 	case "free":
-		w.endpoint.release(words[1])
+		cl.endpoint.release(words[1])
 		synctest.Wait()
 	case "sleep":
 		d, err := time.ParseDuration(words[1])
-		assert.NilError(w.t, err)
+		assert.NilError(cl.t, err)
 		time.Sleep(d)
 	case "kill":
 		vm(1).killed.Store(true)
 	case "restart":
-		w.processes[parseIndex(w, words[1])] = w.newIncarnation(parseIndex(w, words[1]))
+		cl.processes[parseIndex(cl, words[1])] = cl.newIncarnation(parseIndex(cl, words[1]))
 	case "stop":
 		vm(1).desk.Stop()
 	case "drain":
 		vm(1).server.Stop()
 	case "give_up":
-		w.handOver = vm(1).desk.GiveUp(time.Now())
+		cl.handOver = vm(1).desk.GiveUp(time.Now())
 	case "adopt":
 		to := vm(1)
-		assert.Assert(w.t, to.desk.Adopt(w.handOver.Addressed(holderOf(to)), time.Now()))
+		assert.Assert(cl.t, to.desk.Adopt(cl.handOver.Addressed(holderOf(to)), time.Now()))
 	default:
-		w.t.Fatalf("unknown step %q", words)
+		cl.t.Fatalf("unknown step %q", words)
 	}
 }
 
 // newIncarnation starts a new incarnation with the same id.
-func (w *cluster) newIncarnation(i int) *process {
-	p := w.newProcess(i)
+func (cl *cluster) newIncarnation(i int) *process {
+	p := cl.newProcess(i)
 	p.desk = ticket.New(ticket.Options{
 		VM:          p.vm.ID,
 		Incarnation: 2,
@@ -218,9 +218,9 @@
 	return p
 }
 
-func parseIndex(w *cluster, text string) int {
+func parseIndex(cl *cluster, text string) int {
 	n, err := strconv.Atoi(text)
-	assert.NilError(w.t, err)
+	assert.NilError(cl.t, err)
 	return n
 }
 
--- a/serving/cluster_test.go
+++ b/serving/cluster_test.go
@@ -75,7 +75,7 @@
 }
 
 func newCluster(t *testing.T, answers []string) *cluster {
-	w := &cluster{
+	cl := &cluster{
 		t:        t,
 		endpoint: newScriptedEndpoint(t, answers),
 		requests: make(map[string]*callerRequest),
@@ -93,13 +93,13 @@
 		},
 	}
 	for i := range 3 {
-		w.processes = append(w.processes, w.newProcess(i))
+		cl.processes = append(cl.processes, cl.newProcess(i))
 	}
-	w.ticket = w.processes[0].desk.Issue(workspace, time.Now().Add(time.Minute))
-	return w
+	cl.ticket = cl.processes[0].desk.Issue(workspace, time.Now().Add(time.Minute))
+	return cl
 }
 
-func (w *cluster) newProcess(i int) *process {
+func (cl *cluster) newProcess(i int) *process {
 	p := &process{
 		vm: fleet.VM{
 			ID:     "vm-" + strconv.Itoa(i),
@@ -118,17 +118,17 @@
 		Now:      time.Now,
 		VM:       p.vm.ID,
 		Region:   region,
-		Snapshot: w.snapshot(),
+		Snapshot: cl.snapshot(),
 		View:     viewOf(p.vm),
-		Pool:     w.pool(),
-		Forward:  w.forward,
+		Pool:     cl.pool(),
+		Forward:  cl.forward,
 		Borrow:   func(*call.Call, Terms) (fleet.VM, bool) { return fleet.VM{}, false },
 		Ledger:   p.ledger,
 		Desk:     p.desk,
 		Endpoint: endpoint.New(endpoint.Options{
 			Client: &http.Client{
 				Transport: &http.Transport{
-					DialContext:     w.endpoint.dial(p),
+					DialContext:     cl.endpoint.dial(p),
 					IdleConnTimeout: time.Second,
 				},
 			},
@@ -144,7 +144,7 @@
 	return p
 }
 
-func (w *cluster) snapshot() func() *configuration.Snapshot {
+func (cl *cluster) snapshot() func() *configuration.Snapshot {
 	store := configuration.New(configuration.Options{})
 	verdicts := store.Offer([]configuration.Document{
 		{
@@ -153,7 +153,7 @@
 			Value:    []byte(models),
 		},
 	})
-	assert.Assert(w.t, verdicts[0].Refusal == nil, "%v", verdicts[0].Refusal)
+	assert.Assert(cl.t, verdicts[0].Refusal == nil, "%v", verdicts[0].Refusal)
 	return store.Snapshot
 }
 
@@ -170,7 +170,7 @@
 	return func() *membership.View { return view }
 }
 
-func (w *cluster) pool() func(string) (*Pool, bool) {
+func (cl *cluster) pool() func(string) (*Pool, bool) {
 	pools := make(map[string]*Pool)
 	for _, target := range []string{service, model} {
 		endpoints := routing.New(routing.Options{})
@@ -198,9 +198,9 @@
 
 // forward emulates the peer protocol: a killed process is unreachable, and one killed
 // during the call is lost.
-func (w *cluster) forward(ctx context.Context, vm fleet.VM, c *call.Call, sink call.Sink) call.Outcome {
+func (cl *cluster) forward(ctx context.Context, vm fleet.VM, c *call.Call, sink call.Sink) call.Outcome {
 	var p *process
-	for _, other := range w.processes {
+	for _, other := range cl.processes {
 		if other.vm.ID == vm.ID {
 			p = other
 		}
@@ -210,42 +210,42 @@
 	}
 	forwarded := *c
 	forwarded.Forwarded = true
-	o := p.server.Serve(ctx, &forwarded, w.localPlacement(), sink)
+	o := p.server.Serve(ctx, &forwarded, cl.localPlacement(), sink)
 	if p.killed.Load() {
 		return call.Refused(result.Refuse(result.PeerLost, "lost"))
 	}
 	return o
 }
 
-func (w *cluster) localPlacement() Placement {
+func (cl *cluster) localPlacement() Placement {
 	return Placement{
 		Kind:  PlaceHere,
-		Terms: w.terms,
+		Terms: cl.terms,
 	}
 }
 
 // send sends one call in the background to VM vm, forwarded by VM by if they differ.
-func (w *cluster) send(name string, vm int, by int, kind string, unreached bool) {
-	ctx, cancel := context.WithCancel(w.t.Context())
+func (cl *cluster) send(name string, vm int, by int, kind string, unreached bool) {
+	ctx, cancel := context.WithCancel(cl.t.Context())
 	a := &callerRequest{
 		ticketed: kind == "book",
 		cancel:   cancel,
 	}
-	w.mu.Lock()
-	w.requests[name] = a
-	w.mu.Unlock()
-	place := w.localPlacement()
+	cl.mu.Lock()
+	cl.requests[name] = a
+	cl.mu.Unlock()
+	place := cl.localPlacement()
 	if by != vm {
 		place = Placement{
 			Kind:        PlaceForward,
-			VM:          w.processes[vm].vm,
+			VM:          cl.processes[vm].vm,
 			Unreachable: unreached,
-			Terms:       w.terms,
+			Terms:       cl.terms,
 		}
 	}
-	w.wait.Go(func() {
-		p := w.processes[by]
-		a.outcome = p.server.Serve(ctx, w.newCall(name, kind), place, a.sink())
+	cl.wait.Go(func() {
+		p := cl.processes[by]
+		a.outcome = p.server.Serve(ctx, cl.newCall(name, kind), place, a.sink())
 		if p.killed.Load() {
 			a.outcome = call.Refused(result.Refuse(result.PeerLost, "the VM's connection broke"))
 		}
@@ -262,7 +262,7 @@
 	}
 }
 
-func (w *cluster) newCall(name, kind string) *call.Call {
+func (cl *cluster) newCall(name, kind string) *call.Call {
 	c := &call.Call{
 		ID:        name,
 		Workspace: workspace,
@@ -278,7 +278,7 @@
 	}
 	switch kind {
 	case "book":
-		c.Ticket = w.ticket
+		c.Ticket = cl.ticket
 	case "look":
 		c.Method = http.MethodGet
 		c.Body = nil
@@ -297,29 +297,29 @@
 
 // settledSpend returns a process's settled spend from its metrics, in millionths of
 // the currency.
-func (w *cluster) settledSpend(p *process) float64 {
+func (cl *cluster) settledSpend(p *process) float64 {
 	answer := httptest.NewRecorder()
 	p.server.options.Metrics.Handler().ServeHTTP(answer, httptest.NewRequest(http.MethodGet, "/metrics", http.NoBody))
 	for line := range strings.Lines(answer.Body.String()) {
 		if text, ok := strings.CutPrefix(line, spentMetric); ok {
 			spent, err := strconv.ParseFloat(strings.TrimSpace(text), 64)
-			assert.NilError(w.t, err)
+			assert.NilError(cl.t, err)
 			return spent
 		}
 	}
-	w.t.Error("the spend metric is missing")
+	cl.t.Error("the spend metric is missing")
 	return 0
 }
 
 // assertNoneInFlight fails if a ledger still counts a call as in flight.
-func (w *cluster) assertNoneInFlight(p *process) {
+func (cl *cluster) assertNoneInFlight(p *process) {
 	now := time.Now()
-	r := LimitRequest(workspace, w.terms.Region, p.server.options.View(), now)
+	r := LimitRequest(workspace, cl.terms.Region, p.server.options.View(), now)
 	r.Cost = limit.Amounts{
 		Concurrency: concurrency,
 	}
 	reservation, refusal := p.ledger.Take(r, now)
-	assert.Check(w.t, refusal == nil, "a call is still counted as in flight: %v", refusal)
+	assert.Check(cl.t, refusal == nil, "a call is still counted as in flight: %v", refusal)
 	p.ledger.Cancel(reservation, now)
 }
 
--- a/serving/overflow_test.go
+++ b/serving/overflow_test.go
@@ -36,15 +36,15 @@
 }
 
 func (c overflowCase) test(t *testing.T) {
-	w := newCluster(t, []string{"stream 5"})
-	w.terms.Region.BorrowShare = c.Share
-	origin := w.processes[0]
+	cl := newCluster(t, []string{"stream 5"})
+	cl.terms.Region.BorrowShare = c.Share
+	origin := cl.processes[0]
 	var asked []int
 	origin.server.options.Pool = func(string) (*Pool, bool) { return nil, false }
 	origin.server.options.Borrow = func(*call.Call, Terms) (fleet.VM, bool) {
-		return w.processes[1+len(asked)%2].vm, true
+		return cl.processes[1+len(asked)%2].vm, true
 	}
-	for i, p := range w.processes {
+	for i, p := range cl.processes {
 		p.server.options.Accept = func(*call.Call) (func(), *result.Refusal) {
 			asked = append(asked, i)
 			if slices.Contains(c.Refusing, i) {
@@ -53,20 +53,20 @@
 			return func() {}, nil
 		}
 	}
-	w.send("a", 0, 0, "chat", false)
-	w.wait.Wait()
+	cl.send("a", 0, 0, "chat", false)
+	cl.wait.Wait()
 	time.Sleep(time.Minute)
-	w.endpoint.group.Wait()
+	cl.endpoint.group.Wait()
 
-	assert.Equal(t, w.requests["a"].outcome.Code.String(), c.Want)
+	assert.Equal(t, cl.requests["a"].outcome.Code.String(), c.Want)
 	assert.DeepEqual(t, asked, c.Asked)
-	assert.Equal(t, w.endpoint.runCount(), c.Runs)
-	usage := w.requests["a"].outcome.Usage
-	cost := Cost(w.newCall("a", "chat"), usage, origin.server.options.Snapshot()).Spend
-	assert.Equal(t, w.settledSpend(origin), cost)
+	assert.Equal(t, cl.endpoint.runCount(), c.Runs)
+	usage := cl.requests["a"].outcome.Usage
+	cost := Cost(cl.newCall("a", "chat"), usage, origin.server.options.Snapshot()).Spend
+	assert.Equal(t, cl.settledSpend(origin), cost)
 	assert.Equal(t, cost > 0, c.Runs > 0)
-	for _, p := range w.processes {
-		w.assertNoneInFlight(p)
-		assert.Assert(t, p == origin || w.settledSpend(p) == 0)
+	for _, p := range cl.processes {
+		cl.assertNoneInFlight(p)
+		assert.Assert(t, p == origin || cl.settledSpend(p) == 0)
 	}
 }
--- a/ticket/keys_test.go
+++ b/ticket/keys_test.go
@@ -61,124 +61,124 @@
 }
 
 func newKeySimulation(rule string) *keySimulation {
-	w := &keySimulation{
+	sim := &keySimulation{
 		rule:    rule,
 		now:     epoch,
 		tickets: map[int]string{},
 		runs:    map[int]int{},
 	}
-	for i := range w.vms {
-		w.start(i)
-		w.vms[i].grantedUntil = time.Time{}
+	for i := range sim.vms {
+		sim.start(i)
+		sim.vms[i].grantedUntil = time.Time{}
 	}
-	return w
+	return sim
 }
 
-func (w *keySimulation) start(vm int) {
-	w.vms[vm] = &keyOwner{
+func (sim *keySimulation) start(vm int) {
+	sim.vms[vm] = &keyOwner{
 		leases:       map[int]time.Time{},
-		grantedUntil: w.now.Add(leaseTerm), // a restarted process does not know which lease it granted
+		grantedUntil: sim.now.Add(leaseTerm), // a restarted process does not know which lease it granted
 		used:         map[int]bool{},
 		desk: New(Options{
 			VM:          fmt.Sprint(vm),
-			Incarnation: uint64(w.now.UnixMilli()),
+			Incarnation: uint64(sim.now.UnixMilli()),
 		}),
 	}
 }
 
 // applyStep runs one step. Ticket is the key's index; Arg is seconds or the VM that gets
 // a lease.
-func (w *keySimulation) applyStep(s step) {
-	vm := s.VM % len(w.vms)
-	v := w.vms[vm]
+func (sim *keySimulation) applyStep(s step) {
+	vm := s.VM % len(sim.vms)
+	v := sim.vms[vm]
 	switch s.Op {
 	case "key":
-		w.keys = append(w.keys, w.now)
+		sim.keys = append(sim.keys, sim.now)
 	case "key_ahead":
-		w.keys = append(w.keys, w.now.Add(2*leaseTerm))
+		sim.keys = append(sim.keys, sim.now.Add(2*leaseTerm))
 	case "take_over":
-		if w.rule == ruleTimestamp {
+		if sim.rule == ruleTimestamp {
 			v.owner = true
-			v.takenOver = w.now
+			v.takenOver = sim.now
 		}
 	case "lend":
-		w.grantLease(w.vms[s.Arg%len(w.vms)], vm, s.Arg%len(w.vms))
+		sim.grantLease(sim.vms[s.Arg%len(sim.vms)], vm, s.Arg%len(sim.vms))
 	case "ask":
-		if len(w.keys) > 0 {
-			w.request(vm, s.Ticket%len(w.keys))
+		if len(sim.keys) > 0 {
+			sim.request(vm, s.Ticket%len(sim.keys))
 		}
 	case "send":
-		if len(w.sends) > 0 {
-			w.transmit(w.sends[s.Ask%len(w.sends)])
+		if len(sim.sends) > 0 {
+			sim.transmit(sim.sends[s.Ask%len(sim.sends)])
 		}
 	case "kill":
-		w.start(vm)
+		sim.start(vm)
 	case "tick":
-		w.now = w.now.Add(time.Duration(s.Arg) * time.Second)
+		sim.now = sim.now.Add(time.Duration(s.Arg) * time.Second)
 	}
-	w.updateOwners()
+	sim.updateOwners()
 }
 
 // updateOwners determines the owners under ruleMajority.
-func (w *keySimulation) updateOwners() {
-	if w.rule != ruleMajority {
+func (sim *keySimulation) updateOwners() {
+	if sim.rule != ruleMajority {
 		return
 	}
-	for _, v := range w.vms {
-		holds := w.holdsMajority(v)
+	for _, v := range sim.vms {
+		holds := sim.holdsMajority(v)
 		if holds && !v.owner {
-			v.takenOver = w.now
+			v.takenOver = sim.now
 		}
 		v.owner = holds
 	}
 }
 
 // grantLease renews the current lease, or grants one to another VM after it expired.
-func (w *keySimulation) grantLease(from *keyOwner, to, lender int) {
-	held := w.vms[to].leases[lender]
-	if w.now.Before(from.grantedUntil) && !held.Equal(from.grantedUntil) {
+func (sim *keySimulation) grantLease(from *keyOwner, to, lender int) {
+	held := sim.vms[to].leases[lender]
+	if sim.now.Before(from.grantedUntil) && !held.Equal(from.grantedUntil) {
 		return
 	}
-	from.grantedUntil = w.now.Add(leaseTerm)
-	w.vms[to].leases[lender] = from.grantedUntil
+	from.grantedUntil = sim.now.Add(leaseTerm)
+	sim.vms[to].leases[lender] = from.grantedUntil
 }
 
-func (w *keySimulation) request(vm, key int) {
-	if w.rule == ruleTicket {
-		w.requestWithTicket(vm, key)
+func (sim *keySimulation) request(vm, key int) {
+	if sim.rule == ruleTicket {
+		sim.requestWithTicket(vm, key)
 		return
 	}
-	v := w.vms[vm]
-	if !v.owner || v.used[key] || !w.keys[key].After(v.takenOver) {
+	v := sim.vms[vm]
+	if !v.owner || v.used[key] || !sim.keys[key].After(v.takenOver) {
 		return
 	}
 	v.used[key] = true
-	w.sends = append(w.sends, &keySend{
+	sim.sends = append(sim.sends, &keySend{
 		key: key,
 		vm:  vm,
 	})
 }
 
-func (w *keySimulation) holdsMajority(v *keyOwner) bool {
+func (sim *keySimulation) holdsMajority(v *keyOwner) bool {
 	n := 0
 	for _, until := range v.leases {
-		if w.now.Before(until) {
+		if sim.now.Before(until) {
 			n++
 		}
 	}
-	return 2*n > len(w.vms)
+	return 2*n > len(sim.vms)
 }
 
 // requestWithTicket takes the ticket from the first refusal and uses it in later requests.
-func (w *keySimulation) requestWithTicket(vm, key int) {
-	desk := w.vms[vm].desk
-	if w.tickets[key] == "" {
-		w.tickets[key] = desk.Issue("w", w.now.Add(ticketLifetime))
+func (sim *keySimulation) requestWithTicket(vm, key int) {
+	desk := sim.vms[vm].desk
+	if sim.tickets[key] == "" {
+		sim.tickets[key] = desk.Issue("w", sim.now.Add(ticketLifetime))
 		return
 	}
-	s := desk.Begin(w.tickets[key], "w", uint64(key), w.now)
+	s := desk.Begin(sim.tickets[key], "w", uint64(key), sim.now)
 	if s.Kind == Run {
-		w.sends = append(w.sends, &keySend{
+		sim.sends = append(sim.sends, &keySend{
 			key:   key,
 			vm:    vm,
 			entry: s.Entry,
@@ -188,19 +188,19 @@
 
 // transmit makes the last check and sends the call. A process may pause before this
 // step; rules without tickets have no check here.
-func (w *keySimulation) transmit(s *keySend) {
-	if s.entry != nil && s.entry.Sending(w.now) != nil {
+func (sim *keySimulation) transmit(s *keySend) {
+	if s.entry != nil && s.entry.Sending(sim.now) != nil {
 		return
 	}
-	w.sent++
-	w.runs[s.key]++
-	w.ranTwice = w.ranTwice || w.runs[s.key] > 1
+	sim.sent++
+	sim.runs[s.key]++
+	sim.ranTwice = sim.ranTwice || sim.runs[s.key] > 1
 	if s.entry != nil {
 		s.entry.Finish(Record{
 			Code: result.EndpointCut,
 		})
 	}
-	w.sends = removeSend(w.sends, s)
+	sim.sends = removeSend(sim.sends, s)
 }
 
 func removeSend(sends []*keySend, gone *keySend) []*keySend {
@@ -214,11 +214,11 @@
 }
 
 func runKeySchedule(rule string, steps []step) *keySimulation {
-	w := newKeySimulation(rule)
+	sim := newKeySimulation(rule)
 	for _, s := range steps {
-		w.applyStep(s)
+		sim.applyStep(s)
 	}
-	return w
+	return sim
 }
 
 func keyStepGenerator(keyOps ...string) *rapid.Generator[step] {
@@ -261,9 +261,9 @@
 		t.Run(rule, func(t *testing.T) {
 			sent := 0
 			rapid.Check(t, func(t *rapid.T) {
-				w := runKeySchedule(rule, rapid.SliceOfN(one, 40, 80).Draw(t, "steps"))
-				assert.Assert(t, !w.ranTwice)
-				sent += w.sent
+				sim := runKeySchedule(rule, rapid.SliceOfN(one, 40, 80).Draw(t, "steps"))
+				assert.Assert(t, !sim.ranTwice)
+				sent += sim.sent
 			})
 			t.Log("sent:", sent)
 		})
--- a/ticket/schedule_test.go
+++ b/ticket/schedule_test.go
@@ -64,25 +64,25 @@
 })
 
 func runSchedule(variant string, steps []step) *simulation {
-	w := newSimulation(variant)
+	sim := newSimulation(variant)
 	for _, s := range steps {
-		w.applyStep(s)
+		sim.applyStep(s)
 	}
-	return w
+	return sim
 }
 
 // TestRandomSchedules checks the invariants under random kills, pauses, stops,
 // hand-overs, lost and delayed messages, clock skew and full record stores.
 func TestRandomSchedules(t *testing.T) {
-	seen := map[string]int{}
+	eventCounts := map[string]int{}
 	rapid.Check(t, func(t *rapid.T) {
-		w := runSchedule("", rapid.SliceOfN(stepGenerator, 40, 120).Draw(t, "steps"))
-		assert.Equal(t, w.violation, "")
-		for name, n := range w.seen {
-			seen[name] += n
+		sim := runSchedule("", rapid.SliceOfN(stepGenerator, 40, 120).Draw(t, "steps"))
+		assert.Equal(t, sim.violation, "")
+		for name, n := range sim.eventCounts {
+			eventCounts[name] += n
 		}
 	})
-	t.Log(seen)
+	t.Log(eventCounts)
 }
 
 // TestVariants checks that each injected fault is detected.
--- a/ticket/simulation_test.go
+++ b/ticket/simulation_test.go
@@ -39,21 +39,21 @@
 type process struct {
 	holder   Holder
 	desk     *Desk
-	dead     bool
+	killed   bool
 	handOver *HandOver
 	plan     HandOverPlan
 }
 
 // attempt is one request with a ticket at one process.
 type attempt struct {
-	ticket  int
-	process *process
-	entry   *Entry
-	done    <-chan struct{}
-	checked bool
-	record  *Record
-	ran     bool
-	over    bool
+	ticket      int
+	process     *process
+	entry       *Entry
+	done        <-chan struct{}
+	sendChecked bool
+	record      *Record
+	ran         bool
+	ended       bool
 }
 
 type delayedMessage struct {
@@ -75,37 +75,37 @@
 	answers  map[int]string
 	expired  map[int]bool
 	// violation names the first invariant that broke.
-	violation string
-	seen      map[string]int
+	violation   string
+	eventCounts map[string]int
 }
 
 func newSimulation(variant string) *simulation {
-	w := &simulation{
-		variant: variant,
-		now:     time.UnixMilli(1_700_000_000_000),
-		skew:    make([]time.Duration, 3),
-		vms:     make([]*process, 3),
-		runs:    map[int]int{},
-		answers: map[int]string{},
-		expired: map[int]bool{},
-		seen:    map[string]int{},
-	}
-	for i := range w.vms {
-		w.start(i)
-	}
-	return w
+	sim := &simulation{
+		variant:     variant,
+		now:         time.UnixMilli(1_700_000_000_000),
+		skew:        make([]time.Duration, 3),
+		vms:         make([]*process, 3),
+		runs:        map[int]int{},
+		answers:     map[int]string{},
+		expired:     map[int]bool{},
+		eventCounts: map[string]int{},
+	}
+	for i := range sim.vms {
+		sim.start(i)
+	}
+	return sim
 }
 
-func (w *simulation) start(vm int) {
+func (sim *simulation) start(vm int) {
 	h := Holder{
 		VM:          string(rune('a' + vm)),
 		Incarnation: 1,
 	}
-	if old := w.vms[vm]; old != nil {
-		old.dead = true
+	if old := sim.vms[vm]; old != nil {
+		old.killed = true
 		h.Incarnation = old.holder.Incarnation + 1
 	}
-	w.vms[vm] = &process{
+	sim.vms[vm] = &process{
 		holder: h,
 		desk: New(Options{
 			VM:          h.VM,
@@ -116,149 +116,149 @@
 	}
 }
 
-func (w *simulation) clock(p *process) time.Time {
-	return w.now.Add(w.skew[int(p.holder.VM[0]-'a')])
+func (sim *simulation) clock(p *process) time.Time {
+	return sim.now.Add(sim.skew[int(p.holder.VM[0]-'a')])
 }
 
-func (w *simulation) violate(format string, args ...any) {
-	if w.violation == "" {
-		w.violation = fmt.Sprintf(format, args...)
+func (sim *simulation) violate(format string, args ...any) {
+	if sim.violation == "" {
+		sim.violation = fmt.Sprintf(format, args...)
 	}
 }
 
-func (w *simulation) applyStep(s step) {
-	vm := s.VM % len(w.vms)
-	p := w.vms[vm]
+func (sim *simulation) applyStep(s step) {
+	vm := s.VM % len(sim.vms)
+	p := sim.vms[vm]
 	switch s.Op {
 	case "issue":
-		w.tickets = append(w.tickets, p.desk.Issue("w", w.clock(p).Add(ticketLifetime)))
+		sim.tickets = append(sim.tickets, p.desk.Issue("w", sim.clock(p).Add(ticketLifetime)))
 	case "ask":
-		if len(w.tickets) > 0 {
-			ticket := s.Ticket % len(w.tickets)
-			w.ask(w.route(p, ticket, s.Arg), ticket)
+		if len(sim.tickets) > 0 {
+			ticket := s.Ticket % len(sim.tickets)
+			sim.startAttempt(sim.route(p, ticket, s.Arg), ticket)
 		}
 	case "advance", "abandon":
-		if len(w.attempts) > 0 {
-			w.advance(w.attempts[s.Ask%len(w.attempts)], s)
+		if len(sim.attempts) > 0 {
+			sim.advance(sim.attempts[s.Ask%len(sim.attempts)], s)
 		}
 	case "kill":
-		w.start(vm)
+		sim.start(vm)
 	case "tick":
-		w.now = w.now.Add(time.Duration(s.Arg) * time.Second)
+		sim.now = sim.now.Add(time.Duration(s.Arg) * time.Second)
 	case "skew":
-		w.skew[vm] = time.Duration(s.Arg) * time.Second
+		sim.skew[vm] = time.Duration(s.Arg) * time.Second
 	case "stop":
 		p.desk.Stop()
 	case "give_up":
-		w.giveUp(p)
+		sim.giveUp(p)
 	case "offer":
-		w.offer(p, s.Arg%offerCount)
+		sim.offer(p, s.Arg%offerCount)
 	case "deliver":
-		if len(w.messages) > 0 {
-			m := w.messages[s.Arg%len(w.messages)]
-			w.adopt(w.vms[m.vm], m.handOver)
+		if len(sim.messages) > 0 {
+			m := sim.messages[s.Arg%len(sim.messages)]
+			sim.adopt(sim.vms[m.vm], m.handOver)
 		}
 	case "beat":
-		p.desk.Adopted(w.clock(p))
+		p.desk.Adopted(sim.clock(p))
 	default:
-		w.violate("no such step: %s", s.Op)
+		sim.violate("no such step: %s", s.Op)
 	}
-	w.checkCounters()
+	sim.checkCounters()
 }
 
-// route returns the process that gets a request: with a nonzero arg one that knows the
-// ticket's issuer, otherwise p.
-func (w *simulation) route(p *process, ticket, arg int) *process {
-	t, _ := Parse(w.tickets[ticket])
-	for i := range w.vms {
-		other := w.vms[(i+arg)%len(w.vms)]
-		if c := other.desk.ticketSets[t.Holder()]; c != nil && arg > 0 {
+// route returns the process that gets a request: with a positive arg one that knows the
+// ticket's issuer if there is one, otherwise p.
+func (sim *simulation) route(p *process, ticket, arg int) *process {
+	t, _ := Parse(sim.tickets[ticket])
+	for i := range sim.vms {
+		other := sim.vms[(i+arg)%len(sim.vms)]
+		if set := other.desk.ticketSets[t.Holder()]; set != nil && arg > 0 {
 			return other
 		}
 	}
 	return p
 }
 
-func (w *simulation) ask(p *process, ticket int) {
+func (sim *simulation) startAttempt(p *process, ticket int) {
 	a := &attempt{
 		ticket:  ticket,
 		process: p,
 	}
-	w.attempts = append(w.attempts, a)
-	w.begin(a)
+	sim.attempts = append(sim.attempts, a)
+	sim.begin(a)
 }
 
-func (w *simulation) begin(a *attempt) {
+func (sim *simulation) begin(a *attempt) {
 	desk := a.process.desk
-	now := w.clock(a.process)
-	w.injectFault(desk, now)
-	s := desk.Begin(w.tickets[a.ticket], "w", uint64(a.ticket), now)
+	now := sim.clock(a.process)
+	sim.injectFault(desk, now)
+	s := desk.Begin(sim.tickets[a.ticket], "w", uint64(a.ticket), now)
 	a.entry = s.Entry
 	a.done = s.Done
-	w.seen[fmt.Sprint("step ", s.Kind)]++
+	sim.eventCounts[fmt.Sprint("step ", s.Kind)]++
 	switch s.Kind {
 	case Replay:
-		a.over = true
-		if string(s.Record.Body) != w.answers[a.ticket] {
-			w.violate("replay_differs")
+		a.ended = true
+		if string(s.Record.Body) != sim.answers[a.ticket] {
+			sim.violate("replay_differs")
 		}
 	case Refused:
-		w.endAttempt(a, s.Refusal.Code)
-		if s.Refusal.Code.Class() == result.ClassNotRun && w.runs[a.ticket] > 0 {
-			w.violate("told_not_run")
+		sim.endAttempt(a, s.Refusal.Code)
+		if s.Refusal.Code.Class() == result.ClassNotRun && sim.runs[a.ticket] > 0 {
+			sim.violate("told_not_run")
 		}
 	}
 }
 
 // endAttempt ends an attempt with a result code.
-func (w *simulation) endAttempt(a *attempt, code result.Code) {
-	a.over = true
-	w.seen[code.String()]++
+func (sim *simulation) endAttempt(a *attempt, code result.Code) {
+	a.ended = true
+	sim.eventCounts[code.String()]++
 	if code.Class() == result.ClassNotRun && a.ran {
-		w.violate("told_not_run")
+		sim.violate("told_not_run")
 	}
 	if code == result.TicketExpired {
-		w.expired[a.ticket] = true
+		sim.expired[a.ticket] = true
 	}
 }
 
-func (w *simulation) advance(a *attempt, s step) {
+func (sim *simulation) advance(a *attempt, s step) {
 	switch {
-	case a.over || a.process.dead:
+	case a.ended || a.process.killed:
 	case a.entry == nil:
-		w.beginAgainIfDone(a)
+		sim.beginAgainIfDone(a)
 	case s.Op == "abandon":
 		a.entry.Abandon()
-		a.over = true
-	case !a.checked:
-		w.checkSending(a)
+		a.ended = true
+	case !a.sendChecked:
+		sim.checkSending(a)
 	case a.record == nil:
-		w.transmit(a, s.Arg%answerCount)
+		sim.transmit(a, s.Arg%answerCount)
 	default:
-		w.finish(a)
+		sim.finish(a)
 	}
 }
 
-func (w *simulation) beginAgainIfDone(a *attempt) {
+func (sim *simulation) beginAgainIfDone(a *attempt) {
 	select {
 	case <-a.done:
-		w.begin(a)
+		sim.begin(a)
 	default:
 	}
 }
 
-func (w *simulation) checkSending(a *attempt) {
-	a.checked = true
-	if w.variant == "skip_check" {
+func (sim *simulation) checkSending(a *attempt) {
+	a.sendChecked = true
+	if sim.variant == "skip_check" {
 		a.entry.state = sent
 		return
 	}
-	if refusal := a.entry.Sending(w.clock(a.process)); refusal != nil {
-		w.endAttempt(a, refusal.Code)
+	if refusal := a.entry.Sending(sim.clock(a.process)); refusal != nil {
+		sim.endAttempt(a, refusal.Code)
 	}
 }
 
-func (w *simulation) transmit(a *attempt, answer int) {
+func (sim *simulation) transmit(a *attempt, answer int) {
 	a.record = &Record{
 		Code: []result.Code{result.Done, result.EndpointRefused, result.EndpointCut}[answer],
 	}
@@ -266,33 +266,33 @@
 		return
 	}
 	a.ran = true
-	w.runs[a.ticket]++
-	a.record.Body = fmt.Appendf(nil, "answer %d to %d", w.runs[a.ticket], a.ticket)
-	w.answers[a.ticket] = string(a.record.Body)
-	if w.runs[a.ticket] > 1 {
-		w.violate("doubled")
+	sim.runs[a.ticket]++
+	a.record.Body = fmt.Appendf(nil, "answer %d to %d", sim.runs[a.ticket], a.ticket)
+	sim.answers[a.ticket] = string(a.record.Body)
+	if sim.runs[a.ticket] > 1 {
+		sim.violate("doubled")
 	}
-	if w.expired[a.ticket] {
-		w.violate("expired_ran")
+	if sim.expired[a.ticket] {
+		sim.violate("expired_ran")
 	}
 }
 
-func (w *simulation) finish(a *attempt) {
-	if w.variant == "free_unknown" && a.record.Code == result.EndpointCut {
+func (sim *simulation) finish(a *attempt) {
+	if sim.variant == "free_unknown" && a.record.Code == result.EndpointCut {
 		a.entry.release()
-		a.over = true
+		a.ended = true
 		return
 	}
 	a.entry.Finish(*a.record)
-	w.endAttempt(a, a.record.Code)
+	sim.endAttempt(a, a.record.Code)
 }
 
-func (w *simulation) giveUp(p *process) {
-	early := w.variant == "adopt_before_give_up" && p.handOver == nil
-	h := p.desk.GiveUp(w.clock(p))
+func (sim *simulation) giveUp(p *process) {
+	early := sim.variant == "adopt_before_give_up" && p.handOver == nil
+	h := p.desk.GiveUp(sim.clock(p))
 	p.handOver = &h
 	for i := range h.Rights {
-		if w.variant == "forget_in_flight" {
+		if sim.variant == "forget_in_flight" {
 			h.Rights[i].Records = nil
 		}
 		if early {
@@ -301,12 +301,12 @@
 	}
 }
 
-func (w *simulation) offer(p *process, how int) {
+func (sim *simulation) offer(p *process, delivery int) {
 	if p.handOver == nil {
 		return
 	}
 	var candidates []Holder
-	for _, other := range w.vms {
+	for _, other := range sim.vms {
 		if other != p {
 			candidates = append(candidates, other.holder)
 		}
@@ -315,32 +315,32 @@
 	if !ok {
 		return
 	}
-	p.plan = p.plan.After(o, w.send(p, o, how))
+	p.plan = p.plan.After(o, sim.sendOffer(p, o, delivery))
 }
 
-func (w *simulation) send(p *process, o Offer, how int) Outcome {
+func (sim *simulation) sendOffer(p *process, o Offer, delivery int) Outcome {
 	h := p.handOver.Addressed(o.To)
 	if !o.Rights {
 		h = h.Copy()
 	}
 	vm := int(o.To.VM[0] - 'a')
 	lost := OfferLost
-	if w.variant == "second_successor" {
+	if sim.variant == "second_successor" {
 		lost = OfferNotSent
 	}
-	switch how {
+	switch delivery {
 	case offerNotSent:
 		return OfferNotSent
 	case offerDelayed:
-		w.messages = append(w.messages, delayedMessage{
+		sim.messages = append(sim.messages, delayedMessage{
 			vm:       vm,
 			handOver: h,
 		})
 		return lost
 	}
-	accepted := w.adopt(w.vms[vm], h)
+	accepted := sim.adopt(sim.vms[vm], h)
 	switch {
-	case how == offerReplyLost:
+	case delivery == offerReplyLost:
 		return lost
 	case accepted:
 		return OfferAccepted
@@ -349,18 +349,18 @@
 	}
 }
 
-func (w *simulation) adopt(p *process, h HandOver) bool {
-	if w.variant == "address_by_vm" {
+func (sim *simulation) adopt(p *process, h HandOver) bool {
+	if sim.variant == "address_by_vm" {
 		h.To = p.holder
 	}
-	ok := p.desk.Adopt(h, w.clock(p))
-	w.seen[fmt.Sprint("adopt ", ok)]++
+	ok := p.desk.Adopt(h, sim.clock(p))
+	sim.eventCounts[fmt.Sprint("adopt ", ok)]++
 	return ok
 }
 
 // injectFault applies the variant's fault to a desk.
-func (w *simulation) injectFault(d *Desk, now time.Time) {
-	switch w.variant {
+func (sim *simulation) injectFault(d *Desk, now time.Time) {
+	switch sim.variant {
 	case "evict_at_bound":
 		if d.recordCount == d.maxRecords && len(d.finished) > 0 {
 			d.dropEntry(d.finished[0])
@@ -370,18 +370,18 @@
 			d.dropEntry(d.finished[0])
 		}
 	case "expire_unmarked":
-		for _, c := range d.ticketSets {
-			c.expiredUntil = time.Time{}
+		for _, set := range d.ticketSets {
+			set.expiredUntil = time.Time{}
 		}
 	}
 }
 
 // checkCounters compares each desk's counters and limits with its entries.
-func (w *simulation) checkCounters() {
-	for _, p := range w.vms {
+func (sim *simulation) checkCounters() {
+	for _, p := range sim.vms {
 		entries, used, running := 0, 0, 0
-		for _, c := range p.desk.ticketSets {
-			for _, e := range c.entries {
+		for _, set := range p.desk.ticketSets {
+			for _, e := range set.entries {
 				entries++
 				used += e.size
 				if e.state != finished {
@@ -391,10 +391,10 @@
 		}
 		d := p.desk
 		if entries != d.recordCount || used != d.usedBytes || running != d.runningCount || len(d.finished) != entries-running {
-			w.violate("miscounted")
+			sim.violate("miscounted")
 		}
 		if entries > d.maxRecords || used > d.maxBytes {
-			w.violate("over_bound")
+			sim.violate("over_bound")
 		}
 	}
 }
