--- a/entry/elsewhere.go
+++ b/entry/elsewhere.go
@@ -2,22 +2,22 @@
 
 import "slices"
 
-// Elsewhere returns the regions whose VMs a client may use while none of its own
-// region takes calls. own is the region of the VM that is asked, reached those
-// with VMs that take calls, and bound the homes of each route that is bound to
-// some. A bound call must not come to a VM of a region that is neither the
-// client's nor a home, however near; so the regions that are homes of the most
-// routes are given, or own alone where it is one of them.
+// Elsewhere returns the regions whose VMs a client may use while no VM of its own region
+// accepts calls. own is the region of the VM that answers the client, reached lists the
+// regions with VMs that accept calls, and bound holds the home regions of each route
+// restricted to some. Calls of such a route must not reach a VM outside the client's
+// region and the route's homes. Elsewhere therefore returns the regions that are homes of
+// the most routes, or only own if it is one of them.
 func Elsewhere(own string, bound [][]string, reached []string) []string {
 	var best []string
-	most := 0
+	maxCount := 0
 	for _, region := range reached {
-		count := countHome(bound, region)
-		if count > most {
+		count := countRoutes(bound, region)
+		if count > maxCount {
 			best = nil
-			most = count
+			maxCount = count
 		}
-		if count == most {
+		if count == maxCount {
 			best = append(best, region)
 		}
 	}
@@ -27,7 +27,7 @@
 	return best
 }
 
-func countHome(bound [][]string, region string) int {
+func countRoutes(bound [][]string, region string) int {
 	count := 0
 	for _, homes := range bound {
 		if slices.Contains(homes, region) {
--- a/entry/elsewhere_test.go
+++ b/entry/elsewhere_test.go
@@ -8,7 +8,7 @@
 	"github.com/fuchsianotch/fuchsianotch/common/datatest"
 )
 
-// TestElsewhere asks a VM of region a where a client of region d may go.
+// TestElsewhere asks a VM of region a on behalf of a client of region d.
 func TestElsewhere(t *testing.T) {
 	for _, c := range datatest.Read[[]struct {
 		Name    string
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -1,6 +1,6 @@
-// Package entry decides which VMs a workspace's callers use. It ranks the VMs of
-// a region by rendezvous hashing, so that all VMs agree without a word between
-// them, and the loss of one VM moves only that VM's own workspaces.
+// Package entry decides which VMs the callers of a workspace use. It ranks the VMs of a
+// region by rendezvous hashing, so that all VMs agree without communication and the loss
+// of a VM moves only the workspaces it owned.
 package entry
 
 import (
@@ -15,27 +15,28 @@
 )
 
 const (
-	// MinSpread is the least number of entry VMs of a workspace: its owner and one more.
-	MinSpread = 2
-	// RatePerVM is the contracted requests per second that one VM takes of one
-	// workspace before the workspace is spread over more VMs.
-	RatePerVM = 5
+	// MinEntryVMs is the minimum number of entry VMs of a workspace: its owner and a
+	// backup.
+	MinEntryVMs = 2
+	// RequestsPerSecondPerVM is the contracted rate of a workspace per entry VM. A
+	// workspace with a higher rate is spread over more VMs.
+	RequestsPerSecondPerVM = 5
 )
 
-// Hash returns the hash of a workspace or VM id that Score combines.
+// Hash returns the hash of a workspace or VM ID, as used by Score.
 func Hash(id string) uint64 {
 	return xxhash.Sum64String(id)
 }
 
-// Score returns the rank weight of a VM for a workspace from their hashes. The
-// VM with the highest score owns the workspace; on a tie the lower id does.
+// Score returns the rendezvous weight of a VM for a workspace, given their hashes. The VM
+// with the highest score owns the workspace; the lower ID wins a tie.
 func Score(workspace, vm uint64) uint64 {
-	return mix(workspace ^ mix(vm))
+	return splitMix64(workspace ^ splitMix64(vm))
 }
 
-// mix is the finalizer of SplitMix64 (Steele, Lea, Flood 2014), a bijection
-// whose output bits each depend on all input bits.
-func mix(x uint64) uint64 {
+// splitMix64 is the finalizer of SplitMix64 (Steele, Lea, Flood 2014), a bijection in
+// which every output bit depends on all input bits.
+func splitMix64(x uint64) uint64 {
 	x ^= x >> 30
 	x *= 0xbf58476d1ce4e5b9
 	x ^= x >> 27
@@ -44,8 +45,8 @@
 	return x
 }
 
-// Rank returns the VMs in the workspace's order, the owner first. The result does
-// not depend on the order of the input, which is left as it is.
+// Rank returns the VMs in descending order of their score for the workspace, the owner
+// first. The result is independent of the input order; the input is not modified.
 func Rank(workspace string, vms []fleet.VM) []fleet.VM {
 	h := Hash(workspace)
 	scored := make([]scoredVM, len(vms))
@@ -70,28 +71,29 @@
 	score uint64
 }
 
-// Owner returns the id that Rank puts first, or "" when there are none. It does not allocate.
+// Owner returns the ID of the VM that Rank puts first, or "" if there are none. It does
+// not allocate.
 func Owner(workspace string, ids []string) string {
-	first := best(Hash(workspace), len(ids), func(i int) string { return ids[i] })
+	first := highestScore(Hash(workspace), len(ids), func(i int) string { return ids[i] })
 	if first < 0 {
 		return ""
 	}
 	return ids[first]
 }
 
-// First returns the VM that ranks first for a hash, and false when there are none. It
-// does not allocate.
+// First returns the highest ranked VM for a hash, and false if there are none. It does not
+// allocate.
 func First(hash uint64, vms []fleet.VM) (fleet.VM, bool) {
-	first := best(hash, len(vms), func(i int) string { return vms[i].ID })
+	first := highestScore(hash, len(vms), func(i int) string { return vms[i].ID })
 	if first < 0 {
 		return fleet.VM{}, false
 	}
 	return vms[first], true
 }
 
-// best returns the index of the id with the highest score, or -1 when there are none;
-// on a tie the lower id wins.
-func best(hash uint64, count int, id func(int) string) int {
+// highestScore returns the index of the ID with the highest score, or -1 if there are
+// none. The lower ID wins a tie.
+func highestScore(hash uint64, count int, id func(int) string) int {
 	first := -1
 	var highest uint64
 	for i := range count {
@@ -104,23 +106,23 @@
 	return first
 }
 
-// Spread returns the number of entry VMs of a workspace. It depends on the
-// contract and the number of VMs alone, so that all VMs agree.
+// Spread returns the number of entry VMs of a workspace. It depends only on the contract
+// and the number of VMs, so that all VMs agree.
 func Spread(terms contract.RegionTerms, vms int) int {
 	k := vms
-	if wanted := math.Ceil(terms.RequestsPerSecond / RatePerVM); wanted < float64(vms) {
-		k = int(wanted)
+	if needed := math.Ceil(terms.RequestsPerSecond / RequestsPerSecondPerVM); needed < float64(vms) {
+		k = int(needed)
 	}
-	return min(max(k, MinSpread), vms)
+	return min(max(k, MinEntryVMs), vms)
 }
 
-// Order returns the VMs in the order in which one caller should try them. The k
-// entry VMs come first. A workspace with more than MinSpread of them is hot:
-// nonce, which differs from caller to caller, rotates them to spread its calls.
+// Order returns the VMs in the order in which a caller should try them, beginning with the
+// k entry VMs. If k is greater than MinEntryVMs, the entry VMs are rotated by nonce, which
+// differs between callers, to balance the load.
 func Order(workspace string, vms []fleet.VM, k int, nonce uint64) []fleet.VM {
 	ranked := Rank(workspace, vms)
 	k = min(k, len(ranked))
-	if k <= MinSpread {
+	if k <= MinEntryVMs {
 		return ranked
 	}
 	first := int(nonce % uint64(k))
--- a/entry/entry_test.go
+++ b/entry/entry_test.go
@@ -34,9 +34,9 @@
 	return out
 }
 
-// zipf returns the contracted requests per second of each workspace, with a Zipf
-// skew of exponent one, for a mean of perVM requests per second on each VM.
-func zipf(vms int, perVM float64) []contract.RegionTerms {
+// zipfTerms returns contracts whose request rates follow a Zipf distribution with exponent
+// 1, with an average of perVM requests per second for each VM.
+func zipfTerms(vms int, perVM float64) []contract.RegionTerms {
 	sum := 0.0
 	for i := range workspaces {
 		sum += 1 / float64(i+1)
@@ -48,8 +48,9 @@
 	return terms
 }
 
-// load is each VM's load over the mean when each workspace uses its contract.
-func load(list []fleet.VM, terms []contract.RegionTerms, seed, spread int) []float64 {
+// relativeLoad returns the load of each VM relative to the mean, if every workspace uses
+// its full contract.
+func relativeLoad(list []fleet.VM, terms []contract.RegionTerms, seed, spread int) []float64 {
 	sums := make(map[string]float64)
 	total := 0.0
 	names := ids(list)
@@ -58,7 +59,7 @@
 		if k == 0 {
 			k = Spread(t, len(list))
 		}
-		if k <= MinSpread {
+		if k <= MinEntryVMs {
 			sums[Owner(fmt.Sprintf("ws-%d-%d", seed, i), names)] += t.RequestsPerSecond
 			total += t.RequestsPerSecond
 			continue
@@ -80,7 +81,7 @@
 	for _, n := range []int{8, 32, 100} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
 			for seed := range 2 {
-				most := slices.Max(load(vms(n), zipf(n, 1000), seed, 0))
+				most := slices.Max(relativeLoad(vms(n), zipfTerms(n, 1000), seed, 0))
 				assert.Assert(t, most <= 1.3, "the most loaded VM has %.2f of the mean", most)
 			}
 		})
@@ -133,8 +134,8 @@
 		want int
 	}{
 		{rate: 0, vms: 8, want: 2},
-		{rate: 2 * RatePerVM, vms: 8, want: 2},
-		{rate: 2*RatePerVM + 1, vms: 8, want: 3},
+		{rate: 2 * RequestsPerSecondPerVM, vms: 8, want: 2},
+		{rate: 2*RequestsPerSecondPerVM + 1, vms: 8, want: 3},
 		{rate: 1e300, vms: 8, want: 8},
 		{rate: 100, vms: 1, want: 1},
 		{rate: 100, vms: 0, want: 0},
@@ -183,16 +184,16 @@
 	}
 }
 
-// BenchmarkLoad reports the most loaded VM over the mean, with hot workspaces
-// spread by contract and without; its time means nothing.
+// BenchmarkLoad reports the highest relative load of a VM, with workspaces spread by
+// contract and with one entry VM each. Its time is meaningless.
 func BenchmarkLoad(b *testing.B) {
 	for _, n := range []int{8, 32, 100} {
 		for _, perVM := range []float64{50, 200, 1000} {
 			b.Run(fmt.Sprintf("vms=%d/rps_per_vm=%v", n, perVM), func(b *testing.B) {
 				var spread, single []float64
 				for seed := range 5 {
-					spread = append(spread, slices.Max(load(vms(n), zipf(n, perVM), seed, 0)))
-					single = append(single, slices.Max(load(vms(n), zipf(n, perVM), seed, 1)))
+					spread = append(spread, slices.Max(relativeLoad(vms(n), zipfTerms(n, perVM), seed, 0)))
+					single = append(single, slices.Max(relativeLoad(vms(n), zipfTerms(n, perVM), seed, 1)))
 				}
 				slices.Sort(spread)
 				slices.Sort(single)
--- a/entry/near.go
+++ b/entry/near.go
@@ -6,25 +6,25 @@
 	"github.com/fuchsianotch/fuchsianotch/fleet"
 )
 
-// nearLeast is the part of the usual number of VMs that a client's data centre must
-// have for the client to be told of these alone: with fewer, each would take the
-// calls of one that is lost there too.
-const nearLeast = 0.75
+// minLocalFraction is the fraction of the average number of VMs per data centre that a
+// client's data centre needs for the client to use its VMs only. With fewer VMs, the
+// remaining ones would be overloaded.
+const minLocalFraction = 0.75
 
-// Near returns the VMs that a client is told of, at most so many: those of its data
-// centre, whose bytes do not cross to another one, while enough of them take calls,
-// or else those of all data centres. Where that is too many, each client is told of
-// others, and of the same ones each time: clients leave the connections to VMs that
-// an answer no longer names.
-func Near(client, dataCentre string, vms []fleet.VM, most int) []fleet.VM {
-	near := inDataCentre(dataCentre, vms)
-	if usual := float64(len(vms)) / float64(countDataCentres(vms)); float64(len(near)) >= nearLeast*usual {
-		vms = near
+// Near returns at most limit VMs for a client to use. It prefers the VMs of
+// the client's data centre, to avoid traffic between data centres, if enough of them
+// accept calls, and uses all data centres otherwise. If there are too many VMs, each
+// client gets its own stable selection, since clients close connections to VMs that are no
+// longer listed.
+func Near(client, dataCentre string, vms []fleet.VM, limit int) []fleet.VM {
+	local := inDataCentre(dataCentre, vms)
+	if average := float64(len(vms)) / float64(countDataCentres(vms)); float64(len(local)) >= minLocalFraction*average {
+		vms = local
 	}
-	if len(vms) <= most {
+	if len(vms) <= limit {
 		return vms
 	}
-	return Rank(client, vms)[:most]
+	return Rank(client, vms)[:limit]
 }
 
 func inDataCentre(dataCentre string, vms []fleet.VM) []fleet.VM {
--- a/entry/near_test.go
+++ b/entry/near_test.go
@@ -11,45 +11,46 @@
 	"github.com/fuchsianotch/fuchsianotch/fleet"
 )
 
-// TestNear asks for many clients of data centre a.
+// TestNear selects VMs for many clients of data centre a.
 func TestNear(t *testing.T) {
 	for _, c := range datatest.Read[[]struct {
 		Name string
-		// VMs is how many take calls by data centre.
+		// VMs is the number of VMs that accept calls in each data centre.
 		VMs  map[string]int
 		Most int
-		// Each is how many VMs one client is told of, All how many of each data centre
-		// are told to any, and Clients the most that are told of one VM, of 300.
+		// Each is the number of VMs listed to one client, All the number of distinct VMs
+		// listed per data centre, and Clients the maximum number of the 300 clients that
+		// use one VM.
 		Each    int
 		All     map[string]int
 		Clients int
 	}](t, "testdata/near.json") {
 		t.Run(c.Name, func(t *testing.T) {
 			list := vmsIn(c.VMs)
-			told := make(map[string]int)
+			clientsByVM := make(map[string]int)
 			for i := range 300 {
 				client := fmt.Sprintf("10.0.0.%d", i)
 				near := Near(client, "a", list, c.Most)
 				assert.Equal(t, len(near), c.Each)
 				assert.DeepEqual(t, Near(client, "a", list, c.Most), near)
 				for _, vm := range near {
-					told[vm.ID]++
+					clientsByVM[vm.ID]++
 				}
 			}
 			all := make(map[string]int)
 			for _, vm := range list {
-				if told[vm.ID] > 0 {
+				if clientsByVM[vm.ID] > 0 {
 					all[vm.DataCentre]++
 				}
-				assert.Assert(t, told[vm.ID] <= c.Clients, "%s is told to %d", vm.ID, told[vm.ID])
+				assert.Assert(t, clientsByVM[vm.ID] <= c.Clients, "%s is listed to %d clients", vm.ID, clientsByVM[vm.ID])
 			}
 			assert.DeepEqual(t, all, c.All)
 		})
 	}
 }
 
-// TestNearStays holds that the loss of a VM takes a client away from no other.
-func TestNearStays(t *testing.T) {
+// TestNearIsStable checks that the loss of a VM does not change a client's other VMs.
+func TestNearIsStable(t *testing.T) {
 	list := vmsIn(map[string]int{"a": 100})
 	before := Near("10.0.0.1", "a", list, 64)
 	after := Near("10.0.0.1", "a", slices.DeleteFunc(slices.Clone(list), func(vm fleet.VM) bool { return vm.ID == before[3].ID }), 64)
