--- a/borrow/borrow.go
+++ b/borrow/borrow.go
@@ -1,5 +1,5 @@
-// Package borrow decides when a call leaves its region for another one's
-// surplus, what a VM offers to other regions, and which strangers it takes.
+// Package borrow decides when a call is sent to another region with spare capacity, how
+// much capacity a VM offers to other regions, and which of their calls it accepts.
 package borrow
 
 import (
@@ -7,89 +7,92 @@
 	"time"
 )
 
-// The policies that Request names. PolicySurplus is the default; the others are
-// baselines to compare it with.
+// Policies of a Request. PolicySurplus is the default; the others are baselines for
+// comparison.
 const (
 	PolicySurplus = "surplus"
 	PolicyNever   = "never"
 	PolicyAlways  = "always"
 )
 
-// prefillPerSecond is the speed of a cold prompt where an offer names none, in tokens.
-const prefillPerSecond = 4000
+// defaultPrefillPerSecond is the prefill rate, in tokens per second for an uncached
+// prompt, assumed for an offer without one.
+const defaultPrefillPerSecond = 4000
 
-// Offer is capacity for one target that a VM offers to other regions.
+// Offer is spare capacity for one target that a VM offers to other regions.
 type Offer struct {
 	Region string
 	VM     string
 	Target string
 	// TokensPerSecond counts prompt and generated tokens together.
 	TokensPerSecond float64
-	// Wait is the expected time in the queue there.
+	// Wait is the expected queueing time at the offering VM.
 	Wait time.Duration
-	// Until ends the offer.
+	// Until is when the offer expires.
 	Until time.Time
-	// OneWay is the delay to the region; the asking side fills it in.
+	// OneWay is the network delay to the region, filled in by the receiver of the offer.
 	OneWay time.Duration
-	// PrefillPerSecond is the speed of a cold prompt there; zero means unknown.
+	// PrefillPerSecond is the prefill rate for an uncached prompt; zero means unknown.
 	PrefillPerSecond float64
 }
 
-// Request is one call that its own region may not serve in time.
+// Request is a call that its own region may be unable to serve in time.
 type Request struct {
-	// Policy is one of the constants; empty means PolicySurplus.
+	// Policy is one of the Policy constants; empty means PolicySurplus.
 	Policy string
 	Target string
-	// Regions are the other regions that the contract allows; none for bound data.
+	// Regions lists the other regions that the contract allows. It is empty for data that
+	// must not leave its region.
 	Regions []string
-	// Allowed is false when the contract's borrowing share is used up.
+	// Allowed is false if the contract's borrowing share is used up.
 	Allowed bool
-	// LocalWait is the expected time in the own queue, First from there to the
-	// first token and Service to the end of the answer.
+	// LocalWait is the expected time in the local queue. First is the expected time from
+	// there to the first token, and Service to the end of the answer.
 	LocalWait time.Duration
 	First     time.Duration
 	Service   time.Duration
-	// Unavailable is set when the own region has no endpoint for the target.
+	// Unavailable is set if the local region has no endpoint for the target.
 	Unavailable bool
-	// FirstBy and WholeBy are deadlines; a zero time means none.
+	// FirstBy and WholeBy are the deadlines for the first token and for the whole answer;
+	// zero means none.
 	FirstBy      time.Time
 	WholeBy      time.Time
 	PromptTokens int
 	MaxTokens    int
-	// Damper limits what leaves; nil means no limit.
+	// Damper limits the rate of calls to other regions; nil means no limit.
 	Damper *Damper
-	// Draw is a random number that spreads calls over offers that are equal.
+	// Draw is a random number that spreads calls over equivalent offers.
 	Draw uint64
 }
 
-// Decide names the offer to send the call to. It returns false when the call
-// stays: the contract forbids it, the own region meets the deadline, no fresh
-// offer does, or the damper holds it back.
+// Decide returns the offer to send the call to. It returns false if the call stays in its
+// region, because the contract forbids sending it, the region meets its deadlines, no
+// valid offer does, or the Damper limits it.
 func Decide(r Request, offers []Offer, now time.Time) (Offer, bool) {
 	if r.Policy == PolicyNever || !r.Allowed || len(r.Regions) == 0 {
 		return Offer{}, false
 	}
-	if r.meets(now.Add(r.LocalWait)) && !r.Unavailable {
+	if r.meetsDeadlines(now.Add(r.LocalWait)) && !r.Unavailable {
 		return Offer{}, false
 	}
-	best, ok := r.best(offers, now)
-	if !ok || !r.damped() {
+	best, ok := r.bestOffer(offers, now)
+	if !ok || !r.rateLimited() {
 		return best, ok
 	}
 	return best, r.Damper.Allow(best, r.tokens(), now)
 }
 
-// best returns the offer with the earliest first token among those that serve in
-// time and that the damper leaves open.
-func (r Request) best(offers []Offer, now time.Time) (Offer, bool) {
+// bestOffer returns the offer with the earliest first token among those that meet the
+// deadlines and have capacity left.
+func (r Request) bestOffer(offers []Offer, now time.Time) (Offer, bool) {
 	var best Offer
 	found := false
 	for i := range offers {
 		o := offers[(i+int(r.Draw%uint64(len(offers))))%len(offers)]
-		if !r.fits(o, now) || (found && o.delay(r) >= best.delay(r)) {
+		if !r.eligible(o, now) || (found && o.delay(r) >= best.delay(r)) {
 			continue
 		}
-		if r.damped() && !r.Damper.Open(o, now) {
+		if r.rateLimited() && !r.Damper.HasCapacity(o, now) {
 			continue
 		}
 		best = o
@@ -98,13 +101,13 @@
 	return best, found
 }
 
-// damped reports whether the damper limits the call.
-func (r Request) damped() bool {
+// rateLimited reports whether the Damper applies to the call.
+func (r Request) rateLimited() bool {
 	return r.Policy != PolicyAlways && r.Damper != nil
 }
 
-// fits reports whether the offer can be used for the call.
-func (r Request) fits(o Offer, now time.Time) bool {
+// eligible reports whether the offer can serve the call.
+func (r Request) eligible(o Offer, now time.Time) bool {
 	switch {
 	case o.Target != r.Target, !slices.Contains(r.Regions, o.Region):
 		return false
@@ -113,24 +116,24 @@
 	case !o.Until.After(now), o.TokensPerSecond <= 0:
 		return false
 	default:
-		return r.meets(now.Add(o.delay(r)))
+		return r.meetsDeadlines(now.Add(o.delay(r)))
 	}
 }
 
-// delay is the expected time from now to the start of decoding at the other
-// region beyond what a warm endpoint here needs: the way there and back, the
-// wait there and a cold prefill.
+// delay returns the expected extra time until decoding starts in the other region,
+// compared with a local endpoint that has the prompt cached: the round trip, the queueing
+// time and the prefill.
 func (o Offer) delay(r Request) time.Duration {
 	rate := o.PrefillPerSecond
 	if rate <= 0 {
-		rate = prefillPerSecond
+		rate = defaultPrefillPerSecond
 	}
-	cold := time.Duration(float64(r.PromptTokens) / rate * float64(time.Second))
-	return 2*o.OneWay + o.Wait + cold
+	prefill := time.Duration(float64(r.PromptTokens) / rate * float64(time.Second))
+	return 2*o.OneWay + o.Wait + prefill
 }
 
-// meets reports whether a call that starts at the moment is on time.
-func (r Request) meets(start time.Time) bool {
+// meetsDeadlines reports whether a call that starts at the given time meets its deadlines.
+func (r Request) meetsDeadlines(start time.Time) bool {
 	if !r.FirstBy.IsZero() && start.Add(r.First).After(r.FirstBy) {
 		return false
 	}
--- a/borrow/borrow_test.go
+++ b/borrow/borrow_test.go
@@ -31,7 +31,7 @@
 	Want        string
 }
 
-// TestDecide asks for a first token within 1.5 s and the answer within 10 s.
+// TestDecide uses deadlines of 1.5 s for the first token and 10 s for the answer.
 func TestDecide(t *testing.T) {
 	data, err := os.ReadFile("testdata/decide.json")
 	assert.NilError(t, err)
@@ -66,8 +66,8 @@
 				First:        100 * time.Millisecond,
 				Service:      duration(t, cmp.Or(c.Service, "2s")),
 				Unavailable:  c.Unavailable,
-				FirstBy:      now.Add(firstWithin),
-				WholeBy:      now.Add(wholeWithin),
+				FirstBy:      now.Add(firstTokenTimeout),
+				WholeBy:      now.Add(answerTimeout),
 				PromptTokens: c.Prompt,
 				Damper:       borrow.NewDamper(1),
 			}, offers, now)
@@ -83,9 +83,9 @@
 	return d
 }
 
-// TestDamperBounds holds that what leaves stays within the offer and one call
-// more, whatever the answers, and that refusals only lower it.
-func TestDamperBounds(t *testing.T) {
+// TestDamperLimitsSentTokens checks that the tokens sent exceed the offer by at most one
+// call, and that refusals keep them within an even share of it.
+func TestDamperLimitsSentTokens(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const rate, size = 1000.0, 300.0
 		asking := rapid.IntRange(1, 8).Draw(t, "asking")
@@ -117,9 +117,9 @@
 	})
 }
 
-// TestGateOwnFirst holds that strangers get no more than the surplus, nothing
-// while own calls wait, and never the last empty slot.
-func TestGateOwnFirst(t *testing.T) {
+// TestGatePrioritizesLocalCalls checks that calls of other regions use at most the
+// surplus, are refused while local calls are queued, and never take the last free slot.
+func TestGatePrioritizesLocalCalls(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var g borrow.Gate
 		now := start
--- a/borrow/damper.go
+++ b/borrow/damper.go
@@ -6,112 +6,112 @@
 )
 
 const (
-	// leastFactor bounds the multiplicative decrease.
-	leastFactor = 1.0 / 64
-	// increase is added to the factor for each answer in time. The factor may grow
-	// until the whole offer is used, as most of those that may ask do not.
-	increase = 0.1
-	// decrease multiplies the factor on a refusal.
-	decrease = 0.7
-	// burst is how many seconds of the allowed rate may leave at once.
-	burst = 1.0
+	// minFactor is the lower bound of the rate factor.
+	minFactor = 1.0 / 64
+	// additiveIncrease is added to the factor for each call served in time. The factor may
+	// grow until one VM uses the whole offer, since most others use none of it.
+	additiveIncrease = 0.1
+	// multiplicativeDecrease is applied to the factor on each refusal.
+	multiplicativeDecrease = 0.7
+	// burstSeconds is the bucket capacity, in seconds of the current rate.
+	burstSeconds = 1.0
 )
 
-// Damper limits what this VM sends to each offering VM: its part of the offer,
-// which shrinks on refusals and grows with answers. It is safe for concurrent use.
+// Damper limits the rate of tokens sent to each offering VM, with additive increase and
+// multiplicative decrease. It is safe for concurrent use.
 type Damper struct {
-	mu      sync.Mutex
-	asking  int
-	lenders map[lender]*lending
+	mu        sync.Mutex
+	borrowers int
+	buckets   map[bucketKey]*bucket
 }
 
-// lender is one VM's capacity for one target.
-type lender struct {
+// bucketKey identifies the capacity of one VM for one target.
+type bucketKey struct {
 	vm     string
 	target string
 }
 
-// lending is a token bucket with its rate's factor.
-type lending struct {
-	factor float64
-	tokens float64
-	at     time.Time
+// bucket is a token bucket with the factor of its rate.
+type bucket struct {
+	factor     float64
+	tokens     float64
+	refilledAt time.Time
 }
 
-// NewDamper makes a Damper for an offer that reaches so many asking VMs.
-func NewDamper(asking int) *Damper {
+// NewDamper returns a Damper for offers shared by the given number of VMs.
+func NewDamper(borrowers int) *Damper {
 	return &Damper{
-		asking:  max(asking, 1),
-		lenders: map[lender]*lending{},
+		borrowers: max(borrowers, 1),
+		buckets:   map[bucketKey]*bucket{},
 	}
 }
 
-// SetAsking says how many VMs may use the same offers.
+// SetAsking sets the number of VMs that share the same offers.
 func (d *Damper) SetAsking(n int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.asking = max(n, 1)
+	d.borrowers = max(n, 1)
 }
 
-// Open reports whether anything is left of this VM's part of the offer.
-func (d *Damper) Open(o Offer, now time.Time) bool {
+// HasCapacity reports whether this VM's bucket for the offer is not empty.
+func (d *Damper) HasCapacity(o Offer, now time.Time) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.fill(o, now).tokens > 0
+	return d.refill(o, now).tokens > 0
 }
 
-// Allow takes a call's tokens from this VM's part of the offer. A call may
-// overdraw an unspent part, so that one larger than it can leave at all.
+// Allow takes a call's tokens from this VM's bucket for the offer. Any non-empty bucket
+// admits a call of any size, so that large calls are not blocked forever.
 func (d *Damper) Allow(o Offer, tokens float64, now time.Time) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	l := d.fill(o, now)
-	if l.tokens <= 0 {
+	b := d.refill(o, now)
+	if b.tokens <= 0 {
 		return false
 	}
-	l.tokens -= tokens
+	b.tokens -= tokens
 	return true
 }
 
-// fill brings the bucket up to date.
-func (d *Damper) fill(o Offer, now time.Time) *lending {
-	l := d.lending(o, now)
-	rate := o.TokensPerSecond / float64(d.asking) * l.factor
-	l.tokens = min(l.tokens+rate*now.Sub(l.at).Seconds(), rate*burst)
-	l.at = now
-	return l
+// refill returns the bucket with the tokens accrued since the last refill.
+func (d *Damper) refill(o Offer, now time.Time) *bucket {
+	b := d.bucket(o, now)
+	rate := o.TokensPerSecond / float64(d.borrowers) * b.factor
+	b.tokens = min(b.tokens+rate*now.Sub(b.refilledAt).Seconds(), rate*burstSeconds)
+	b.refilledAt = now
+	return b
 }
 
-// Served reports an answer in time from the offering VM.
+// Served records that the offering VM served a call in time.
 func (d *Damper) Served(o Offer, now time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	l := d.lending(o, now)
-	l.factor = min(l.factor+increase, float64(d.asking))
+	b := d.bucket(o, now)
+	b.factor = min(b.factor+additiveIncrease, float64(d.borrowers))
 }
 
-// Refused reports that the offering VM refused or was late.
+// Refused records that the offering VM refused a call or answered late.
 func (d *Damper) Refused(o Offer, now time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	l := d.lending(o, now)
-	l.factor = max(l.factor*decrease, leastFactor)
-	l.tokens = min(l.tokens, 0)
+	b := d.bucket(o, now)
+	b.factor = max(b.factor*multiplicativeDecrease, minFactor)
+	b.tokens = min(b.tokens, 0)
 }
 
-func (d *Damper) lending(o Offer, now time.Time) *lending {
-	key := lender{
+func (d *Damper) bucket(o Offer, now time.Time) *bucket {
+	key := bucketKey{
 		vm:     o.VM,
 		target: o.Target,
 	}
-	l, ok := d.lenders[key]
+	b, ok := d.buckets[key]
 	if !ok {
-		l = &lending{
-			factor: 1,
-			tokens: o.TokensPerSecond / float64(d.asking),
-			at:     now,
+		b = &bucket{
+			factor:     1,
+			tokens:     o.TokensPerSecond / float64(d.borrowers),
+			refilledAt: now,
 		}
-		d.lenders[key] = l
+		d.buckets[key] = b
 	}
-	return l
+	return b
 }
--- a/borrow/simulation_test.go
+++ b/borrow/simulation_test.go
@@ -18,45 +18,45 @@
 )
 
 const (
-	seeds        = 5
-	regions      = 3
-	vmsPerRegion = 3
-	engines      = 4
-	engineSlots  = 8
-	oneWay       = 40 * time.Millisecond
-	warmUp       = 60 * time.Second
-	runFor       = 240 * time.Second
-	holdSeconds  = 2.0
-	// lendersPerCall is as in package serving.
-	lendersPerCall = 2
-	// demandSeconds is the time over which own demand is averaged.
-	demandSeconds = 16
-	promptTokens  = 1100
-	prefixTokens  = 1000
-	maxTokens     = 256
-	firstWithin   = 1500 * time.Millisecond
-	wholeWithin   = 10 * time.Second
-	target        = "advice"
-	// policyUndamped is the decision without the damper and the gate.
+	seeds              = 5
+	regions            = 3
+	vmsPerRegion       = 3
+	engines            = 4
+	engineSlots        = 8
+	oneWay             = 40 * time.Millisecond
+	warmUp             = 60 * time.Second
+	runFor             = 240 * time.Second
+	meanServiceSeconds = 2.0
+	// maxAttempts matches the limit in package serving.
+	maxAttempts = 2
+	// demandSamples is the number of one-second samples averaged as local demand.
+	demandSamples     = 16
+	promptTokens      = 1100
+	prefixTokens      = 1000
+	maxTokens         = 256
+	firstTokenTimeout = 1500 * time.Millisecond
+	answerTimeout     = 10 * time.Second
+	target            = "advice"
+	// policyUndamped is PolicySurplus without the Damper and the Gate.
 	policyUndamped = "undamped"
 )
 
-type scene struct {
+type scenario struct {
 	policy string
 	load   float64
-	// lost is how many of the first region's engines end after the warm-up.
-	lost int
+	// lostEngines is the number of the first region's engines that stop after the warm-up.
+	lostEngines int
 }
 
-// BenchmarkDecision compares the policies; run it with -benchtime 1x.
+// BenchmarkDecision compares the policies. Run it with -benchtime 1x.
 func BenchmarkDecision(b *testing.B) {
 	for _, load := range []float64{0.5, 0.8} {
 		for _, lost := range []int{2, 4} {
 			for _, policy := range []string{borrow.PolicySurplus, policyUndamped, borrow.PolicyNever, borrow.PolicyAlways} {
-				s := scene{
-					policy: policy,
-					load:   load,
-					lost:   lost,
+				s := scenario{
+					policy:      policy,
+					load:        load,
+					lostEngines: lost,
 				}
 				b.Run(fmt.Sprintf("load=%.0f/lost=%d/%s", 100*load, lost, policy), s.benchmark)
 			}
@@ -64,7 +64,7 @@
 	}
 }
 
-func (s scene) benchmark(b *testing.B) {
+func (s scenario) benchmark(b *testing.B) {
 	for b.Loop() {
 		all := map[string][]float64{}
 		for seed := range uint64(seeds) {
@@ -80,94 +80,94 @@
 	}
 }
 
-// vm is one entry VM with its own view of its region.
+// vm is an entry VM with its own view of its region.
 type vm struct {
-	region int
-	name   string
-	pool   *routing.Pool
-	state  *admission.State
-	damper *borrow.Damper
-	gate   borrow.Gate
-	waits  map[uint64]*job
-	// own are samples of the region's demand without strangers.
-	own       []float64
-	strangers int
-	offers    map[string]borrow.Offer
+	region  int
+	name    string
+	pool    *routing.Pool
+	state   *admission.State
+	damper  *borrow.Damper
+	gate    borrow.Gate
+	pending map[uint64]*job
+	// localDemand holds samples of the region's demand without calls of other regions.
+	localDemand []float64
+	remoteCalls int
+	offers      map[string]borrow.Offer
 }
 
-// job is one call of a caller.
+// job is one call.
 type job struct {
 	home, prefix int
 	tokens       int
-	cameAt       time.Time
-	away         bool
-	// tries are the lenders that it was sent to.
-	tries   int
-	refused func()
-	// ended is set for a stranger that was taken.
-	ended func()
+	arrivedAt    time.Time
+	remote       bool
+	// attempts is the number of VMs in other regions that the call was sent to.
+	attempts  int
+	onRefused func()
+	// release is called when an accepted call of another region ends.
+	release func()
 }
 
-type rig struct {
-	scene
-	clock   *enginetest.Clock
-	random  *rand.Rand
-	engines map[string]*enginetest.Engine
-	vms     []*vm
-	lastID  uint64
-	from    time.Time
-	// The counts are by the caller's region; home is the one that lost engines.
-	came, inTime, sent, bounced [regions]float64
-	first                       [2]*enginetest.Latencies
+type simulation struct {
+	scenario
+	clock       *enginetest.Clock
+	random      *rand.Rand
+	engines     map[string]*enginetest.Engine
+	vms         []*vm
+	lastID      uint64
+	measureFrom time.Time
+	// Counts are indexed by the caller's region; region 0 is the one that loses engines.
+	arrived, inTime, sent, refusedRemotely [regions]float64
+	firstToken                             [2]*enginetest.Latencies
 }
 
-func (s scene) run(seed uint64) map[string]float64 {
-	r := &rig{
-		scene:   s,
-		clock:   enginetest.NewClock(),
-		random:  rand.New(rand.NewPCG(seed, 3)),
-		engines: map[string]*enginetest.Engine{},
-		first:   [2]*enginetest.Latencies{enginetest.NewLatencies(), enginetest.NewLatencies()},
+func (s scenario) run(seed uint64) map[string]float64 {
+	r := &simulation{
+		scenario:   s,
+		clock:      enginetest.NewClock(),
+		random:     rand.New(rand.NewPCG(seed, 3)),
+		engines:    map[string]*enginetest.Engine{},
+		firstToken: [2]*enginetest.Latencies{enginetest.NewLatencies(), enginetest.NewLatencies()},
 	}
-	r.from = r.clock.Now().Add(warmUp)
+	r.measureFrom = r.clock.Now().Add(warmUp)
 	for region := range regions {
 		r.startRegion(region)
 	}
-	r.clock.After(warmUp, func() { r.list(0, engines-s.lost) })
+	r.clock.After(warmUp, func() { r.setEndpoints(0, engines-s.lostEngines) })
 	end := r.clock.Now().Add(runFor)
 	for region := range regions {
-		r.clock.Poisson(r.random, s.load*engines*engineSlots/holdSeconds, end, func() { r.arrive(region) })
+		r.clock.Poisson(r.random, s.load*engines*engineSlots/meanServiceSeconds, end, func() { r.arrive(region) })
 	}
 	r.clock.Run(end.Add(time.Minute))
 	others := func(counts [regions]float64) float64 { return counts[1] + counts[2] }
 	return map[string]float64{
-		"home_in_time_pct":   100 * r.inTime[0] / r.came[0],
-		"home_p99_ms":        r.first[0].Milliseconds(99),
-		"sent_away_pct":      100 * r.sent[0] / r.came[0],
-		"bounced_pct":        100 * r.bounced[0] / max(r.sent[0], 1),
-		"others_in_time_pct": 100 * others(r.inTime) / others(r.came),
-		"others_p99_ms":      r.first[1].Milliseconds(99),
+		"home_in_time_pct":   100 * r.inTime[0] / r.arrived[0],
+		"home_p99_ms":        r.firstToken[0].Milliseconds(99),
+		"sent_away_pct":      100 * r.sent[0] / r.arrived[0],
+		"bounced_pct":        100 * r.refusedRemotely[0] / max(r.sent[0], 1),
+		"others_in_time_pct": 100 * others(r.inTime) / others(r.arrived),
+		"others_p99_ms":      r.firstToken[1].Milliseconds(99),
 	}
 }
 
 func endpointID(region, i int) string { return fmt.Sprintf("r%d-e%d", region, i) }
 
-func (r *rig) startRegion(region int) {
+func (r *simulation) startRegion(region int) {
 	for v := range vmsPerRegion {
 		m := &vm{
-			region: region,
-			name:   fmt.Sprintf("r%d-v%d", region, v),
-			pool:   routing.New(routing.Options{Rand: r.random.Uint64}),
-			state:  admission.NewState(admission.Options{}),
-			damper: borrow.NewDamper((regions - 1) * vmsPerRegion),
-			waits:  map[uint64]*job{},
-			offers: map[string]borrow.Offer{},
+			region:  region,
+			name:    fmt.Sprintf("r%d-v%d", region, v),
+			pool:    routing.New(routing.Options{Rand: r.random.Uint64}),
+			state:   admission.NewState(admission.Options{}),
+			damper:  borrow.NewDamper((regions - 1) * vmsPerRegion),
+			pending: map[uint64]*job{},
+			offers:  map[string]borrow.Offer{},
 		}
 		m.pool.SetVMs(vmsPerRegion)
 		r.vms = append(r.vms, m)
 		r.clock.Every(20*time.Millisecond, func() { r.step(m, admission.Message{Kind: admission.MessageTick}) })
 		r.clock.After(time.Duration(r.random.IntN(1000))*time.Millisecond, func() {
-			r.clock.Every(time.Second, func() { r.offer(m) })
+			r.clock.Every(time.Second, func() { r.publishOffer(m) })
 		})
 	}
 	for i := range engines {
@@ -188,10 +188,10 @@
 			})
 		})
 	}
-	r.list(region, engines)
+	r.setEndpoints(region, engines)
 }
 
-func (r *rig) list(region, n int) {
+func (r *simulation) setEndpoints(region, n int) {
 	var list []fleet.Endpoint
 	for i := range n {
 		list = append(list, fleet.Endpoint{
@@ -207,14 +207,14 @@
 	}
 }
 
-// offer tells the VM's surplus to the VMs of other regions.
-func (r *rig) offer(m *vm) {
+// publishOffer sends the VM's surplus to the VMs of other regions.
+func (r *simulation) publishOffer(m *vm) {
 	supply := m.pool.Supply(r.clock.Now())
-	m.own = append(m.own, supply.Slots-supply.Free-float64(m.strangers*vmsPerRegion))
-	if len(m.own) > demandSeconds {
-		m.own = m.own[1:]
+	m.localDemand = append(m.localDemand, supply.Slots-supply.Free-float64(m.remoteCalls*vmsPerRegion))
+	if len(m.localDemand) > demandSamples {
+		m.localDemand = m.localDemand[1:]
 	}
-	o := borrow.Surplus(r.surplus(m), r.clock.Now())
+	o := borrow.Surplus(r.capacityState(m), r.clock.Now())
 	o.OneWay = oneWay
 	r.clock.After(oneWay, func() {
 		for _, other := range r.vms {
@@ -225,13 +225,13 @@
 	})
 }
 
-func (r *rig) surplus(m *vm) borrow.State {
+func (r *simulation) capacityState(m *vm) borrow.State {
 	now := r.clock.Now()
 	supply := m.pool.Supply(now)
 	wait, _ := m.pool.Estimate(routing.Request{}, now)
-	own := 0.0
-	for _, slots := range m.own {
-		own += slots / float64(len(m.own))
+	demand := 0.0
+	for _, slots := range m.localDemand {
+		demand += slots / float64(len(m.localDemand))
 	}
 	return borrow.State{
 		Region:           fmt.Sprint(m.region),
@@ -241,43 +241,43 @@
 		Free:             supply.Free,
 		TokensPerSecond:  supply.SlotTokensPerSecond,
 		PrefillPerSecond: supply.PrefillPerSecond,
-		Demand:           max(own, 0),
-		Waiting:          len(m.waits),
+		Demand:           max(demand, 0),
+		Waiting:          len(m.pending),
 		Wait:             wait,
 		VMs:              vmsPerRegion,
 		Until:            now.Add(3 * time.Second),
 	}
 }
 
-func (r *rig) arrive(region int) {
+func (r *simulation) arrive(region int) {
 	j := &job{
-		home:   region,
-		prefix: r.random.IntN(40) + 1 + 100*region,
-		tokens: 20 + r.random.IntN(160),
-		cameAt: r.clock.Now(),
+		home:      region,
+		prefix:    r.random.IntN(40) + 1 + 100*region,
+		tokens:    20 + r.random.IntN(160),
+		arrivedAt: r.clock.Now(),
 	}
-	if j.cameAt.After(r.from) {
-		r.came[region]++
+	if j.arrivedAt.After(r.measureFrom) {
+		r.arrived[region]++
 	}
 	m := r.vms[region*vmsPerRegion+j.prefix%vmsPerRegion]
-	j.refused = func() { r.leave(m, j) }
+	j.onRefused = func() { r.sendToOtherRegion(m, j) }
 	r.admit(m, j)
 }
 
 func (j *job) request() admission.Request {
 	return admission.Request{
 		Priority:     call.PriorityChat,
-		FirstBy:      j.cameAt.Add(firstWithin),
-		WholeBy:      j.cameAt.Add(wholeWithin),
+		FirstBy:      j.arrivedAt.Add(firstTokenTimeout),
+		WholeBy:      j.arrivedAt.Add(answerTimeout),
 		PrefixHash:   uint64(j.prefix) * 0x9e3779b97f4a7c15,
 		PromptTokens: promptTokens,
 		MaxTokens:    maxTokens,
 	}
 }
 
-func (r *rig) admit(m *vm, j *job) {
+func (r *simulation) admit(m *vm, j *job) {
 	r.lastID++
-	m.waits[r.lastID] = j
+	m.pending[r.lastID] = j
 	r.step(m, admission.Message{
 		Kind:    admission.MessageArrive,
 		ID:      r.lastID,
@@ -285,23 +285,23 @@
 	})
 }
 
-// step runs the VM's queue and carries its actions out.
-func (r *rig) step(m *vm, msg admission.Message) {
+// step runs the VM's queue and executes the resulting actions.
+func (r *simulation) step(m *vm, msg admission.Message) {
 	now := r.clock.Now()
 	msg.Supply = m.pool.Supply(now)
 	for _, a := range slices.Clone(m.state.Step(msg, now)) {
-		j := m.waits[a.ID]
-		delete(m.waits, a.ID)
+		j := m.pending[a.ID]
+		delete(m.pending, a.ID)
 		if a.Kind == admission.ActionRefuse {
-			j.refused()
+			j.onRefused()
 			continue
 		}
 		r.send(m, a.ID, j)
 	}
 }
 
-// leave decides about a call that its own region refused.
-func (r *rig) leave(m *vm, j *job) {
+// sendToOtherRegion decides on a call that its own region refused.
+func (r *simulation) sendToOtherRegion(m *vm, j *job) {
 	offers := make([]borrow.Offer, 0, len(m.offers))
 	for _, name := range slices.Sorted(maps.Keys(m.offers)) {
 		offers = append(offers, m.offers[name])
@@ -328,45 +328,45 @@
 	if !ok {
 		return
 	}
-	if j.cameAt.After(r.from) {
+	if j.arrivedAt.After(r.measureFrom) {
 		r.sent[j.home]++
 	}
-	r.clock.After(oneWay, func() { r.receive(m, j, offer) })
+	r.clock.After(oneWay, func() { r.receiveRemote(m, j, offer) })
 }
 
-// receive is the other side: it takes a stranger from its surplus alone.
-func (r *rig) receive(from *vm, j *job, offer borrow.Offer) {
+// receiveRemote handles a call at the VM that offered capacity for it.
+func (r *simulation) receiveRemote(from *vm, j *job, offer borrow.Offer) {
 	i := slices.IndexFunc(r.vms, func(m *vm) bool { return m.name == offer.VM })
 	m := r.vms[i]
-	j.away = true
-	j.refused = func() {
-		if j.cameAt.After(r.from) {
-			r.bounced[j.home]++
+	j.remote = true
+	j.onRefused = func() {
+		if j.arrivedAt.After(r.measureFrom) {
+			r.refusedRemotely[j.home]++
 		}
 		r.clock.After(oneWay, func() {
 			from.damper.Refused(offer, r.clock.Now())
-			if j.tries < lendersPerCall {
-				r.leave(from, j)
+			if j.attempts < maxAttempts {
+				r.sendToOtherRegion(from, j)
 			}
 		})
 	}
-	j.tries++
-	if r.policy == borrow.PolicySurplus && !m.gate.Accept(r.surplus(m), promptTokens+maxTokens, r.clock.Now()) {
-		j.refused()
+	j.attempts++
+	if r.policy == borrow.PolicySurplus && !m.gate.Accept(r.capacityState(m), promptTokens+maxTokens, r.clock.Now()) {
+		j.onRefused()
 		return
 	}
 	r.clock.After(oneWay, func() { from.damper.Served(offer, r.clock.Now()) })
-	m.strangers++
-	refused := j.refused
-	j.ended = func() { m.strangers-- }
-	j.refused = func() {
-		j.ended()
+	m.remoteCalls++
+	refused := j.onRefused
+	j.release = func() { m.remoteCalls-- }
+	j.onRefused = func() {
+		j.release()
 		refused()
 	}
 	r.admit(m, j)
 }
 
-func (r *rig) send(m *vm, id uint64, j *job) {
+func (r *simulation) send(m *vm, id uint64, j *job) {
 	now := r.clock.Now()
 	choice, ok := m.pool.Choose(routing.Request{
 		PrefixHash:   j.request().PrefixHash,
@@ -379,11 +379,11 @@
 			ID:     id,
 			Unsent: true,
 		})
-		j.refused()
+		j.onRefused()
 		return
 	}
 	back := time.Duration(0)
-	if j.away {
+	if j.remote {
 		back = oneWay
 	}
 	var firstAt time.Time
@@ -395,9 +395,9 @@
 		Priority:     call.PriorityChat,
 		First:        func() { firstAt = r.clock.Now() },
 		End: func(u call.Usage) {
-			r.count(j, firstAt.Add(back), r.clock.Now().Add(back))
-			if j.away {
-				j.ended()
+			r.recordLatency(j, firstAt.Add(back), r.clock.Now().Add(back))
+			if j.remote {
+				j.release()
 			}
 			m.pool.Done(choice, routing.Outcome{
 				Code:    result.Done,
@@ -413,11 +413,11 @@
 	})
 }
 
-func (r *rig) count(j *job, firstAt, endAt time.Time) {
-	if !j.cameAt.After(r.from) {
+func (r *simulation) recordLatency(j *job, firstAt, endAt time.Time) {
+	if !j.arrivedAt.After(r.measureFrom) {
 		return
 	}
-	r.first[min(j.home, 1)].Add(firstAt.Sub(j.cameAt))
+	r.firstToken[min(j.home, 1)].Add(firstAt.Sub(j.arrivedAt))
 	if !firstAt.After(j.request().FirstBy) && !endAt.After(j.request().WholeBy) {
 		r.inTime[j.home]++
 	}
--- a/borrow/surplus.go
+++ b/borrow/surplus.go
@@ -6,43 +6,45 @@
 )
 
 const (
-	// reserveShare is the part of the capacity that is never offered.
-	reserveShare = 0.1
-	// acceptBurst is how many seconds of the offered rate strangers may use at once.
-	acceptBurst = 1.0
-	// leastFree is how many slots must be empty for a stranger to enter: its own
-	// and one that is left for the next own call.
-	leastFree = 2
+	// reserveFraction is the fraction of the capacity that is never offered.
+	reserveFraction = 0.1
+	// gateBurstSeconds is the bucket capacity for calls of other regions, in seconds of
+	// the offered rate.
+	gateBurstSeconds = 1.0
+	// minFreeSlots is the minimum number of free slots to accept a call of another region:
+	// one for that call and one for the next local call.
+	minFreeSlots = 2
 )
 
-// State is what a VM knows of its region's capacity for one target.
+// State is a VM's view of its region's capacity for one target.
 type State struct {
 	Region string
 	VM     string
 	Target string
-	// Slots and Free are the region's batch slots and the empty ones.
+	// Slots is the number of batch slots in the region, and Free the number of unused
+	// ones.
 	Slots float64
 	Free  float64
-	// TokensPerSecond is the speed of one slot, prompt and generated tokens
-	// together. PrefillPerSecond is that of a cold prompt.
+	// TokensPerSecond is the throughput of one slot, counting prompt and generated tokens.
+	// PrefillPerSecond is the prefill rate for an uncached prompt.
 	TokensPerSecond  float64
 	PrefillPerSecond float64
-	// Demand is the region's own recent demand in slots, its mean of some seconds,
-	// without calls of other regions.
+	// Demand is the region's recent average demand in slots, without calls of other
+	// regions.
 	Demand float64
-	// Waiting is how many own calls wait.
+	// Waiting is the number of queued local calls.
 	Waiting int
 	Wait    time.Duration
-	// VMs is how many VMs of the region offer parts of the same capacity.
+	// VMs is the number of VMs of the region that offer parts of the same capacity.
 	VMs int
-	// Until ends the offer.
+	// Until is when the offer expires.
 	Until time.Time
 }
 
-// Surplus returns what the VM offers to other regions: its part of the capacity
-// that the own mean demand and a reserve leave. What is free at one moment is
-// left to Gate, as it changes faster than an offer travels. TokensPerSecond is
-// zero when there is none or own calls wait.
+// Surplus returns this VM's part of the capacity that average local demand and the reserve
+// leave over. It does not consider currently free slots, which change faster than offers
+// propagate; Gate checks them. TokensPerSecond is zero if there is no surplus or local
+// calls are queued.
 func Surplus(s State, now time.Time) Offer {
 	o := Offer{
 		Region:           s.Region,
@@ -55,34 +57,33 @@
 	if s.Waiting > 0 || !s.Until.After(now) {
 		return o
 	}
-	free := s.Slots - s.Demand - reserveShare*s.Slots
+	free := s.Slots - s.Demand - reserveFraction*s.Slots
 	o.TokensPerSecond = max(free, 0) * s.TokensPerSecond / float64(max(s.VMs, 1))
 	return o
 }
 
-// Gate admits calls of other regions from the own surplus. It is safe for
-// concurrent use.
+// Gate admits calls of other regions to the local surplus. It is safe for concurrent use.
 type Gate struct {
 	mu sync.Mutex
-	// tokens is the bucket of the surplus.
-	tokens float64
-	at     time.Time
+	// tokens is the content of the token bucket, which refills at the rate of the surplus.
+	tokens     float64
+	refilledAt time.Time
 }
 
-// Accept reports whether a call of another region with so many tokens may enter.
-// State must be of now: own calls that wait, too few empty slots or a spent
-// surplus refuse it.
+// Accept reports whether a call of another region with the given number of tokens is
+// admitted. It needs the current State, and refuses calls while local calls are queued,
+// too few slots are free or the surplus is used up.
 func (g *Gate) Accept(s State, tokens float64, now time.Time) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	rate := Surplus(s, now).TokensPerSecond
-	filled := rate * acceptBurst
-	if !g.at.IsZero() {
-		filled = min(g.tokens+rate*now.Sub(g.at).Seconds(), filled)
+	filled := rate * gateBurstSeconds
+	if !g.refilledAt.IsZero() {
+		filled = min(g.tokens+rate*now.Sub(g.refilledAt).Seconds(), filled)
 	}
 	g.tokens = filled
-	g.at = now
-	if rate <= 0 || g.tokens <= 0 || s.Free < leastFree {
+	g.refilledAt = now
+	if rate <= 0 || g.tokens <= 0 || s.Free < minFreeSlots {
 		return false
 	}
 	g.tokens -= tokens
