--- a/limit/account.go
+++ b/limit/account.go
@@ -9,7 +9,7 @@
 	"github.com/fuchsianotch/fuchsianotch/result"
 )
 
-// dimension is one of the limits that are token buckets.
+// dimension identifies one of the token buckets of an account.
 type dimension int
 
 const (
@@ -20,18 +20,18 @@
 	dimensions
 )
 
-// levels are amounts of all buckets, or their rates per second.
-type levels [dimensions]float64
+// vector holds one value per bucket: an amount, or a rate per second.
+type vector [dimensions]float64
 
-// windows are the seconds for which each limit may be saved up.
-var windows = levels{
+// burstSeconds is the default capacity of each bucket, in seconds of its refill rate.
+var burstSeconds = vector{
 	requests: 1,
 	tokens:   1,
 	spend:    60,
 	borrowed: 1,
 }
 
-// refusals are the code and message for each bucket.
+// refusals holds the result code and message for each exhausted bucket.
 var refusals = [dimensions]struct {
 	code    result.Code
 	message string
@@ -56,14 +56,14 @@
 
 const (
 	secondsPerHour = 3600
-	// rounding is the part of a need that floating point may lose.
-	rounding = 1e-9
-	// farAway bounds the time to come back that a refusal names.
-	farAway = 365 * 24 * time.Hour
+	// epsilon is the relative tolerance for floating-point rounding.
+	epsilon = 1e-9
+	// maxRetryDelay caps the retry time of a refusal.
+	maxRetryDelay = 365 * 24 * time.Hour
 )
 
-func levelsOf(a *Amounts) levels {
-	return levels{
+func vectorOf(a *Amounts) vector {
+	return vector{
 		requests: a.Requests,
 		tokens:   a.Tokens,
 		spend:    a.Spend,
@@ -71,7 +71,7 @@
 	}
 }
 
-func (v levels) amounts() Amounts {
+func (v vector) amounts() Amounts {
 	return Amounts{
 		Requests: v[requests],
 		Tokens:   v[tokens],
@@ -80,8 +80,8 @@
 	}
 }
 
-func rates(t *contract.RegionTerms) levels {
-	return levels{
+func refillRates(t *contract.RegionTerms) vector {
+	return vector{
 		requests: t.RequestsPerSecond,
 		tokens:   t.TokensPerSecond,
 		spend:    t.SpendPerHour / secondsPerHour,
@@ -89,106 +89,108 @@
 	}
 }
 
-// account holds one workspace's buckets at one VM.
+// account holds the token buckets of one workspace on one VM.
 type account struct {
-	// level is what each bucket holds; a negative one is a debt.
-	level levels
-	rate  levels
+	// level is the current content of each bucket; a negative level is a debt.
+	level vector
+	rate  vector
 	share float64
-	// capacity is what the buckets hold at full share.
-	capacity levels
-	// filledAt is the time up to which the buckets were filled; zero for a new account.
-	filledAt time.Time
-	usedAt   time.Time
-	inFlight int
-	// leases is nil unless the workspace is served by more VMs than its owner.
+	// capacity is the size of each bucket at a share of 1.
+	capacity vector
+	// refilledAt is the time of the last refill; zero for a new account.
+	refilledAt time.Time
+	lastUsedAt time.Time
+	inFlight   int
+	// leases is nil unless other VMs also admit calls for the workspace.
 	leases *leases
 }
 
-// refill brings the buckets up to now. Time counts only while the share was
-// held without a gap, at the lower of two rates when the contract changed, and
-// a bucket holds at most its window at the present rate and share.
+// refill adds the tokens accrued since the last refill. Only time during which this VM
+// held a share without interruption counts. After a contract change the lower of the old
+// and new rates applies, and each bucket is capped at its current capacity times the
+// share.
 func (a *account) refill(r *Request, now time.Time) {
-	rate := rates(&r.Terms)
-	if a.filledAt.IsZero() {
-		a.open(r, rate, now)
+	rate := refillRates(&r.Terms)
+	if a.refilledAt.IsZero() {
+		a.initialize(r, rate, now)
 	}
 	capacity := r.capacity(rate)
-	floor, held := a.held(r, now)
+	minShare, shareSeconds := a.heldShare(r, now)
 	for d := range a.level {
-		most := capacity[d] * r.Share
-		kept := min(a.level[d], min(capacity[d], a.capacity[d])*floor)
-		a.level[d] = min(kept+min(rate[d], a.rate[d])*held, most)
+		limit := capacity[d] * r.Share
+		remaining := min(a.level[d], min(capacity[d], a.capacity[d])*minShare)
+		a.level[d] = min(remaining+min(rate[d], a.rate[d])*shareSeconds, limit)
 	}
 	a.rate = rate
 	a.capacity = capacity
 	a.share = r.Share
-	if now.After(a.filledAt) {
-		a.filledAt = now
+	if now.After(a.refilledAt) {
+		a.refilledAt = now
 	}
-	a.usedAt = a.filledAt
+	a.lastUsedAt = a.refilledAt
 }
 
-// capacity returns what the buckets hold at full share.
-func (r *Request) capacity(rate levels) levels {
-	out := levelsOf(&r.Burst)
+// capacity returns the bucket sizes at a share of 1.
+func (r *Request) capacity(rate vector) vector {
+	out := vectorOf(&r.Burst)
 	for d := range out {
 		if out[d] <= 0 {
-			out[d] = rate[d] * windows[d]
+			out[d] = rate[d] * burstSeconds[d]
 		}
 	}
 	return out
 }
 
-// open starts an account at the time from which its share was held, empty but for
-// the part that the request names.
-func (a *account) open(r *Request, rate levels, now time.Time) {
+// initialize sets up a new account. Its buckets start at InitialFill of their capacity and
+// accrue tokens from the time the share was first held.
+func (a *account) initialize(r *Request, rate vector, now time.Time) {
 	a.rate = rate
 	a.share = r.Share
 	a.capacity = r.capacity(rate)
 	for d := range a.level {
-		a.level[d] = a.capacity[d] * r.Share * r.Opening
+		a.level[d] = a.capacity[d] * r.Share * r.InitialFill
 	}
-	a.filledAt = now
+	a.refilledAt = now
 	switch {
 	case r.Base > 0 && !r.BaseSince.IsZero():
-		a.filledAt = r.BaseSince
+		a.refilledAt = r.BaseSince
 	case !r.Since.IsZero():
-		a.filledAt = r.Since
+		a.refilledAt = r.Since
 	}
 }
 
-// held returns the least share held since the last refill, and the integral of
-// the share over that time in seconds.
-func (a *account) held(r *Request, now time.Time) (floor, seconds float64) {
+// heldShare returns the smallest share held since the last refill, and the integral of the
+// share over that time in seconds.
+func (a *account) heldShare(r *Request, now time.Time) (minShare, shareSeconds float64) {
 	if r.Since.IsZero() {
-		floor = min(a.share, r.Share)
-		return floor, floor * span(a.filledAt, now)
+		minShare = min(a.share, r.Share)
+		return minShare, minShare * secondsBetween(a.refilledAt, now)
 	}
-	since := moment.Later(a.filledAt, r.Since)
-	seconds = r.Share * span(since, now)
-	if !a.filledAt.Before(r.Since) {
-		return r.Share, seconds
+	since := moment.Later(a.refilledAt, r.Since)
+	shareSeconds = r.Share * secondsBetween(since, now)
+	if !a.refilledAt.Before(r.Since) {
+		return r.Share, shareSeconds
 	}
-	seconds += r.Base * span(moment.Later(a.filledAt, r.BaseSince), since)
-	if a.filledAt.Before(r.BaseSince) {
-		return 0, seconds
+	shareSeconds += r.Base * secondsBetween(moment.Later(a.refilledAt, r.BaseSince), since)
+	if a.refilledAt.Before(r.BaseSince) {
+		return 0, shareSeconds
 	}
-	return r.Base, seconds
+	return r.Base, shareSeconds
 }
 
-func span(from, to time.Time) float64 {
+func secondsBetween(from, to time.Time) float64 {
 	return max(to.Sub(from).Seconds(), 0)
 }
 
-// shortage says what a cost lacks; the zero value lacks nothing.
+// shortage describes the limit that rejects a request; the zero value means that the
+// request fits.
 type shortage struct {
 	code    result.Code
 	message string
-	at      time.Time
+	retryAt time.Time
 }
 
-func (s *shortage) none() bool {
+func (s *shortage) isZero() bool {
 	return s.code == 0
 }
 
@@ -196,12 +198,12 @@
 	return &result.Refusal{
 		Code:       s.code,
 		Message:    s.message,
-		ComeBackAt: s.at,
+		ComeBackAt: s.retryAt,
 	}
 }
 
-// shortage finds the limit that would admit the cost last. A cost above what
-// its bucket can hold is admitted from a full bucket and leaves a debt.
+// shortage returns the exceeded limit with the latest retry time. A cost above the
+// capacity of its bucket is admitted when the bucket is full, and leaves a debt.
 func (a *account) shortage(r *Request, now time.Time) shortage {
 	if r.Share <= 0 {
 		return shortage{
@@ -209,81 +211,81 @@
 			message: "this VM holds no share of the workspace's limit now",
 		}
 	}
-	cost := levelsOf(&r.Cost)
-	worst := shortage{}
+	cost := vectorOf(&r.Cost)
+	latest := shortage{}
 	for d, c := range cost {
 		if c <= 0 {
 			continue
 		}
 		rate := a.rate[d] * r.Share
-		lack := min(c, a.capacity[d]*r.Share)*(1-rounding) - a.level[d]
-		if rate > 0 && lack <= 0 {
+		deficit := min(c, a.capacity[d]*r.Share)*(1-epsilon) - a.level[d]
+		if rate > 0 && deficit <= 0 {
 			continue
 		}
-		at := comeBack(lack, rate, a.filledAt)
-		if worst.none() || at.IsZero() || (!worst.at.IsZero() && at.After(worst.at)) {
-			worst = shortage{
+		retryAt := retryTime(deficit, rate, a.refilledAt)
+		if latest.isZero() || retryAt.IsZero() || (!latest.retryAt.IsZero() && retryAt.After(latest.retryAt)) {
+			latest = shortage{
 				code:    refusals[d].code,
 				message: refusals[d].message,
-				at:      at,
+				retryAt: retryAt,
 			}
 		}
 	}
-	if worst.none() && r.Cost.Concurrency > 0 && a.inFlight+a.leases.slots(now)+r.Cost.Concurrency > slots(r.Terms.Concurrency, r.Share) {
+	if latest.isZero() && r.Cost.Concurrency > 0 && a.inFlight+a.leases.grantedSlots(now)+r.Cost.Concurrency > concurrencyLimit(r.Terms.Concurrency, r.Share) {
 		return shortage{
 			code:    result.LimitConcurrency,
 			message: "the contract's calls in flight are all in use",
 		}
 	}
-	return worst
+	return latest
 }
 
-// comeBack returns the time at which a bucket has filled up by lack; it is zero
-// when it never will.
-func comeBack(lack, rate float64, filledAt time.Time) time.Time {
+// retryTime returns when a bucket will have gained deficit tokens, or the zero time if its
+// rate is zero.
+func retryTime(deficit, rate float64, refilledAt time.Time) time.Time {
 	if rate <= 0 {
 		return time.Time{}
 	}
-	wait := math.Ceil(lack / rate * float64(time.Second))
-	return filledAt.Add(time.Duration(min(wait, float64(farAway))) + 1)
+	wait := math.Ceil(deficit / rate * float64(time.Second))
+	return refilledAt.Add(time.Duration(min(wait, float64(maxRetryDelay))) + 1)
 }
 
-// slots returns the calls in flight that a share allows. A fraction is rounded
-// down, or up for a share above one half: of all holders of a workspace's
-// limit only one can hold that much, so the sum stays within the limit.
-func slots(concurrency int, share float64) int {
+// concurrencyLimit returns how many calls in flight a share allows. Fractions are rounded
+// down, except for a share above one half: only one VM can hold such a share, so rounding
+// it up keeps the sum within the limit.
+func concurrencyLimit(concurrency int, share float64) int {
 	exact := float64(concurrency) * share
 	if share > 0.5 {
-		return min(int(math.Ceil(exact-rounding)), concurrency)
+		return min(int(math.Ceil(exact-epsilon)), concurrency)
 	}
-	return int(exact + rounding)
+	return int(exact + epsilon)
 }
 
 func (a *account) charge(cost *Amounts) {
-	for d, c := range levelsOf(cost) {
+	for d, c := range vectorOf(cost) {
 		a.level[d] -= c
 	}
 	a.inFlight += cost.Concurrency
 }
 
-// filled returns the part, at most 1, that the least filled bucket holds of those
-// that a cost draws on.
-func (a *account) filled(r *Request) float64 {
-	least := 1.0
-	for d, c := range levelsOf(&r.Cost) {
-		if most := a.capacity[d] * r.Share; c != 0 && most > 0 {
-			least = min(least, a.level[d]/most)
+// fillRatio returns the lowest fill level, at most 1, of the buckets that the request
+// draws on.
+func (a *account) fillRatio(r *Request) float64 {
+	lowest := 1.0
+	for d, c := range vectorOf(&r.Cost) {
+		if limit := a.capacity[d] * r.Share; c != 0 && limit > 0 {
+			lowest = min(lowest, a.level[d]/limit)
 		}
 	}
-	return least
+	return lowest
 }
 
-// giveBack returns the difference between a charge and its use.
-func (a *account) giveBack(r *Reservation, used Amounts, now time.Time) {
-	charged := levelsOf(&r.Charged)
-	spent := levelsOf(&used)
+// settle refunds the difference between the charged and the used amounts.
+func (a *account) settle(r *Reservation, used Amounts, now time.Time) {
+	charged := vectorOf(&r.Charged)
+	spent := vectorOf(&used)
 	if r.Leased {
-		a.leases.giveBack(charged, spent, r.Charged.Concurrency, now)
+		a.leases.settle(charged, spent, r.Charged.Concurrency, now)
 		return
 	}
 	for d := range a.level {
@@ -293,12 +295,12 @@
 	a.inFlight -= r.Charged.Concurrency
 }
 
-// idle reports whether a new account would hold the same.
+// idle reports whether the account can be dropped because a new one would be equivalent.
 func (a *account) idle(now time.Time) bool {
-	return a.inFlight == 0 && a.leases.idle(now) && now.Sub(a.usedAt) > idleBeforeSweep && a.level.paid()
+	return a.inFlight == 0 && a.leases.idle(now) && now.Sub(a.lastUsedAt) > idleTimeout && a.level.debtFree()
 }
 
-func (v *levels) paid() bool {
+func (v *vector) debtFree() bool {
 	for _, level := range v {
 		if level < 0 {
 			return false
--- a/limit/bench_test.go
+++ b/limit/bench_test.go
@@ -11,7 +11,7 @@
 	"github.com/fuchsianotch/fuchsianotch/contract"
 )
 
-func bookingRequest(workspace string) Request {
+func benchmarkRequest(workspace string) Request {
 	return Request{
 		Workspace: workspace,
 		Terms: contract.RegionTerms{
@@ -36,7 +36,7 @@
 
 func TestTakeDoesNotAllocate(t *testing.T) {
 	l := New(Options{})
-	r := bookingRequest("ws")
+	r := benchmarkRequest("ws")
 	now := origin.Add(time.Minute)
 	got := testing.AllocsPerRun(1000, func() {
 		reservation, refusal := l.Take(r, now)
@@ -54,13 +54,13 @@
 	return names
 }
 
-// BenchmarkTake admits and settles one call, over all workspaces in turn.
+// BenchmarkTake admits and settles calls of all workspaces in turn.
 func BenchmarkTake(b *testing.B) {
 	for _, n := range []int{100, 1500, 15000} {
 		names := workspaceNames(n)
 		b.Run(fmt.Sprintf("workspaces=%d", n), func(b *testing.B) {
 			l := New(Options{})
-			r := bookingRequest("")
+			r := benchmarkRequest("")
 			now := origin.Add(time.Minute)
 			i := 0
 			b.ReportAllocs()
@@ -75,7 +75,7 @@
 	}
 }
 
-// BenchmarkTakeParallel has all processors admit, for all workspaces or for one.
+// BenchmarkTakeParallel admits calls on all processors, for one workspace or for many.
 func BenchmarkTakeParallel(b *testing.B) {
 	for _, n := range []int{1, 15000} {
 		names := workspaceNames(n)
@@ -84,7 +84,7 @@
 			now := origin.Add(time.Minute)
 			b.ReportAllocs()
 			b.RunParallel(func(pb *testing.PB) {
-				r := bookingRequest("")
+				r := benchmarkRequest("")
 				for i := 0; pb.Next(); i++ {
 					r.Workspace = names[i%n]
 					reservation, _ := l.Take(r, now)
@@ -95,10 +95,10 @@
 	}
 }
 
-// BenchmarkTakeRefused refuses one call.
+// BenchmarkTakeRefused refuses calls.
 func BenchmarkTakeRefused(b *testing.B) {
 	l := New(Options{})
-	r := bookingRequest("ws")
+	r := benchmarkRequest("ws")
 	r.Terms.RequestsPerSecond = 0
 	now := origin.Add(time.Minute)
 	b.ReportAllocs()
@@ -107,21 +107,21 @@
 	}
 }
 
-// BenchmarkMemory reports the bytes of heap for each workspace's account, at an
-// owner and at a VM that uses a lease; its time means nothing.
+// BenchmarkMemory reports the heap bytes per account, on the owner and on a VM that uses a
+// lease. Its time is meaningless.
 func BenchmarkMemory(b *testing.B) {
 	for _, owner := range []bool{true, false} {
 		for _, n := range []int{100, 1500, 15000} {
 			b.Run(fmt.Sprintf("owner=%v/workspaces=%d", owner, n), func(b *testing.B) {
 				names := workspaceNames(n)
-				before := heap()
+				before := heapBytes()
 				l := New(Options{})
 				for _, name := range names {
-					r := bookingRequest(name)
+					r := benchmarkRequest(name)
 					r.Owner = owner
 					_, _ = l.Take(r, origin.Add(time.Minute))
 				}
-				used := heap() - before
+				used := heapBytes() - before
 				runtime.KeepAlive(l)
 				b.ReportMetric(float64(used)/float64(n), "B/workspace")
 				b.ReportMetric(0, "ns/op")
@@ -130,7 +130,7 @@
 	}
 }
 
-func heap() int64 {
+func heapBytes() int64 {
 	runtime.GC()
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
--- a/limit/fleet_test.go
+++ b/limit/fleet_test.go
@@ -11,81 +11,85 @@
 )
 
 const (
-	beatEvery = 100 * time.Millisecond
-	leaseTerm = 3 * beatEvery
-	tickEvery = 10 * time.Millisecond
-	oneWay    = time.Millisecond
-	// driftStep is by how much the clocks of neighbouring VMs differ in rate.
-	driftStep = 0.001
+	heartbeatInterval = 100 * time.Millisecond
+	leaseTerm         = 3 * heartbeatInterval
+	tickInterval      = 10 * time.Millisecond
+	linkDelay         = time.Millisecond
+	// clockDrift is the difference in clock rate between neighbouring VMs.
+	clockDrift = 0.001
 )
 
-// variant is a way to run the fleet: the real one, or one that is broken on purpose.
+// variant selects the implementation to simulate: the real one, an alternative, or one with
+// a deliberate fault that the checks must detect.
 type variant string
 
 const (
 	asBuilt variant = "as_built"
-	// lendAtOnce lends for every new view without regard to loans that are out.
+	// lendAtOnce lends for every new view without waiting for outstanding loans.
 	lendAtOnce variant = "lend_at_once"
-	// countFromReceipt counts a loan from its arrival, not from the request.
+	// countFromReceipt measures a loan's term from its arrival instead of from the
+	// request.
 	countFromReceipt variant = "count_from_receipt"
-	// lendAtStart lends from the first moment of an incarnation.
+	// lendAtStart lends from the start of an incarnation.
 	lendAtStart variant = "lend_at_start"
-	// visibleShare takes reachable over listed VMs as the owner's share.
+	// visibleShare uses the ratio of reachable to listed VMs as the owner's share.
 	visibleShare variant = "visible_share"
-	// forgetPast fills buckets for time in which the share was not held.
+	// forgetPast refills buckets for time during which the share was not held.
 	forgetPast variant = "forget_past"
-	// acknowledgeAll takes any heartbeat for the acknowledgement of every loan.
-	acknowledgeAll variant = "acknowledge_all"
-	// oneView is not broken: it lends for one view at a time, and waits for all
-	// loans of the earlier view whenever the view changes.
+	// acknowledgeAnyHeartbeat treats any heartbeat as the acknowledgement of every loan.
+	acknowledgeAnyHeartbeat variant = "acknowledge_all"
+	// oneView is correct as well: it lends for one view at a time, and waits for all
+	// loans of the previous view after each change.
 	oneView variant = "one_view"
 )
 
-// process is one life of a VM's process in the fake fleet.
+// process is one incarnation of a VM in the simulated fleet.
 type process struct {
-	vm          fleet.VM
-	incarnation uint64
-	drift       float64
-	offset      time.Duration
-	state       *membership.State
-	ledger      *limit.Ledger
-	view        *membership.View
-	thawsAt     time.Duration
-	quietUntil  time.Duration
-	dead        bool
-	// lastLoan are the numbers of the last loans given to each VM.
+	vm             fleet.VM
+	incarnation    uint64
+	drift          float64
+	offset         time.Duration
+	state          *membership.State
+	ledger         *limit.Ledger
+	view           *membership.View
+	resumesAt      time.Duration
+	noTrafficUntil time.Duration
+	dead           bool
+	// lastLoan maps each VM to the ID of the last loan given to it.
 	lastLoan map[string]uint64
-	// changed says that the view is to be published at the next tick.
-	changed     bool
-	oldView     []string
-	oldViewEnds time.Duration
+	// changed is set if the view must be published at the next tick.
+	changed         bool
+	lentView        []string
+	lentViewExpires time.Duration
 }
 
-// network is a fake fleet on a fake clock with one region of entry VMs.
+// network simulates a fleet with one region of entry VMs in virtual time.
 type network struct {
-	variant   variant
-	policy    string
-	now       time.Duration
-	queue     events
-	sequence  int
-	processes []*process
-	cuts      []cut
-	list      *fleet.List
-	lag       time.Duration
-	terms     contract.RegionTerms
-	names     []string
-	// leases lets VMs that are not owners admit by leases.
+	variant    variant
+	policy     string
+	now        time.Duration
+	queue      events
+	sequence   int
+	processes  []*process
+	linkFaults []linkFault
+	list       *fleet.List
+	listLag    time.Duration
+	terms      contract.RegionTerms
+	workspaces []string
+	// leases lets VMs that are not the owner admit calls from leases.
 	leases bool
-	// offered is the number of calls that each process is asked for in a tick; zero means all it admits.
+	// offered returns the number of calls that a process receives in a tick. If nil, each
+	// process receives calls until one is refused.
 	offered  func(p *process, workspace string) int
 	admitted func(p *process, workspace string, at time.Duration)
 }
 
-// cut loses all messages one way until a time, or delays them when slow is set.
-type cut struct {
+// linkFault drops all messages in one direction until a given time, or delays them if
+// delay is set.
+type linkFault struct {
 	from, to string
 	until    time.Duration
-	slow     time.Duration
+	delay    time.Duration
 }
 
 type event struct {
@@ -111,9 +115,9 @@
 
 func newNetwork(v variant, vms int) *network {
 	n := &network{
-		variant: v,
-		list:    &fleet.List{Revision: 1},
-		names:   []string{"tee-times", "care-reports"},
+		variant:    v,
+		list:       &fleet.List{Revision: 1},
+		workspaces: []string{"tee-times", "care-reports"},
 		terms: contract.RegionTerms{
 			RequestsPerSecond: 100,
 			TokensPerSecond:   2000,
@@ -141,13 +145,13 @@
 	}
 }
 
-// start begins a new life of a VM's process, beside any earlier one.
+// start starts a new incarnation of a VM, without stopping the previous one.
 func (n *network) start(id string) {
 	i := len(n.processes)
 	p := &process{
 		vm:          listedVM(id),
 		incarnation: uint64(1000 + i),
-		drift:       driftStep * float64(i%3-1),
+		drift:       clockDrift * float64(i%3-1),
 		offset:      clockOffset(i),
 		ledger:      limit.New(limit.Options{Policy: n.policy}),
 		lastLoan:    make(map[string]uint64),
@@ -155,7 +159,7 @@
 	p.state = membership.New(membership.Options{
 		Self:           p.vm,
 		Incarnation:    p.incarnation,
-		HeartbeatEvery: func(int) time.Duration { return beatEvery },
+		HeartbeatEvery: func(int) time.Duration { return heartbeatInterval },
 		LeaseTerm:      func(int) time.Duration { return leaseTerm },
 	})
 	n.processes = append(n.processes, p)
@@ -171,16 +175,16 @@
 	n.at(n.now+time.Duration(i)*time.Millisecond, func() { n.tick(p) })
 }
 
-// clockOffset sets every other clock far ahead of the first, and the rest a
-// little behind it, so that a VM's next life may have the earlier clock.
+// clockOffset sets every other clock far ahead of the first and the rest slightly behind
+// it, so that the next incarnation of a VM may have an earlier clock.
 func clockOffset(i int) time.Duration {
 	if i%2 == 0 {
 		return time.Duration(i) * time.Hour
 	}
-	return -time.Duration(i) * beatEvery / 2
+	return -time.Duration(i) * heartbeatInterval / 2
 }
 
-// local returns the process's own clock reading.
+// local returns the time on the process's own clock.
 func (p *process) local(now time.Duration) time.Time {
 	return time.Unix(1e9, 0).Add(p.offset + now + time.Duration(float64(now)*p.drift))
 }
@@ -203,17 +207,17 @@
 	n.now = until
 }
 
-// tick runs a process's traffic, then its control state: one that woke late
-// admits by what it last knew.
+// tick handles traffic before the control state, so that a process that resumes late
+// admits calls by its outdated state.
 func (n *network) tick(p *process) {
 	if p.dead {
 		return
 	}
-	n.at(max(n.now+tickEvery, p.thawsAt), func() { n.tick(p) })
-	if n.now < p.thawsAt {
+	n.at(max(n.now+tickInterval, p.resumesAt), func() { n.tick(p) })
+	if n.now < p.resumesAt {
 		return
 	}
-	if n.now >= p.quietUntil {
+	if n.now >= p.noTrafficUntil {
 		n.traffic(p)
 	}
 	now := p.local(n.now)
@@ -228,7 +232,7 @@
 }
 
 func (n *network) traffic(p *process) {
-	for _, w := range n.names {
+	for _, w := range n.workspaces {
 		most := 1 << 20
 		if n.offered != nil {
 			most = n.offered(p, w)
@@ -236,7 +240,7 @@
 		for range most {
 			q := p
 			if n.offered != nil && !n.leases {
-				q = n.target(p, w)
+				q = n.admittingProcess(p, w)
 			}
 			_, refusal := q.ledger.Take(n.request(q, w), q.local(n.now))
 			if refusal == nil {
--- a/limit/lease.go
+++ b/limit/lease.go
@@ -9,74 +9,74 @@
 )
 
 const (
-	// grantPart is the part of what the owner holds that one lease may take,
-	// so that the owner's own callers are not starved.
-	grantPart = 0.5
-	// renewPart is the part of a lease's term, or of its amounts, left at which
-	// it is renewed.
-	renewPart = 0.5
-	// keepPart is the part of the wanted amounts that is not given back while
-	// a renewal is on its way.
-	keepPart = 0.25
-	// coldPart is the part of the contract's limits that a VM asks for at least
-	// when it holds no lease, since it has seen only the first call of a burst.
-	coldPart = 0.5
-	// askEvery is the least time between two requests to the owner.
-	askEvery = LeaseTerm / 8
-	// marginPart is the part of a lease's term for which the owner keeps calls
-	// in flight reserved after its end, because clocks may run at different rates.
-	marginPart = 50
+	// grantFraction is the fraction of the owner's remaining tokens that one lease may
+	// take, so that calls arriving at the owner are not starved.
+	grantFraction = 0.5
+	// renewFraction is the fraction of a lease's term, or of the demanded amounts, below
+	// which a lease is renewed.
+	renewFraction = 0.5
+	// renewalReserve is the fraction of the demanded amounts kept for calls that arrive
+	// while a renewal is in progress.
+	renewalReserve = 0.25
+	// firstLeaseFraction is the minimum fraction of the contract's limits to request
+	// without an active lease, when only the first call of a burst has been seen.
+	firstLeaseFraction = 0.5
+	// minRequestInterval is the minimum time between two lease requests.
+	minRequestInterval = LeaseTerm / 8
+	// clockDriftDivisor is the divisor of the lease term that gives how much longer the
+	// owner keeps granted slots reserved, to allow for clock drift.
+	clockDriftDivisor = 50
 )
 
-// leases are the leases that this VM was granted by the owner, and those that
-// it granted as owner.
+// leases holds the leases that this VM received from the owner, and those that it granted
+// as owner.
 type leases struct {
-	// lots are the latest lease and the one before it, which ends earlier.
-	lots [2]lot
-	// debt is what calls used beyond their leases; the next lease pays it.
-	debt     levels
-	slotsMax int
-	inFlight int
-	// wanted counts the cost asked of this VM since askedAt; refused says that
-	// some of it was not admitted.
-	wanted    levels
-	wantSlots int
-	refused   bool
-	askedAt   time.Time
-	// granted is what each other VM holds.
-	granted map[string]*granted
+	// held contains the latest lease and the previous one, which expires first.
+	held [2]lease
+	// debt is usage beyond the charged amounts, deducted from the next lease.
+	debt        vector
+	maxInFlight int
+	inFlight    int
+	// demand is the total cost requested since requestedAt, and refused is set if part of
+	// it was not admitted.
+	demand       vector
+	peakInFlight int
+	refused      bool
+	requestedAt  time.Time
+	// outgoing holds the lease granted to each other VM.
+	outgoing map[string]*outgoingLease
 }
 
-// lot is what is left of one lease.
-type lot struct {
-	level levels
+// lease is the unused remainder of a received lease.
+type lease struct {
+	level vector
 	until time.Time
 }
 
-// granted is what one VM was granted and has not given back.
-type granted struct {
-	level levels
+// outgoingLease is what another VM was granted and has not returned.
+type outgoingLease struct {
+	level vector
 	slots int
 	until time.Time
 }
 
-// lease returns the account's leases, made if needed.
-func (a *account) lease() *leases {
+// leaseState returns the account's leases, creating them if needed.
+func (a *account) leaseState() *leases {
 	if a.leases == nil {
 		a.leases = &leases{
-			granted: make(map[string]*granted),
+			outgoing: make(map[string]*outgoingLease),
 		}
 	}
 	return a.leases
 }
 
-// slots returns the calls in flight that other VMs may have now.
-func (l *leases) slots(now time.Time) int {
+// grantedSlots returns the number of calls in flight reserved for other VMs.
+func (l *leases) grantedSlots(now time.Time) int {
 	if l == nil {
 		return 0
 	}
 	sum := 0
-	for _, g := range l.granted {
+	for _, g := range l.outgoing {
 		if now.Before(g.until) {
 			sum += g.slots
 		}
@@ -84,205 +84,204 @@
 	return sum
 }
 
-// demand notes a cost asked of a VM that uses leases.
-func (l *leases) demand(cost *Amounts) {
-	for d, c := range levelsOf(cost) {
-		l.wanted[d] += c
+// recordDemand adds a requested cost to the demand that the next lease request covers.
+func (l *leases) recordDemand(cost *Amounts) {
+	for d, c := range vectorOf(cost) {
+		l.demand[d] += c
 	}
-	l.wantSlots = max(l.wantSlots, l.inFlight+cost.Concurrency)
+	l.peakInFlight = max(l.peakInFlight, l.inFlight+cost.Concurrency)
 }
 
-// takeLeased charges the lease if it holds the whole cost.
-func (a *account) takeLeased(cost *Amounts, now time.Time) bool {
+// takeFromLease charges the lease if it covers the whole cost.
+func (a *account) takeFromLease(cost *Amounts, now time.Time) bool {
 	l := a.leases
 	if l == nil {
 		return false
 	}
 	l.refused = true
-	l.expire(now)
-	if !now.Before(l.until()) || l.inFlight+cost.Concurrency > l.slotsMax {
+	l.clearExpired(now)
+	if !now.Before(l.expiry()) || l.inFlight+cost.Concurrency > l.maxInFlight {
 		return false
 	}
-	want := levelsOf(cost)
+	want := vectorOf(cost)
 	for d, c := range want {
-		if c > 0 && l.left(dimension(d)) < c*(1-rounding) {
+		if c > 0 && l.remaining(dimension(d)) < c*(1-epsilon) {
 			return false
 		}
 	}
 	for d, c := range want {
-		older := min(c, l.lots[1].level[d])
-		l.lots[1].level[d] -= older
-		l.lots[0].level[d] -= c - older
+		older := min(c, l.held[1].level[d])
+		l.held[1].level[d] -= older
+		l.held[0].level[d] -= c - older
 	}
 	l.inFlight += cost.Concurrency
 	l.refused = false
 	return true
 }
 
-// until is the end of the latest lease.
-func (l *leases) until() time.Time {
-	return l.lots[0].until
+// expiry returns the expiry time of the latest lease.
+func (l *leases) expiry() time.Time {
+	return l.held[0].until
 }
 
-func (l *leases) left(d dimension) float64 {
-	return l.lots[0].level[d] + l.lots[1].level[d]
+func (l *leases) remaining(d dimension) float64 {
+	return l.held[0].level[d] + l.held[1].level[d]
 }
 
-// expire drops what ended leases have left.
-func (l *leases) expire(now time.Time) {
-	for i := range l.lots {
-		if !now.Before(l.lots[i].until) {
-			l.lots[i].level = levels{}
+// clearExpired discards the remainder of expired leases.
+func (l *leases) clearExpired(now time.Time) {
+	for i := range l.held {
+		if !now.Before(l.held[i].until) {
+			l.held[i].level = vector{}
 		}
 	}
 }
 
-// giveBack returns the difference between a charge and its use to the lease.
-// What an ended lease has left is lost; what was used beyond it is not.
-func (l *leases) giveBack(charged, spent levels, concurrency int, now time.Time) {
+// settle refunds unused amounts to the active lease. After expiry a refund is dropped, but
+// usage beyond the charge is still recorded as debt.
+func (l *leases) settle(charged, spent vector, concurrency int, now time.Time) {
 	l.inFlight -= concurrency
-	live := now.Before(l.until())
+	active := now.Before(l.expiry())
 	for d := range charged {
-		left := charged[d] - spent[d]
+		unused := charged[d] - spent[d]
 		switch {
-		case left < 0:
-			l.debt[d] -= left
-		case live:
-			l.lots[0].level[d] += left
+		case unused < 0:
+			l.debt[d] -= unused
+		case active:
+			l.held[0].level[d] += unused
 		}
 	}
 }
 
-// Want says what a VM that is not the owner should ask of the owner now: the
-// amounts wanted for a lease term, and the unused ones that it gives back. What
-// is given back is gone from this VM, whether or not the message arrives, so it
-// can't be used twice. ask is false when there is nothing to ask.
+// Want returns the lease request to send to the owner: the amounts wanted for one lease
+// term, and the unused amounts returned. Returned amounts are deducted at once, even if
+// the message is lost, so that they cannot be spent twice. ask is false when no request is
+// due.
 func (l *Ledger) Want(workspace string, terms contract.RegionTerms, now time.Time) (want, unused Amounts, ask bool) {
 	s := l.shard(workspace)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	a := s.account(workspace)
-	return a.lease().want(rates(&terms), terms.Concurrency, now)
+	return a.leaseState().nextRequest(refillRates(&terms), terms.Concurrency, now)
 }
 
-func (l *leases) want(rate levels, concurrency int, now time.Time) (want, unused Amounts, ask bool) {
-	if now.Sub(l.askedAt) < askEvery || !l.due(now) {
+func (l *leases) nextRequest(rate vector, concurrency int, now time.Time) (want, unused Amounts, ask bool) {
+	if now.Sub(l.requestedAt) < minRequestInterval || !l.renewalDue(now) {
 		return Amounts{}, Amounts{}, false
 	}
-	wanted := l.forecast(rate, now)
-	back := l.surrender(wanted, now)
+	wanted := l.forecastDemand(rate, now)
+	returned := l.releaseUnused(wanted, now)
 	want = wanted.amounts()
 	want.Concurrency = min(l.forecastSlots(concurrency, now), concurrency)
-	l.wanted = levels{}
-	l.wantSlots = l.inFlight
+	l.demand = vector{}
+	l.peakInFlight = l.inFlight
 	l.refused = false
-	l.askedAt = now
-	return want, back.amounts(), true
+	l.requestedAt = now
+	return want, returned.amounts(), true
 }
 
-// due reports whether the lease is to be renewed or given back.
-func (l *leases) due(now time.Time) bool {
+// renewalDue reports whether the lease should be renewed or returned.
+func (l *leases) renewalDue(now time.Time) bool {
 	if l.refused {
 		return true
 	}
-	idle := l.wanted == levels{} && l.inFlight == 0
-	if !now.Before(l.until()) {
+	idle := l.demand == vector{} && l.inFlight == 0
+	if !now.Before(l.expiry()) {
 		return !idle
 	}
-	if l.until().Sub(now) < time.Duration(renewPart*float64(LeaseTerm)) {
-		return !idle || l.slotsMax > 0 || l.lots[0].level != levels{} || l.lots[1].level != levels{}
+	if l.expiry().Sub(now) < time.Duration(renewFraction*float64(LeaseTerm)) {
+		return !idle || l.maxInFlight > 0 || l.held[0].level != vector{} || l.held[1].level != vector{}
 	}
-	for d, wanted := range l.wanted {
-		if wanted > 0 && l.left(dimension(d)) < renewPart*wanted {
+	for d, wanted := range l.demand {
+		if wanted > 0 && l.remaining(dimension(d)) < renewFraction*wanted {
 			return true
 		}
 	}
 	return false
 }
 
-// forecast returns the amounts for a lease term at the rate asked since the last
-// time, and at most the contract's.
-func (l *leases) forecast(rate levels, now time.Time) levels {
-	elapsed := min(max(now.Sub(l.askedAt), askEvery), LeaseTerm)
+// forecastDemand extrapolates the recent demand to one lease term, up to the contract's
+// limits.
+func (l *leases) forecastDemand(rate vector, now time.Time) vector {
+	elapsed := min(max(now.Sub(l.requestedAt), minRequestInterval), LeaseTerm)
 	scale := LeaseTerm.Seconds() / elapsed.Seconds()
-	var wanted levels
+	var wanted vector
 	for d := range wanted {
-		most := rate[d] * windows[d]
-		wanted[d] = min(l.wanted[d]*scale, most)
-		if l.cold(now) && l.wanted[d] > 0 {
-			wanted[d] = max(wanted[d], coldPart*most)
+		limit := rate[d] * burstSeconds[d]
+		wanted[d] = min(l.demand[d]*scale, limit)
+		if l.expired(now) && l.demand[d] > 0 {
+			wanted[d] = max(wanted[d], firstLeaseFraction*limit)
 		}
 	}
 	return wanted
 }
 
-// forecastSlots returns the calls in flight for a lease term. A refused call
-// does not say how many more there were, so the number is doubled.
+// forecastSlots returns the calls in flight to request. A refused call does not reveal how
+// many more are waiting, so the current limit is doubled.
 func (l *leases) forecastSlots(concurrency int, now time.Time) int {
-	slots := max(l.wantSlots, l.inFlight)
-	if l.cold(now) && l.wantSlots > 0 {
-		return max(slots, int(coldPart*float64(concurrency)))
+	slots := max(l.peakInFlight, l.inFlight)
+	if l.expired(now) && l.peakInFlight > 0 {
+		return max(slots, int(firstLeaseFraction*float64(concurrency)))
 	}
 	if l.refused {
-		return max(slots, 2*l.slotsMax)
+		return max(slots, 2*l.maxInFlight)
 	}
 	return slots
 }
 
-// cold reports whether no lease is held.
-func (l *leases) cold(now time.Time) bool {
-	return !now.Before(l.until())
+// expired reports whether there is no active lease.
+func (l *leases) expired(now time.Time) bool {
+	return !now.Before(l.expiry())
 }
 
-// surrender takes out of the lease what is left of the earlier one, which the
-// renewal is to replace, and what the latest holds above the part kept for calls
-// that arrive while the renewal is on its way. An idle VM gives its calls in
-// flight back too.
-func (l *leases) surrender(wanted levels, now time.Time) levels {
-	l.expire(now)
-	back := l.lots[1].level
-	l.lots[1].level = levels{}
-	for d := range back {
-		spare := max(l.lots[0].level[d]-keepPart*wanted[d], 0)
-		l.lots[0].level[d] -= spare
-		back[d] += spare
+// releaseUnused removes the amounts to return to the owner: the remainder of the previous
+// lease, and what the latest one holds beyond renewalReserve. An idle VM also returns its
+// slots.
+func (l *leases) releaseUnused(wanted vector, now time.Time) vector {
+	l.clearExpired(now)
+	returned := l.held[1].level
+	l.held[1].level = vector{}
+	for d := range returned {
+		excess := max(l.held[0].level[d]-renewalReserve*wanted[d], 0)
+		l.held[0].level[d] -= excess
+		returned[d] += excess
 	}
-	if l.wanted == (levels{}) && l.inFlight == 0 {
-		l.slotsMax = 0
+	if l.demand == (vector{}) && l.inFlight == 0 {
+		l.maxInFlight = 0
 	}
-	return back
+	return returned
 }
 
-// AddLease takes what the owner granted. It may be used until the deadline,
-// which counts from when the request was sent.
+// AddLease stores a lease granted by the owner. The expiry time counts from when the
+// request was sent.
 func (l *Ledger) AddLease(workspace string, granted Amounts, until time.Time) {
 	s := l.shard(workspace)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.account(workspace).lease().add(levelsOf(&granted), granted.Concurrency, until)
+	s.account(workspace).leaseState().add(vectorOf(&granted), granted.Concurrency, until)
 }
 
-func (l *leases) add(given levels, concurrency int, until time.Time) {
-	l.lots[1] = l.lots[0]
+func (l *leases) add(given vector, concurrency int, until time.Time) {
+	l.held[1] = l.held[0]
 	for d := range given {
 		paid := min(l.debt[d], given[d])
 		l.debt[d] -= paid
 		given[d] -= paid
 	}
-	l.lots[0] = lot{
+	l.held[0] = lease{
 		level: given,
 		until: until,
 	}
-	l.slotsMax = concurrency
+	l.maxInFlight = concurrency
 }
 
-// Grant takes a lease for another VM out of this owner's own buckets, after
-// what it gives back has been put in. It grants at most a part of what the
-// buckets hold. Calls in flight are granted as a number that replaces the earlier one.
+// Grant credits the returned amounts to the owner's buckets and takes a lease for another
+// VM from them, up to grantFraction of their content. The granted slots replace those of
+// the VM's previous lease.
 func (l *Ledger) Grant(r Request, want, unused Amounts, now time.Time) (Amounts, *result.Refusal) {
-	s, a := l.begin(&r, now)
+	s, a := l.lockAndRefill(&r, now)
 	defer s.mu.Unlock()
-	a.takeBack(r.From, unused, now)
+	a.creditReturned(r.From, unused, now)
 	if r.Share <= 0 {
 		short := a.shortage(&r, now)
 		return Amounts{}, short.refusal()
@@ -290,60 +289,61 @@
 	return a.grant(&r, want, now), nil
 }
 
-// takeBack credits what a VM gives back, at most what it was granted.
-func (a *account) takeBack(from string, unused Amounts, now time.Time) {
-	g := a.lease().granted[from]
+// creditReturned credits the amounts that a VM returns, up to what it was granted.
+func (a *account) creditReturned(from string, unused Amounts, now time.Time) {
+	g := a.leaseState().outgoing[from]
 	if g == nil {
 		return
 	}
-	back := levelsOf(&unused)
-	for d := range back {
-		credit := min(max(back[d], 0), g.level[d])
+	returned := vectorOf(&unused)
+	for d := range returned {
+		credit := min(max(returned[d], 0), g.level[d])
 		a.level[d] = min(a.level[d]+credit, max(a.level[d], a.capacity[d]*a.share))
 		g.level[d] -= credit
 	}
 	if !now.Before(g.until) {
-		*g = granted{}
+		*g = outgoingLease{}
 	}
 }
 
 func (a *account) grant(r *Request, want Amounts, now time.Time) Amounts {
-	l := a.lease()
-	g := l.granted[r.From]
+	l := a.leaseState()
+	g := l.outgoing[r.From]
 	if g == nil {
-		g = &granted{}
-		l.granted[r.From] = g
+		g = &outgoingLease{}
+		l.outgoing[r.From] = g
 	}
 	g.slots = 0
-	free := slots(r.Terms.Concurrency, r.Share) - a.inFlight - l.slots(now)
-	wanted := levelsOf(&want)
-	var given levels
+	free := concurrencyLimit(r.Terms.Concurrency, r.Share) - a.inFlight - l.grantedSlots(now)
+	wanted := vectorOf(&want)
+	var given vector
 	for d := range given {
-		given[d] = min(max(wanted[d], 0), max(a.level[d], 0)*grantPart)
+		given[d] = min(max(wanted[d], 0), max(a.level[d], 0)*grantFraction)
 		a.level[d] -= given[d]
 		g.level[d] += given[d]
 	}
-	g.until = now.Add(LeaseTerm + LeaseTerm/marginPart)
-	g.slots = max(min(want.Concurrency, grantSlots(free)), 0)
+	g.until = now.Add(LeaseTerm + LeaseTerm/clockDriftDivisor)
+	g.slots = max(min(want.Concurrency, maxGrantedSlots(free)), 0)
 	out := given.amounts()
 	out.Concurrency = g.slots
 	return out
 }
 
-// grantSlots returns the calls in flight that one lease may take of the free ones.
-func grantSlots(free int) int {
-	return int(math.Ceil(grantPart * float64(free)))
+// maxGrantedSlots returns how many of the free slots one lease may take.
+func maxGrantedSlots(free int) int {
+	return int(math.Ceil(grantFraction * float64(free)))
 }
 
-// idle reports whether nothing is leased in or out, in use or owed.
+// idle reports whether no lease is active in either direction, no leased call is in flight
+// and no debt remains.
 func (l *leases) idle(now time.Time) bool {
 	if l == nil {
 		return true
 	}
-	for _, g := range l.granted {
+	for _, g := range l.outgoing {
 		if now.Before(g.until) {
 			return false
 		}
 	}
-	return l.inFlight == 0 && !now.Before(l.until()) && l.debt == levels{}
+	return l.inFlight == 0 && !now.Before(l.expiry()) && l.debt == vector{}
 }
--- a/limit/limit.go
+++ b/limit/limit.go
@@ -1,10 +1,9 @@
-// Package limit admits work within the contracts' limits: requests, tokens,
-// spend, calls in flight and tokens served by other regions. The owner of a
-// workspace admits from token buckets that fill at the contract's rate times
-// its share; other entry VMs admit from leases that the owner granted them.
+// Package limit enforces the limits of workspace contracts: requests, tokens, spend, calls
+// in flight, and tokens served by other regions. The owner of a workspace admits calls
+// from token buckets that refill at the contract's rate times its share; other entry VMs
+// admit calls from leases granted by the owner.
 //
-// It is traffic state: the methods of a Ledger may be called from any
-// goroutine, and the path that admits does not allocate.
+// A Ledger is safe for concurrent use, and admitting a call does not allocate.
 package limit
 
 import (
@@ -17,29 +16,29 @@
 	"github.com/fuchsianotch/fuchsianotch/result"
 )
 
-// Policies of a Ledger. PolicyShare is the decision; the others are baselines
-// to measure it against.
+// Policies of a Ledger. PolicyShare is the default; the others are baselines for
+// comparison.
 const (
-	// PolicyShare admits by the share that Request names.
+	// PolicyShare admits calls by the share given in Request.
 	PolicyShare = "share"
-	// PolicyStaticSplit gives each VM an equal part for good.
+	// PolicyStaticSplit gives each VM a fixed, equal part of the limit.
 	PolicyStaticSplit = "static_split"
-	// PolicyLocalBucket gives each VM the whole limit.
+	// PolicyLocalBucket gives each VM the full limit.
 	PolicyLocalBucket = "local_bucket"
 )
 
 const (
-	// LeaseTerm is how long a granted lease may be used.
-	LeaseTerm = time.Second
-	shardBits = 6
-	shards    = 1 << shardBits
-	// idleBeforeSweep is the time after which an unused account is as good as
-	// a new one, because it has filled up.
-	idleBeforeSweep = 2 * time.Minute
+	// LeaseTerm is the lifetime of a lease.
+	LeaseTerm  = time.Second
+	shardBits  = 6
+	shardCount = 1 << shardBits
+	// idleTimeout is how long an account must be unused before it is dropped. By then its
+	// buckets are full again.
+	idleTimeout = 2 * time.Minute
 )
 
-// Amounts are parts of a contract's limits: requests, tokens, spend in
-// millionths of the currency, calls in flight, and tokens served by other regions.
+// Amounts are quantities of each limit: requests, tokens, spend in millionths of the
+// currency unit, calls in flight, and tokens served by other regions.
 type Amounts struct {
 	Requests    float64
 	Tokens      float64
@@ -48,53 +47,53 @@
 	Borrowed    float64
 }
 
-// Options set up a Ledger.
+// Options configures a Ledger.
 type Options struct {
-	// Policy is one of the policies; empty means PolicyShare.
+	// Policy is one of the Policy constants; empty means PolicyShare.
 	Policy string
 }
 
-// Request asks for a part of a workspace's limits.
+// Request describes a call to charge to a workspace's limits.
 type Request struct {
 	Workspace string
 	Terms     contract.RegionTerms
-	// Share is the part, from 0 to 1, of Terms that this VM may use now.
+	// Share is the fraction of Terms, from 0 to 1, that this VM may currently use.
 	Share float64
-	// Since, Base and BaseSince are the past of Share, as membership.Holding
-	// gives it. Without them an account starts empty, and a share counts only
-	// from the first request that names it.
+	// Since, Base and BaseSince are the history of Share, as in membership.Holding.
+	// Without them an account starts empty, and a share counts from the first request that
+	// carries it.
 	Since     time.Time
 	Base      float64
 	BaseSince time.Time
-	// VMs is the number of listed VMs of the region.
+	// VMs is the number of VMs listed in the region.
 	VMs int
-	// Owner says that this VM owns the workspace by its own view.
+	// Owner is set if this VM owns the workspace according to its own view.
 	Owner bool
-	// Burst is what the buckets hold at full share. Where it is zero, a bucket holds
-	// what its rate brings in one second, or that of spend in one minute.
+	// Burst is the bucket capacity at a share of 1. A zero field means one second of the
+	// rate, or one minute for Spend.
 	Burst Amounts
-	// Opening is the part of them, from 0 to 1, that a new account holds.
-	Opening float64
-	// From is the VM that a lease is granted to; only Grant reads it.
+	// InitialFill is the fill level of a new account's buckets, from 0 to 1.
+	InitialFill float64
+	// From is the VM that requests a lease; it is only used by Grant.
 	From string
-	// Cost is what the call is estimated to use.
+	// Cost is the estimated usage of the call.
 	Cost Amounts
 }
 
-// Reservation is what a call was charged. It must be given back to Settle or to
-// Cancel exactly once.
+// Reservation is the charge for one call. It must be passed to Settle or Cancel exactly
+// once.
 type Reservation struct {
 	Charged Amounts
-	// Leased says that the charge went to a lease of the owner.
+	// Leased is set if a lease was charged instead of this VM's own buckets.
 	Leased  bool
 	account *account
 	shard   *shard
 }
 
-// Ledger holds the accounts of all workspaces that this VM admits work for.
+// Ledger holds the accounts of all workspaces that this VM admits calls for.
 type Ledger struct {
 	policy string
-	shards [shards]shard
+	shards [shardCount]shard
 }
 
 type shard struct {
@@ -102,7 +101,7 @@
 	accounts map[string]*account
 }
 
-// New makes an empty Ledger.
+// New returns an empty Ledger.
 func New(o Options) *Ledger {
 	l := &Ledger{
 		policy: o.Policy,
@@ -120,7 +119,8 @@
 	return &l.shards[xxhash.Sum64String(workspace)>>(64-shardBits)]
 }
 
-// account returns the workspace's account, made if needed. The shard is locked.
+// account returns the workspace's account, creating it if needed. The shard must be
+// locked.
 func (s *shard) account(workspace string) *account {
 	a := s.accounts[workspace]
 	if a == nil {
@@ -130,8 +130,8 @@
 	return a
 }
 
-// apply sets the request's share as the ledger's policy sees it.
-func (l *Ledger) apply(r *Request) {
+// applyPolicy overrides the request's share under the baseline policies.
+func (l *Ledger) applyPolicy(r *Request) {
 	switch l.policy {
 	case PolicyStaticSplit:
 		r.Share = 1 / float64(max(r.VMs, 1))
@@ -140,16 +140,16 @@
 	default:
 		return
 	}
-	// A fixed share was always held.
+	// A fixed share counts as held since the epoch.
 	r.Base = r.Share
 	r.Since = time.Unix(0, 0)
 	r.BaseSince = r.Since
 }
 
-// begin returns the request's account, filled up to now. Its shard is locked, and the
-// one who asked unlocks it.
-func (l *Ledger) begin(r *Request, now time.Time) (*shard, *account) {
-	l.apply(r)
+// lockAndRefill locks the shard of the workspace and returns it with the refilled account.
+// The caller must unlock the shard.
+func (l *Ledger) lockAndRefill(r *Request, now time.Time) (*shard, *account) {
+	l.applyPolicy(r)
 	s := l.shard(r.Workspace)
 	s.mu.Lock()
 	a := s.account(r.Workspace)
@@ -157,18 +157,18 @@
 	return s, a
 }
 
-// Take charges the whole cost or nothing. It admits from the share of this VM,
-// or else from its lease. A refusal names the limit that is free last, with the
-// time at which the same cost will be admitted if nothing else is. LimitNoShare
-// means that this VM holds neither share nor lease: the owner is the one to ask.
+// Take charges the full cost or nothing. It uses this VM's share, or else its lease. A
+// refusal carries the limit with the latest retry time; a retry at that time succeeds if
+// nothing else was admitted meanwhile. LimitNoShare means that this VM holds neither a
+// share nor a lease, and that the owner must be asked.
 func (l *Ledger) Take(r Request, now time.Time) (Reservation, *result.Refusal) {
-	s, a := l.begin(&r, now)
+	s, a := l.lockAndRefill(&r, now)
 	defer s.mu.Unlock()
 	if !r.Owner && l.policy == PolicyShare {
-		a.lease().demand(&r.Cost)
+		a.leaseState().recordDemand(&r.Cost)
 	}
 	short := a.shortage(&r, now)
-	if !short.none() && a.takeLeased(&r.Cost, now) {
+	if !short.isZero() && a.takeFromLease(&r.Cost, now) {
 		return Reservation{
 			Charged: r.Cost,
 			Leased:  true,
@@ -176,7 +176,7 @@
 			shard:   s,
 		}, nil
 	}
-	if !short.none() {
+	if !short.isZero() {
 		return Reservation{}, short.refusal()
 	}
 	a.charge(&r.Cost)
@@ -187,35 +187,34 @@
 	}, nil
 }
 
-// Settle replaces the estimate that was charged by what the call used, and ends
-// its place among the calls in flight. A call that used more than its estimate
-// may leave a debt, which is paid off before more is admitted.
+// Settle replaces the estimated cost with the actual usage and releases the call's
+// concurrency slot. Usage above the estimate may leave a debt, which must be refilled
+// before further calls are admitted.
 func (l *Ledger) Settle(r Reservation, used Amounts, now time.Time) {
 	if r.account == nil {
 		return
 	}
 	r.shard.mu.Lock()
 	defer r.shard.mu.Unlock()
-	r.account.giveBack(&r, used, now)
+	r.account.settle(&r, used, now)
 }
 
-// Cancel gives everything back, for a call that was certainly not run.
+// Cancel refunds the whole charge of a call that is known not to have run.
 func (l *Ledger) Cancel(r Reservation, now time.Time) {
 	l.Settle(r, Amounts{}, now)
 }
 
-// Charge takes a cost that was admitted elsewhere, whatever the buckets hold; a
-// negative cost is given back. It returns how full the buckets then are that the cost
-// draws on, at most 1 and negative for a debt.
+// Charge charges a cost that was already admitted elsewhere, whatever the buckets hold; a
+// negative cost is a refund. It returns the lowest fill level of the charged buckets, at
+// most 1 and negative for a debt.
 func (l *Ledger) Charge(r Request, now time.Time) (filled float64) {
-	s, a := l.begin(&r, now)
+	s, a := l.lockAndRefill(&r, now)
 	defer s.mu.Unlock()
 	a.charge(&r.Cost)
-	return a.filled(&r)
+	return a.fillRatio(&r)
 }
 
-// Sweep forgets accounts that were not used for so long that a new one would
-// hold the same, and gives the number of those left.
+// Sweep drops idle accounts and returns the number of remaining ones.
 func (l *Ledger) Sweep(now time.Time) int {
 	left := 0
 	for i := range l.shards {
--- a/limit/measure_test.go
+++ b/limit/measure_test.go
@@ -10,15 +10,15 @@
 	"github.com/fuchsianotch/fuchsianotch/limit"
 )
 
-// scene is a measurement of what callers get of a contract.
-type scene struct {
+// faultCase is a schedule of faults with the period in which admitted calls are counted.
+type faultCase struct {
 	name  string
 	steps []step
 	from  time.Duration
 	until time.Duration
 }
 
-var scenes = []scene{
+var faultCases = []faultCase{
 	{
 		name:  "health",
 		from:  2 * time.Second,
@@ -58,14 +58,14 @@
 	},
 	{
 		name:  "flap_1",
-		steps: flaps("c"),
+		steps: flapSteps("c"),
 		from:  2 * time.Second,
 		until: 12 * time.Second,
 	},
 }
 
-// flaps cuts a VM off for half a second in every second.
-func flaps(vm string) []step {
+// flapSteps partitions a VM from the others for half a second in every second.
+func flapSteps(vm string) []step {
 	var steps []step
 	for at := 2 * time.Second; at < 12*time.Second; at += time.Second {
 		steps = append(steps, step{
@@ -83,11 +83,10 @@
 	measuredWorkspaces = 40
 )
 
-// demand offers each workspace's calls by skew: a part of them at one VM
-// chosen by the caller's habit, the rest evenly. Under the share policy a VM
-// that is not the owner forwards to the one that its view names.
-func (n *network) demand(seed int, ld load) {
-	perTick := n.terms.RequestsPerSecond * ld.overload * tickEvery.Seconds()
+// generateLoad sends the part ld.skew of each workspace's calls to one VM and spreads the
+// rest evenly.
+func (n *network) generateLoad(seed int, ld load) {
+	perTick := n.terms.RequestsPerSecond * ld.overload * tickInterval.Seconds()
 	carry := make(map[string]float64)
 	n.offered = func(p *process, w string) int {
 		part := (1 - ld.skew) / measuredVMs
@@ -102,8 +101,9 @@
 	}
 }
 
-// target is the VM that admits a call which arrived at p.
-func (n *network) target(p *process, w string) *process {
+// admittingProcess returns the process that admits a call received by p. Under the share
+// policy, calls are forwarded to the owner.
+func (n *network) admittingProcess(p *process, w string) *process {
 	if n.policy != limit.PolicyShare {
 		return p
 	}
@@ -112,21 +112,21 @@
 		return p
 	}
 	q := n.process(owner.ID)
-	if _, open := n.way(p, q); !open || q.dead || n.now < q.thawsAt {
+	if _, open := n.link(p, q); !open || q.dead || n.now < q.resumesAt {
 		return p
 	}
 	return q
 }
 
-// way is how one measured fleet admits.
-type way struct {
+// admissionMode is a configuration to compare.
+type admissionMode struct {
 	name    string
 	variant variant
 	policy  string
 	leases  bool
 }
 
-var ways = []way{
+var admissionModes = []admissionMode{
 	{
 		name:    "share",
 		variant: asBuilt,
@@ -155,8 +155,8 @@
 	},
 }
 
-// load is what callers ask for, over the contract, and the part of it that
-// arrives at one VM.
+// load is the offered rate relative to the contract, and the fraction of it that arrives
+// at one VM.
 type load struct {
 	name     string
 	overload float64
@@ -175,20 +175,20 @@
 	},
 }
 
-// usable returns the calls admitted over the contract: the mean of all
-// workspaces, and the one with the most.
-func usable(w way, sc scene, ld load, seed int) (mean, most float64) {
+// admittedFraction returns the admitted calls relative to the contract: the mean over all
+// workspaces, and the maximum.
+func admittedFraction(w admissionMode, sc faultCase, ld load, seed int) (mean, most float64) {
 	n := newNetwork(w.variant, measuredVMs)
 	n.policy = w.policy
 	n.leases = w.leases
 	for _, p := range n.processes {
 		p.ledger = limit.New(limit.Options{Policy: w.policy})
 	}
-	n.names = n.names[:0]
+	n.workspaces = n.workspaces[:0]
 	for i := range measuredWorkspaces {
-		n.names = append(n.names, fmt.Sprintf("ws-%d-%d", seed, i))
+		n.workspaces = append(n.workspaces, fmt.Sprintf("ws-%d-%d", seed, i))
 	}
-	n.demand(seed, ld)
+	n.generateLoad(seed, ld)
 	schedule{VMs: measuredVMs, Steps: sc.steps}.apply(n)
 	counts := make(map[string]float64)
 	n.admitted = func(_ *process, w string, at time.Duration) {
@@ -205,13 +205,13 @@
 	return mean, most
 }
 
-// BenchmarkUsableShare prints the part of the contract that callers get: of all
-// workspaces on average the least, median and most of five seeds, and the most
-// of any one workspace. Times mean nothing; the terms are those of the fake fleet.
+// BenchmarkUsableShare reports the admitted calls relative to the contract: the minimum,
+// median and maximum over five seeds of the mean over all workspaces, and the maximum of
+// any workspace. Its time is meaningless.
 func BenchmarkUsableShare(b *testing.B) {
 	for _, ld := range loads {
-		for _, sc := range scenes {
-			for _, w := range ways {
+		for _, sc := range faultCases {
+			for _, w := range admissionModes {
 				b.Run(fmt.Sprintf("%s/%s/%s", ld.name, sc.name, w.name), func(b *testing.B) {
 					measure(b, w, sc, ld)
 				})
@@ -220,10 +220,10 @@
 	}
 }
 
-func measure(b *testing.B, w way, sc scene, ld load) {
+func measure(b *testing.B, w admissionMode, sc faultCase, ld load) {
 	var means, mosts []float64
 	for seed := range 5 {
-		mean, most := usable(w, sc, ld, seed)
+		mean, most := admittedFraction(w, sc, ld, seed)
 		means = append(means, mean)
 		mosts = append(mosts, most)
 	}
@@ -236,13 +236,14 @@
 	b.ReportMetric(0, "ns/op")
 }
 
-// TestUsableShareInHealth holds the decision to its target under skewed entry.
-func TestUsableShareInHealth(t *testing.T) {
-	for _, w := range ways[:2] {
-		mean, most := usable(w, scenes[0], loads[0], 1)
+// TestAdmittedFractionWithoutFaults checks that nearly the whole contract is admitted, and
+// no more, when most calls arrive at one VM.
+func TestAdmittedFractionWithoutFaults(t *testing.T) {
+	for _, w := range admissionModes[:2] {
+		mean, most := admittedFraction(w, faultCases[0], loads[0], 1)
 		t.Logf("%s: %.3f on average, %.3f at most", w.name, mean, most)
 		if mean < 0.95 || most > 1.05 {
-			t.Errorf("%s: callers get %.3f of the contract on average and %.3f at most", w.name, mean, most)
+			t.Errorf("%s: admitted %.3f of the contract on average and %.3f at most", w.name, mean, most)
 		}
 	}
 }
--- a/limit/network_test.go
+++ b/limit/network_test.go
@@ -10,7 +10,7 @@
 	"github.com/fuchsianotch/fuchsianotch/membership"
 )
 
-// renew asks the owner, as the process sees it, for a lease.
+// renew requests a lease from the owner in the process's view.
 func (n *network) renew(p *process, workspace string) {
 	owner, ok := p.view.Owner(workspace)
 	if !ok || owner.ID == p.vm.ID {
@@ -28,7 +28,7 @@
 		if refusal != nil {
 			return
 		}
-		n.sendBack(q, p, func() {
+		n.reply(q, p, func() {
 			p.ledger.AddLease(workspace, granted, sentAt.Add(limit.LeaseTerm))
 		})
 	})
@@ -36,7 +36,7 @@
 
 func (n *network) request(p *process, workspace string) limit.Request {
 	now := p.local(n.now)
-	held := n.hold(p, workspace, now)
+	held := n.holding(p, workspace, now)
 	owner, _ := p.view.Owner(workspace)
 	return limit.Request{
 		Workspace: workspace,
@@ -54,8 +54,8 @@
 	}
 }
 
-// hold returns the share as the variant sees it.
-func (n *network) hold(p *process, workspace string, now time.Time) membership.Holding {
+// holding returns the process's share as computed by the variant.
+func (n *network) holding(p *process, workspace string, now time.Time) membership.Holding {
 	held := p.view.Hold(workspace, now)
 	switch n.variant {
 	case visibleShare:
@@ -85,12 +85,12 @@
 		q.lastLoan[p.vm.ID] = loan.ID
 		reply := q.state.Beat(now)
 		q.changed = true
-		n.sendBack(q, p, func() {
+		n.reply(q, p, func() {
 			answered = true
-			n.replied(p, to, reply, loan, sentAt)
+			n.receiveReply(p, to, reply, loan, sentAt)
 		})
 	})
-	n.deliver(p, n.now+beatEvery, func() {
+	n.deliver(p, n.now+heartbeatInterval, func() {
 		if !answered {
 			p.state.Missed(to, p.local(n.now))
 			p.changed = true
@@ -99,15 +99,15 @@
 }
 
 func (n *network) acknowledge(q *process, from string, held uint64) {
-	if n.variant == acknowledgeAll {
-		// A number that was never given acknowledges nothing.
+	if n.variant == acknowledgeAnyHeartbeat {
 		q.state.Acknowledge(from, q.lastLoan[from])
+		// A loan ID that was never issued acknowledges nothing.
 		held = q.lastLoan[from] + 1
 	}
 	q.state.Acknowledge(from, held)
 }
 
-func (n *network) replied(p *process, from string, reply membership.Beat, loan membership.Loan, sentAt time.Time) {
+func (n *network) receiveReply(p *process, from string, reply membership.Beat, loan membership.Loan, sentAt time.Time) {
 	now := p.local(n.now)
 	if n.variant == countFromReceipt {
 		sentAt = now
@@ -130,13 +130,13 @@
 		}
 	case oneView:
 		ids := viewIDs(q.view)
-		if !slices.Equal(ids, q.oldView) {
-			if n.now < q.oldViewEnds {
+		if !slices.Equal(ids, q.lentView) {
+			if n.now < q.lentViewExpires {
 				return membership.Loan{}
 			}
-			q.oldView = ids
+			q.lentView = ids
 		}
-		q.oldViewEnds = n.now + leaseTerm + leaseTerm/50
+		q.lentViewExpires = n.now + leaseTerm + leaseTerm/50
 		return q.state.Lend(to, theirHash, now)
 	default:
 		return q.state.Lend(to, theirHash, now)
@@ -152,51 +152,52 @@
 	return ids
 }
 
-// send delivers to the latest process of a VM that the way is open to.
+// send delivers a message to the latest reachable incarnation of a VM.
 func (n *network) send(from *process, to string, receive func(q *process)) {
 	for _, q := range slices.Backward(n.processes) {
 		if q.vm.ID != to || q.dead {
 			continue
 		}
-		if delay, ok := n.way(from, q); ok {
+		if delay, ok := n.link(from, q); ok {
 			n.deliver(q, n.now+delay, func() { receive(q) })
 			return
 		}
 	}
 }
 
-func (n *network) sendBack(from, to *process, receive func()) {
-	if delay, ok := n.way(from, to); ok {
+func (n *network) reply(from, to *process, receive func()) {
+	if delay, ok := n.link(from, to); ok {
 		n.deliver(to, n.now+delay, receive)
 	}
 }
 
-// deliver runs something at a process, once it is not frozen.
+// deliver runs receive on a process, delayed while the process is paused.
 func (n *network) deliver(q *process, at time.Duration, receive func()) {
 	n.at(at, func() {
 		switch {
 		case q.dead:
-		case n.now < q.thawsAt:
+		case n.now < q.resumesAt:
 			// Every other process reads its messages after its first tick.
-			n.deliver(q, q.thawsAt+time.Duration(q.incarnation%2)*2*tickEvery, receive)
+			n.deliver(q, q.resumesAt+time.Duration(q.incarnation%2)*2*tickInterval, receive)
 		default:
 			receive()
 		}
 	})
 }
 
-// way returns the delay from one process to another; ok is false when it is cut.
-// A process is named by its VM, one that was replaced by its VM and "'".
-func (n *network) way(from, to *process) (delay time.Duration, ok bool) {
-	delay = oneWay
-	for _, c := range n.cuts {
+// link returns the delay from one process to another; ok is false if messages are dropped.
+// Link faults name the latest process of a VM by its ID, and earlier ones by the ID with
+// "'" appended.
+func (n *network) link(from, to *process) (delay time.Duration, ok bool) {
+	delay = linkDelay
+	for _, c := range n.linkFaults {
 		if n.now >= c.until || c.from != n.label(from) || c.to != n.label(to) {
 			continue
 		}
-		if c.slow == 0 {
+		if c.delay == 0 {
 			return 0, false
 		}
-		delay = max(delay, c.slow)
+		delay = max(delay, c.delay)
 	}
 	return delay, true
 }
@@ -213,7 +214,7 @@
 	return ""
 }
 
-// process returns the latest life of a VM's process, or nil.
+// process returns the latest incarnation of a VM, or nil.
 func (n *network) process(id string) *process {
 	for _, p := range slices.Backward(n.processes) {
 		if p.vm.ID == id {
@@ -223,7 +224,7 @@
 	return nil
 }
 
-// publish sends a new list to every process, to the i-th after i parts of the lag.
+// publish sends a new list to every process, spread evenly over the list lag.
 func (n *network) publish(vms []fleet.VM) {
 	list := &fleet.List{
 		Revision: n.list.Revision + 1,
@@ -231,7 +232,7 @@
 	}
 	n.list = list
 	for i, p := range n.processes {
-		lag := n.lag * time.Duration(i) / time.Duration(len(n.processes))
+		lag := n.listLag * time.Duration(i) / time.Duration(len(n.processes))
 		n.deliver(p, n.now+lag, func() {
 			p.state.SetList(list, p.local(n.now))
 			p.changed = true
@@ -239,21 +240,21 @@
 	}
 }
 
-// shares returns the sum of the shares of a workspace over all running processes.
-func (n *network) shares(workspace string) float64 {
+// totalShare returns the sum of the shares of a workspace over all running processes.
+func (n *network) totalShare(workspace string) float64 {
 	sum := 0.0
 	for _, p := range n.processes {
-		if !p.dead && n.now >= p.thawsAt {
-			sum += n.hold(p, workspace, p.local(n.now)).Share
+		if !p.dead && n.now >= p.resumesAt {
+			sum += n.holding(p, workspace, p.local(n.now)).Share
 		}
 	}
 	return sum
 }
 
-func (n *network) describe(workspace string) string {
+func (n *network) formatShares(workspace string) string {
 	out := ""
 	for _, p := range n.processes {
-		out += fmt.Sprintf(" %s=%.3f", n.label(p), n.hold(p, workspace, p.local(n.now)).Share)
+		out += fmt.Sprintf(" %s=%.3f", n.label(p), n.holding(p, workspace, p.local(n.now)).Share)
 	}
 	return out
 }
--- a/limit/property_test.go
+++ b/limit/property_test.go
@@ -17,71 +17,72 @@
 )
 
 const (
-	// shareBound is what the shares of a workspace may sum up to.
-	shareBound = 1 + 1e-9
-	// rateBound is what clocks that differ in rate may add to a limit.
-	rateBound = 1 + 2*driftStep
-	callCost  = 1
+	// maxShareSum is the maximum sum of the shares of a workspace, with rounding.
+	maxShareSum = 1 + 1e-9
+	// maxDriftFactor is how far clock drift may raise a rate.
+	maxDriftFactor = 1 + 2*clockDrift
+	callCost       = 1
 )
 
-// check runs a schedule and describes the first breach of the bound, "" if none:
-// the shares of a workspace never sum up to more than bound, and the calls that
-// all VMs together admit in any window are at most the limit times the window
-// times bound, plus what may be saved up.
-func check(s schedule, v variant, bound float64) string {
-	return run(newNetwork(v, s.VMs), s, bound, 1)
+// runSchedule runs a schedule and describes the first violation, or returns "". The shares
+// of a workspace must never sum to more than bound, and in any period all VMs together
+// must admit at most bound times the limit, plus the burst.
+func runSchedule(s schedule, v variant, bound float64) string {
+	return checkBound(newNetwork(v, s.VMs), s, bound, 1)
 }
 
-// run checks a network in which a limit may be saved up for some seconds.
-func run(n *network, s schedule, bound, savedUp float64) string {
+// checkBound is like runSchedule for a given network, with a burst of burstSeconds times
+// the limit.
+func checkBound(n *network, s schedule, bound, burstSeconds float64) string {
 	s.apply(n)
 	breach := ""
-	windows := make(map[string]*window)
-	for _, w := range n.names {
-		windows[w] = &window{}
+	trackers := make(map[string]*excessTracker)
+	for _, w := range n.workspaces {
+		trackers[w] = &excessTracker{}
 	}
 	n.admitted = func(_ *process, w string, at time.Duration) {
-		rate := n.terms.RequestsPerSecond * bound * rateBound
-		burst := n.terms.RequestsPerSecond*bound*savedUp + callCost*float64(len(n.processes))
-		if over := windows[w].add(rate, at); over > burst && breach == "" {
-			breach = fmt.Sprintf("at %v: %s: %.2f calls over the limit in one window, burst %.2f", at, w, over, burst)
+		rate := n.terms.RequestsPerSecond * bound * maxDriftFactor
+		burst := n.terms.RequestsPerSecond*bound*burstSeconds + callCost*float64(len(n.processes))
+		if over := trackers[w].add(rate, at); over > burst && breach == "" {
+			breach = fmt.Sprintf("at %v: %s: %.2f calls over the limit, burst %.2f", at, w, over, burst)
 		}
 	}
 	var sample func()
 	sample = func() {
-		for _, w := range n.names {
-			if sum := n.shares(w); sum > bound*shareBound && breach == "" {
-				breach = fmt.Sprintf("at %v: %s: shares sum up to %.3f:%s", n.now, w, sum, n.describe(w))
+		for _, w := range n.workspaces {
+			if sum := n.totalShare(w); sum > bound*maxShareSum && breach == "" {
+				breach = fmt.Sprintf("at %v: %s: shares sum to %.3f:%s", n.now, w, sum, n.formatShares(w))
 			}
 		}
-		n.at(n.now+tickEvery/2, sample)
+		n.at(n.now+tickInterval/2, sample)
 	}
 	n.at(0, sample)
 	n.run(s.Until)
 	return breach
 }
 
-// window finds the window with the most calls above a rate.
-type window struct {
+// excessTracker finds the period with the most calls above a rate.
+type excessTracker struct {
 	count float64
 	least float64
 }
 
-// add counts a call and gives the most calls above rate of all windows that end with it.
-func (w *window) add(rate float64, at time.Duration) float64 {
+// add records a call and returns the maximum excess over rate of all periods that end with
+// it.
+func (w *excessTracker) add(rate float64, at time.Duration) float64 {
 	w.least = min(w.least, w.count-rate*at.Seconds())
 	w.count++
 	return w.count - rate*at.Seconds() - w.least
 }
 
-func millis(t *rapid.T, from, to int, label string) time.Duration {
+func drawDuration(t *rapid.T, from, to int, label string) time.Duration {
 	return time.Duration(rapid.IntRange(from, to).Draw(t, label)) * 10 * time.Millisecond
 }
 
 func drawSchedule(t *rapid.T, ops []string) schedule {
 	s := schedule{
 		VMs:   rapid.IntRange(2, 6).Draw(t, "vms"),
-		Lag:   millis(t, 0, 20, "lag"),
+		Lag:   drawDuration(t, 0, 20, "lag"),
 		Until: 4 * time.Second,
 	}
 	names := make([]string, s.VMs)
@@ -94,7 +95,7 @@
 
 func drawStep(t *rapid.T, ops, names []string) step {
 	st := step{
-		At: millis(t, 80, 250, "at"),
+		At: drawDuration(t, 80, 250, "at"),
 		Op: rapid.SampledFrom(ops).Draw(t, "op"),
 	}
 	vm := rapid.SampledFrom(names)
@@ -110,12 +111,13 @@
 	}
 	switch st.Op {
 	case "cut", "slow", "split", "freeze", "quiet":
-		st.For = millis(t, 1, 120, "for")
+		st.For = drawDuration(t, 1, 120, "for")
 	}
 	return st
 }
 
-// drawList returns a list with the first VMs as live, leaving or gone, and perhaps a new one.
+// drawList draws a list in which each of the VMs, and possibly a new one, is live, leaving
+// or absent.
 func drawList(t *rapid.T, names []string) []string {
 	var list []string
 	for _, name := range append(names, "x") {
@@ -134,46 +136,45 @@
 }
 
 var (
-	faults    = []string{"cut", "cut", "slow", "split", "freeze", "quiet", "kill", "restart", "leave"}
-	withLists = append([]string{"list"}, faults...)
+	faults         = []string{"cut", "cut", "slow", "split", "freeze", "quiet", "kill", "restart", "leave"}
+	faultsAndLists = append([]string{"list"}, faults...)
 )
 
-// TestBoundHolds draws schedules of all faults but changes of the list.
+// TestBoundHolds runs random faults without changes of the VM list.
 func TestBoundHolds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := drawSchedule(t, faults)
-		if breach := check(s, asBuilt, 1); breach != "" {
+		if breach := runSchedule(s, asBuilt, 1); breach != "" {
 			t.Fatalf("%s\n%s", breach, s)
 		}
 	})
 }
 
-// TestBoundHoldsWhileListsLag draws changes of the list too, which reach the
-// VMs within the hold.
-func TestBoundHoldsWhileListsLag(t *testing.T) {
+// TestBoundHoldsWithListChanges adds list changes that reach the VMs within the hold time.
+func TestBoundHoldsWithListChanges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := drawSchedule(t, withLists)
-		if breach := check(s, asBuilt, 1); breach != "" {
+		s := drawSchedule(t, faultsAndLists)
+		if breach := runSchedule(s, asBuilt, 1); breach != "" {
 			t.Fatalf("%s\n%s", breach, s)
 		}
 	})
 }
 
-// TestListsThatLagLong lets lists reach the VMs far later than the hold. Each
-// VM that any list shows as live then holds a part by the shortest list at most.
-func TestListsThatLagLong(t *testing.T) {
+// TestBoundWithStaleLists delays list changes far beyond the hold time. Each VM that is
+// live in any list may then hold a share according to the shortest list.
+func TestBoundWithStaleLists(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := drawSchedule(t, withLists)
-		s.Lag = millis(t, 20, 300, "long_lag")
-		if breach := check(s, asBuilt, s.listBound()); breach != "" {
+		s := drawSchedule(t, faultsAndLists)
+		s.Lag = drawDuration(t, 20, 300, "long_lag")
+		if breach := runSchedule(s, asBuilt, s.staleListBound()); breach != "" {
 			t.Fatalf("%s\n%s", breach, s)
 		}
 	})
 }
 
-// TestReplacedBesideItself lets VMs be replaced while the old process runs on:
-// each such one adds at most its own part.
-func TestReplacedBesideItself(t *testing.T) {
+// TestBoundWithDuplicateProcesses replaces VMs while the old process keeps running. Each
+// duplicate may add at most its own share.
+func TestBoundWithDuplicateProcesses(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := drawSchedule(t, append([]string{"replace", "replace"}, faults...))
 		doubles := 0
@@ -182,28 +183,28 @@
 				doubles++
 			}
 		}
-		if breach := check(s, asBuilt, 1+float64(doubles)/float64(s.VMs)); breach != "" {
+		if breach := runSchedule(s, asBuilt, 1+float64(doubles)/float64(s.VMs)); breach != "" {
 			t.Fatalf("%s\n%s", breach, s)
 		}
 	})
 }
 
-// TestBoundHoldsWithLeases lets VMs that are not owners admit by leases, whose
-// amounts the owner saved up before and which may be used for a lease term.
+// TestBoundHoldsWithLeases lets VMs that are not the owner admit calls from leases, which
+// extend the burst by one lease term.
 func TestBoundHoldsWithLeases(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := drawSchedule(t, faults)
 		n := newNetwork(asBuilt, s.VMs)
 		n.leases = true
-		if breach := run(n, s, 1, 1+limit.LeaseTerm.Seconds()); breach != "" {
+		if breach := checkBound(n, s, 1, 1+limit.LeaseTerm.Seconds()); breach != "" {
 			t.Fatalf("%s\n%s", breach, s)
 		}
 	})
 }
 
-// TestCases runs the schedules of testdata. Each names the variants that must
-// breach the bound, so that the check is known to see what it is for.
-func TestCases(t *testing.T) {
+// TestSavedSchedules runs the schedules in testdata. Each lists faulty variants that must
+// violate the bound, which proves that the check detects them.
+func TestSavedSchedules(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.txtar")
 	assert.NilError(t, err)
 	assert.Assert(t, len(files) > 0)
@@ -213,10 +214,10 @@
 		s, err := parseSchedule(section(archive, "schedule"))
 		assert.NilError(t, err)
 		t.Run(strings.TrimSuffix(filepath.Base(file), ".txtar"), func(t *testing.T) {
-			assert.Equal(t, check(s, asBuilt, 1), "")
+			assert.Equal(t, runSchedule(s, asBuilt, 1), "")
 			for _, name := range strings.Fields(section(archive, "breaks")) {
-				breach := check(s, variant(name), 1)
-				assert.Assert(t, breach != "", "the check does not see %s", name)
+				breach := runSchedule(s, variant(name), 1)
+				assert.Assert(t, breach != "", "the check does not detect %s", name)
 				t.Logf("%s: %s", name, breach)
 			}
 		})
@@ -232,34 +233,34 @@
 	return ""
 }
 
-var searched = flag.String("variant", "", "broken variant that TestSearch looks for a breach of")
+var searchVariant = flag.String("variant", "", "variant in which TestSearch searches for a violation")
 
-// TestSearch looks for the shortest schedule that breaches the bound under the
-// variant of the flag, to be kept as a case. Without the flag it does nothing.
+// TestSearch searches for the shortest schedule in which the given variant violates the
+// bound. It does nothing without the flag.
 func TestSearch(t *testing.T) {
-	if *searched == "" {
+	if *searchVariant == "" {
 		return
 	}
 	rapid.Check(t, func(t *rapid.T) {
 		s := drawSchedule(t, faults)
-		if breach := check(s, variant(*searched), 1); breach != "" {
+		if breach := runSchedule(s, variant(*searchVariant), 1); breach != "" {
 			t.Fatalf("%s\n%s", breach, s)
 		}
 	})
 }
 
-// TestHealth shows that the fake fleet is not idle: in health the owners hold
-// the whole limit and admit it.
-func TestHealth(t *testing.T) {
+// TestFullLimitWithoutFaults checks that the simulated fleet admits the full limit when
+// there are no faults.
+func TestFullLimitWithoutFaults(t *testing.T) {
 	n := newNetwork(asBuilt, 4)
 	calls := 0
 	n.admitted = func(*process, string, time.Duration) { calls++ }
 	n.run(2 * time.Second)
-	for _, w := range n.names {
-		assert.Equal(t, n.shares(w), 1.0)
+	for _, w := range n.workspaces {
+		assert.Equal(t, n.totalShare(w), 1.0)
 	}
 	from := calls
 	n.run(7 * time.Second)
-	contract := n.terms.RequestsPerSecond * 5 * float64(len(n.names))
+	contract := n.terms.RequestsPerSecond * 5 * float64(len(n.workspaces))
 	assert.Assert(t, math.Abs(float64(calls-from)/contract-1) < 0.02, "%d of %v calls", calls-from, contract)
 }
--- a/limit/schedule_test.go
+++ b/limit/schedule_test.go
@@ -10,7 +10,7 @@
 	"github.com/fuchsianotch/fuchsianotch/fleet"
 )
 
-// step is one fault of a schedule. Its text form is
+// step is one fault of a schedule, written as
 //
 //	at 1200ms cut a b for 800ms
 type step struct {
@@ -20,7 +20,7 @@
 	For  time.Duration
 }
 
-// schedule is a run of the fake fleet with faults.
+// schedule configures a run of the simulated fleet.
 type schedule struct {
 	VMs   int
 	Lag   time.Duration
@@ -28,7 +28,7 @@
 	Steps []step
 }
 
-// String returns the text that parseSchedule reads.
+// String formats the schedule in the syntax that parseSchedule accepts.
 func (s schedule) String() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "vms %d\nlag %v\nuntil %v\n", s.VMs, s.Lag, s.Until)
@@ -92,8 +92,9 @@
 	return nil
 }
 
-// listBound returns the VMs that any list shows as live over the fewest that one does.
-func (s schedule) listBound() float64 {
+// staleListBound returns the number of VMs that are live in any list, divided by the
+// smallest number in one list.
+func (s schedule) staleListBound() float64 {
 	ever := make(map[string]bool)
 	for i := range s.VMs {
 		ever[vmName(i)] = true
@@ -112,36 +113,36 @@
 	return float64(len(ever)) / float64(fewest)
 }
 
-// apply puts the schedule's steps on a network's queue.
+// apply queues the schedule's steps on a network.
 func (s schedule) apply(n *network) {
-	n.lag = s.Lag
+	n.listLag = s.Lag
 	for _, st := range s.Steps {
-		n.at(st.At, func() { n.fault(st) })
+		n.at(st.At, func() { n.inject(st) })
 	}
 }
 
-// fault lets one step happen. A step that names a VM which is not there does nothing.
-func (n *network) fault(st step) {
+// inject applies one step. Steps for unknown VMs are ignored.
+func (n *network) inject(st step) {
 	until := n.now + st.For
 	p := n.process(st.Args[0])
 	switch st.Op {
 	case "cut":
-		n.cuts = append(n.cuts, cut{from: st.Args[0], to: st.Args[1], until: until})
+		n.linkFaults = append(n.linkFaults, linkFault{from: st.Args[0], to: st.Args[1], until: until})
 	case "slow":
-		n.cuts = append(n.cuts, cut{from: st.Args[0], to: st.Args[1], until: until, slow: beatEvery * 9 / 10})
+		n.linkFaults = append(n.linkFaults, linkFault{from: st.Args[0], to: st.Args[1], until: until, delay: heartbeatInterval * 9 / 10})
 	case "split":
 		n.split(st.Args, until)
 	case "list":
-		n.relist(st.Args)
+		n.publishNamed(st.Args)
 	}
 	if p == nil {
 		return
 	}
 	switch st.Op {
 	case "freeze":
-		p.thawsAt = max(p.thawsAt, until)
+		p.resumesAt = max(p.resumesAt, until)
 	case "quiet":
-		p.quietUntil = max(p.quietUntil, until)
+		p.noTrafficUntil = max(p.noTrafficUntil, until)
 	case "kill":
 		p.dead = true
 	case "restart":
@@ -155,19 +156,19 @@
 	}
 }
 
-// split cuts the VMs named from all others, both ways.
+// split partitions the named VMs from all others, in both directions.
 func (n *network) split(part []string, until time.Duration) {
 	for _, a := range n.processes {
 		for _, b := range n.processes {
 			if slices.Contains(part, a.vm.ID) != slices.Contains(part, b.vm.ID) {
-				n.cuts = append(n.cuts, cut{from: n.label(a), to: n.label(b), until: until})
+				n.linkFaults = append(n.linkFaults, linkFault{from: n.label(a), to: n.label(b), until: until})
 			}
 		}
 	}
 }
 
-// relist publishes the VMs named as live; a name with "-" is listed as leaving.
-func (n *network) relist(names []string) {
+// publishNamed publishes a list with the named VMs; the suffix "-" marks a VM as leaving.
+func (n *network) publishNamed(names []string) {
 	var vms []fleet.VM
 	for _, name := range names {
 		vm := listedVM(strings.TrimSuffix(name, "-"))
--- a/limit/script_test.go
+++ b/limit/script_test.go
@@ -12,8 +12,8 @@
 	"github.com/fuchsianotch/fuchsianotch/result"
 )
 
-// script runs one file of testdata/ledger: each line is a command with
-// key=value arguments, and what it must give after "->".
+// script interprets a file of testdata/ledger. Each line is a command with key=value
+// arguments, optionally followed by "->" and the expected result.
 type script struct {
 	ledgers map[string]*Ledger
 	policy  string
@@ -37,7 +37,7 @@
 	})
 }
 
-// do runs a command; the first argument of most is the VM it happens at.
+// do runs a command. For most commands the first argument is the VM.
 func (s *script) do(t *testing.T, name string, words []string) string {
 	args := parseArgs(words)
 	vm := ""
@@ -59,7 +59,7 @@
 			BorrowShare:       args["borrow"],
 		}
 	case "share":
-		s.held[vm] = held(words[1:], args)
+		s.held[vm] = parseShare(words[1:], args)
 	case "take":
 		return s.take(l, vm, words[1], args)
 	case "settle":
@@ -68,13 +68,13 @@
 		l.Cancel(s.open[words[1]], s.now)
 	case "want":
 		want, unused, ask := l.Want("ws", s.terms, s.now)
-		return fmt.Sprintf("%v want %s unused %s", ask, text(want), text(unused))
+		return fmt.Sprintf("%v want %s unused %s", ask, formatAmounts(want), formatAmounts(unused))
 	case "grant":
-		given, refusal := l.Grant(s.request(vm, words[1]), amounts(args), unused(words), s.now)
+		given, refusal := l.Grant(s.request(vm, words[1]), amounts(args), parseUnused(words), s.now)
 		if refusal != nil {
 			return strconv.Itoa(int(refusal.Code))
 		}
-		return text(given)
+		return formatAmounts(given)
 	case "lease":
 		l.AddLease("ws", amounts(args), s.now.Add(LeaseTerm))
 	case "sweep":
@@ -106,19 +106,19 @@
 	r.Cost = amounts(args)
 	reservation, refusal := l.Take(r, s.now)
 	if refusal != nil {
-		return s.refused(l, r, refusal)
+		return s.describeRefusal(l, r, refusal)
 	}
 	s.open[id] = reservation
 	return "ok"
 }
 
-// refused describes a refusal, after a trial on a copy that its time to come
-// back is the first that admits.
-func (s *script) refused(l *Ledger, r Request, refusal *result.Refusal) string {
+// describeRefusal formats a refusal, after checking on a copy of the account that its
+// retry time is the earliest that admits the call.
+func (s *script) describeRefusal(l *Ledger, r Request, refusal *result.Refusal) string {
 	if refusal.ComeBackAt.IsZero() {
 		return strconv.Itoa(int(refusal.Code))
 	}
-	l.apply(&r)
+	l.applyPolicy(&r)
 	probe := *l.shard(r.Workspace).account(r.Workspace)
 	for _, c := range []struct {
 		at   time.Time
@@ -128,8 +128,8 @@
 		{at: refusal.ComeBackAt, free: true},
 	} {
 		probe.refill(&r, c.at)
-		if short := probe.shortage(&r, c.at); short.none() != c.free {
-			return fmt.Sprintf("admitted at %v: %v", c.at.Sub(origin), short.none())
+		if short := probe.shortage(&r, c.at); short.isZero() != c.free {
+			return fmt.Sprintf("admitted at %v: %v", c.at.Sub(origin), short.isZero())
 		}
 	}
 	return fmt.Sprintf("%d at %v", refusal.Code, refusal.ComeBackAt.Sub(origin).Round(time.Millisecond))
@@ -156,18 +156,18 @@
 	}
 }
 
-func unused(words []string) Amounts {
+func parseUnused(words []string) Amounts {
 	args := parseArgs(words)
 	return Amounts{
 		Requests: args["back"],
 	}
 }
 
-func text(a Amounts) string {
+func formatAmounts(a Amounts) string {
 	return fmt.Sprintf("requests=%.4g tokens=%.4g concurrency=%d", a.Requests, a.Tokens, a.Concurrency)
 }
 
-func held(words []string, args map[string]float64) Request {
+func parseShare(words []string, args map[string]float64) Request {
 	r := Request{
 		Share: args["now"],
 		Base:  args["base"],
--- a/limit/takeover_test.go
+++ b/limit/takeover_test.go
@@ -9,17 +9,17 @@
 	"github.com/fuchsianotch/fuchsianotch/entry"
 )
 
-// gaps gives for each workspace how long in all its shares sum up to less than
-// what the other VMs' shares would be, after a fault of one VM; first those that the VM owned.
-func gaps(v variant, fault string, seed int) (owned, rest []time.Duration) {
+// underservedTime returns, for each workspace, how long its shares lack more than one VM's
+// share after a fault of one VM. owned are the workspaces of that VM.
+func underservedTime(v variant, fault string, seed int) (owned, rest []time.Duration) {
 	const vm = "c"
 	n := newNetwork(v, measuredVMs)
-	n.names = n.names[:0]
+	n.workspaces = n.workspaces[:0]
 	for i := range measuredWorkspaces {
-		n.names = append(n.names, fmt.Sprintf("ws-%d-%d", seed, i))
+		n.workspaces = append(n.workspaces, fmt.Sprintf("ws-%d-%d", seed, i))
 	}
 	n.admitted = func(*process, string, time.Duration) {}
-	// The fault comes at another point of the heartbeats for each seed.
+	// Each seed injects the fault at a different phase of the heartbeats.
 	from := 2*time.Second + time.Duration(seed)*17*time.Millisecond
 	s := schedule{VMs: measuredVMs}
 	s.Steps = []step{{At: from, Op: fault, Args: []string{vm}, For: time.Second}}
@@ -27,12 +27,12 @@
 	lost := make(map[string]time.Duration)
 	var sample func()
 	sample = func() {
-		for _, w := range n.names {
-			if n.shares(w) < 1-1.5/measuredVMs {
-				lost[w] += tickEvery / 2
+		for _, w := range n.workspaces {
+			if n.totalShare(w) < 1-1.5/measuredVMs {
+				lost[w] += tickInterval / 2
 			}
 		}
-		n.at(n.now+tickEvery/2, sample)
+		n.at(n.now+tickInterval/2, sample)
 	}
 	n.at(from, sample)
 	n.run(from + 5*time.Second)
@@ -40,7 +40,7 @@
 	for i := range measuredVMs {
 		ids = append(ids, vmName(i))
 	}
-	for _, w := range n.names {
+	for _, w := range n.workspaces {
 		if entry.Owner(w, ids) == vm {
 			owned = append(owned, lost[w])
 		} else {
@@ -50,16 +50,16 @@
 	return owned, rest
 }
 
-// BenchmarkTakeover reports for how many heartbeats the workspaces of a VM,
-// and those of all others, lack more than one VM's share after a fault of it,
-// and the most of any one workspace. Its time means nothing.
+// BenchmarkTakeover reports how many heartbeats the workspaces lack more than one VM's
+// share after a fault of a VM: the median and maximum for the workspaces it owned and for
+// all others. Its time is meaningless.
 func BenchmarkTakeover(b *testing.B) {
 	for _, v := range []variant{asBuilt, oneView} {
 		for _, fault := range []string{"kill", "leave", "restart", "freeze", "split"} {
 			b.Run(fmt.Sprintf("%s/%s", fault, v), func(b *testing.B) {
 				var owned, rest []time.Duration
 				for seed := range 5 {
-					o, r := gaps(v, fault, seed)
+					o, r := underservedTime(v, fault, seed)
 					owned = append(owned, o...)
 					rest = append(rest, r...)
 				}
@@ -76,5 +76,5 @@
 }
 
 func heartbeats(d time.Duration) float64 {
-	return d.Seconds() / beatEvery.Seconds()
+	return d.Seconds() / heartbeatInterval.Seconds()
 }
--- a/metering/calls_test.go
+++ b/metering/calls_test.go
@@ -8,113 +8,114 @@
 	"github.com/fuchsianotch/fuchsianotch/route"
 )
 
-// arrive has the next call of a workspace come.
-func (w *world) arrive(i int) {
-	ws := w.table().Workspaces()[i]
-	perSecond := w.Load * max(w.PerSecond/float64(i+1), w.Floor) / w.Cost
-	if hot, ok := within(w.Hot, w.now); ok && i == 0 {
+// scheduleCalls schedules the next call of a workspace.
+func (sim *simulation) scheduleCalls(i int) {
+	ws := sim.table().Workspaces()[i]
+	perSecond := sim.Load * max(sim.PerSecond/float64(i+1), sim.Floor) / sim.Cost
+	if hot, ok := activeInterval(sim.Hot, sim.now); ok && i == 0 {
 		perSecond *= hot.X
 	}
-	w.after(time.Duration(w.rand.ExpFloat64()/perSecond*float64(time.Second)), func() {
-		cost := w.Cost * math.Exp(w.rand.NormFloat64()*0.8-0.32)
-		w.call(w.pick(), &ws, math.Ceil(cost))
-		w.arrive(i)
+	sim.after(time.Duration(sim.rand.ExpFloat64()/perSecond*float64(time.Second)), func() {
+		cost := sim.Cost * math.Exp(sim.rand.NormFloat64()*0.8-0.32)
+		sim.call(sim.pickVM(), &ws, math.Ceil(cost))
+		sim.scheduleCalls(i)
 	})
 }
 
-// pick draws the VM that a caller is connected to. Callers of VMs that are down are
-// at others.
-func (w *world) pick() *vm {
+// pickVM returns the VM that a caller is connected to. Callers avoid VMs that are down.
+func (sim *simulation) pickVM() *vm {
 	for {
-		v := w.vms[w.rand.IntN(len(w.vms))]
-		if w.OneVM {
-			v = w.vms[0]
+		v := sim.vms[sim.rand.IntN(len(sim.vms))]
+		if sim.OneVM {
+			v = sim.vms[0]
 		}
-		if w.OneRegion || w.OneVM {
-			v = w.vms[v.index%w.VMs]
+		if sim.OneRegion || sim.OneVM {
+			v = sim.vms[v.index%sim.VMs]
 		}
-		if w.Tide > 0 && w.rand.Float64() < tidePart {
-			v = w.vms[w.highRegion()*w.VMs+v.index%w.VMs]
+		if sim.Tide > 0 && sim.rand.Float64() < peakRegionFraction {
+			v = sim.vms[sim.peakRegion()*sim.VMs+v.index%sim.VMs]
 		}
-		if !v.down || w.allDown() {
+		if !v.down || sim.allDown() {
 			return v
 		}
 	}
 }
 
-// highRegion draws the region in which most callers are: it changes within tideTurn.
-func (w *world) highRegion() int {
-	number := w.now.Seconds() / w.Tide
+// peakRegion returns the region with most callers. Callers move to the next region during
+// peakShiftDuration.
+func (sim *simulation) peakRegion() int {
+	number := sim.now.Seconds() / sim.Tide
 	region := int(number)
-	left := (float64(region+1) - number) * w.Tide
-	if w.rand.Float64() < 1-left/tideTurn.Seconds() {
+	left := (float64(region+1) - number) * sim.Tide
+	if sim.rand.Float64() < 1-left/peakShiftDuration.Seconds() {
 		region++
 	}
-	return region % w.Regions
+	return region % sim.Regions
 }
 
-func (w *world) allDown() bool {
-	return !slices.ContainsFunc(w.vms, func(v *vm) bool { return !v.down })
+func (sim *simulation) allDown() bool {
+	return !slices.ContainsFunc(sim.vms, func(v *vm) bool { return !v.down })
 }
 
-// call has one call decided, and counts what one bucket would have made of it.
-func (w *world) call(v *vm, ws *route.Workspace, cost float64) {
-	if v.down || w.now < v.tableAt {
+// call decides one call, and records whether a single bucket for the fleet would have
+// admitted it.
+func (sim *simulation) call(v *vm, ws *route.Workspace, cost float64) {
+	if v.down || sim.now < v.tableLoadedAt {
 		return
 	}
-	current, _ := w.table().Workspace(ws.Name)
-	w.calls++
-	if w.idealTakes(current, cost) {
-		w.owed += cost
-		if w.isBack() {
-			w.backOwed += cost
+	current, _ := sim.table().Workspace(ws.Name)
+	sim.calls++
+	if sim.idealAdmits(current, cost) {
+		sim.idealServed += cost
+		if sim.recentlyRestarted() {
+			sim.idealServedAfterRestart += cost
 		}
 	}
-	switch w.way {
-	case wayEven, wayWhole:
-		w.end(v, current, cost, w.takeFixed(v, current, cost))
+	switch sim.strategy {
+	case strategyEvenSplit, strategyFullLimit:
+		sim.recordAdmitted(v, current, cost, sim.takeFixedShare(v, current, cost))
 	default:
-		w.take(v, current, cost)
+		sim.take(v, current, cost)
 	}
 }
 
-func (w *world) idealTakes(ws *route.Workspace, cost float64) bool {
-	r := w.whole.request(ws, 1, cost, w.clock())
-	r.Opening = 1
-	_, refused := w.ideal.Take(r, w.clock())
+func (sim *simulation) idealAdmits(ws *route.Workspace, cost float64) bool {
+	r := sim.idealMeter.request(ws, 1, cost, sim.clock())
+	r.InitialFill = 1
+	_, refused := sim.ideal.Take(r, sim.clock())
 	return refused == nil
 }
 
-func (w *world) takeFixed(v *vm, ws *route.Workspace, cost float64) bool {
+func (sim *simulation) takeFixedShare(v *vm, ws *route.Workspace, cost float64) bool {
 	share := 1.0
-	if w.way == wayEven {
-		share = 1 / float64(len(w.vms))
+	if sim.strategy == strategyEvenSplit {
+		share = 1 / float64(len(sim.vms))
 	}
-	_, refused := v.even.Take(v.meter.request(ws, share, cost, w.clock()), w.clock())
+	_, refused := v.fixedShareLedger.Take(v.meter.request(ws, share, cost, sim.clock()), sim.clock())
 	return refused == nil
 }
 
-func (w *world) take(v *vm, ws *route.Workspace, cost float64) {
-	verdict := v.meter.Take(ws, cost, w.fleet(v), w.clock())
-	keeper := verdict.Keeper
-	if w.way == waySync && verdict.Refusal == nil && keeper == nil {
-		v.meter.GiveBack(ws, cost, w.fleet(v), w.clock())
-		first := v.meter.keeper(ws.Name, w.fleet(v))
-		keeper = &first
+func (sim *simulation) take(v *vm, ws *route.Workspace, cost float64) {
+	verdict := v.meter.Take(ws, cost, sim.fleet(v), sim.clock())
+	coordinator := verdict.Keeper
+	if sim.strategy == strategySynchronous && verdict.Refusal == nil && coordinator == nil {
+		v.meter.GiveBack(ws, cost, sim.fleet(v), sim.clock())
+		assigned := v.meter.coordinator(ws.Name, sim.fleet(v))
+		coordinator = &assigned
 	}
-	if keeper == nil {
-		w.hurry(v)
-		w.end(v, ws, cost, verdict.Refusal == nil)
+	if coordinator == nil {
+		sim.sendDueNotes(v)
+		sim.recordAdmitted(v, ws, cost, verdict.Refusal == nil)
 		return
 	}
-	w.waits++
-	w.send(v, w.byID(keeper.ID), Note{
+	sim.synchronousCalls++
+	sim.send(v, sim.byID(coordinator.ID), Note{
 		Uses: []Use{{Workspace: ws.Name, Wanted: cost}},
 	}, 150*time.Millisecond, func(r *Reply) {
 		if r != nil && len(r.Answers) == 1 && r.Answers[0].Kept {
-			w.end(v, ws, cost, v.meter.Answered(ws, cost, r.Answers[0]).Refusal == nil)
+			sim.recordAdmitted(v, ws, cost, v.meter.Answered(ws, cost, r.Answers[0]).Refusal == nil)
 			return
 		}
-		w.end(v, ws, cost, v.meter.TakeAlone(ws, *keeper, cost, w.clock()).Refusal == nil)
+		sim.recordAdmitted(v, ws, cost, v.meter.TakeAlone(ws, *coordinator, cost, sim.clock()).Refusal == nil)
 	})
 }
--- a/metering/coordinator.go
+++ b/metering/coordinator.go
@@ -7,98 +7,100 @@
 )
 
 const (
-	// evenPart is the part of a limit that regions share evenly, so that each can
-	// begin to serve a workspace at once; the rest follows what callers ask for.
-	evenPart = 0.3
-	// scarceBelow is how full the buckets are at least of a limit that is not scarce.
-	scarceBelow = 0.25
-	// enoughPart is the part of its buckets from which a call of any size is admitted. A
-	// larger one leaves a debt: else a few large calls in a row are refused though the
-	// workspace is far below its limit.
-	enoughPart = 0.2
-	// demandGoodFor is how long another region's word counts while it is in reach.
-	demandGoodFor = 10 * time.Second
+	// evenFraction is the fraction of a limit that is split evenly between regions, so
+	// that each can serve a workspace immediately; the rest follows demand.
+	evenFraction = 0.3
+	// scarceFillRatio is the fill level below which a limit counts as scarce.
+	scarceFillRatio = 0.25
+	// minAdmitFraction is the fill level at which a call of any size is admitted. A larger
+	// call leaves a debt; otherwise a few large calls in a row would be refused although
+	// the workspace is well below its limit.
+	minAdmitFraction = 0.2
+	// demandTTL is how long the demand reported by a reachable region stays valid.
+	demandTTL = 10 * time.Second
 )
 
-// kept is a limit that this VM keeps for its region.
-type kept struct {
+// limitState is the state of a limit that this VM coordinates for its region.
+type limitState struct {
 	workspace *route.Workspace
-	// asked is what callers of the region ask for.
-	asked rate
-	// told is what other regions were last told of that, at toldAt.
-	told   float64
-	toldAt time.Time
-	// far is what other regions said, and heard what each of them last answered to have
-	// been told. The own part counts no more than all others have heard, so that the
-	// parts follow from the same numbers everywhere, also while regions are parted.
-	far   map[string]demand
-	heard map[string]float64
+	// localDemand is the demand of callers in this region.
+	localDemand rateEstimate
+	// reportedDemand is the local demand last reported to other regions, at reportedAt.
+	reportedDemand float64
+	reportedAt     time.Time
+	// remoteDemand holds the demand reported by each other region, and acknowledgedDemand
+	// the local demand that each of them last acknowledged. Local demand counts only up to
+	// the lowest acknowledged value, so that all regions compute shares from the same
+	// numbers, also during a partition.
+	remoteDemand       map[string]regionDemand
+	acknowledgedDemand map[string]float64
 }
 
-// demand is what another region said that its callers ask for.
-type demand struct {
+// regionDemand is the demand reported by another region.
+type regionDemand struct {
 	perSecond float64
 	at        time.Time
 }
 
-func (m *Meter) keep(w *route.Workspace) *kept {
-	k := m.kept[w.Name]
-	if k == nil {
-		k = &kept{
-			far:   make(map[string]demand),
-			heard: make(map[string]float64),
+func (m *Meter) limitState(w *route.Workspace) *limitState {
+	s := m.limits[w.Name]
+	if s == nil {
+		s = &limitState{
+			remoteDemand:       make(map[string]regionDemand),
+			acknowledgedDemand: make(map[string]float64),
 		}
-		m.kept[w.Name] = k
+		m.limits[w.Name] = s
 	}
-	k.workspace = w
-	return k
+	s.workspace = w
+	return s
 }
 
-// takeKept admits or refuses a call of a workspace that this VM keeps.
-func (m *Meter) takeKept(w *route.Workspace, cost float64, f Fleet, now time.Time) Verdict {
-	k := m.keep(w)
-	k.asked.add(cost, now)
-	return m.takeFrom(w, m.share(k, f, now), cost, now)
+// takeAsCoordinator admits or refuses a call of a workspace that this VM coordinates.
+func (m *Meter) takeAsCoordinator(w *route.Workspace, cost float64, f Fleet, now time.Time) Verdict {
+	s := m.limitState(w)
+	s.localDemand.add(cost, now)
+	return m.takeShare(w, m.vmShare(s, f, now), cost, now)
 }
 
-// charge takes a cost that was admitted already, and reports whether the limit is scarce.
+// charge records a cost that was already admitted, and reports whether the limit is
+// scarce.
 func (m *Meter) charge(w *route.Workspace, cost float64, f Fleet, now time.Time) (scarce bool) {
-	k := m.keep(w)
+	s := m.limitState(w)
 	if cost > 0 {
-		k.asked.add(cost, now)
+		s.localDemand.add(cost, now)
 	}
-	return m.ledger.Charge(m.request(w, m.share(k, f, now), cost, now), now) < scarceBelow
+	return m.ledger.Charge(m.request(w, m.vmShare(s, f, now), cost, now), now) < scarceFillRatio
 }
 
-// share is the part of a limit that this VM keeps: the region's, by as many of the
-// region's VMs as it reaches. The rest is kept by the others, in as many parts as the
-// region may have fallen into.
-func (m *Meter) share(k *kept, f Fleet, now time.Time) float64 {
-	return m.census.Part(now) * m.part(k, f, now)
+// vmShare returns this VM's share of a limit: the region's share, scaled by the fraction
+// of the region's VMs that it reaches. Coordinators in other partitions of the region hold
+// the rest.
+func (m *Meter) vmShare(s *limitState, f Fleet, now time.Time) float64 {
+	return m.census.Part(now) * m.regionShare(s, f, now)
 }
 
-// part is the region's part of a limit. Those of all regions add up to 1 wherever
-// they hold the same numbers.
-func (m *Meter) part(k *kept, f Fleet, now time.Time) float64 {
+// regionShare returns the region's share of a limit. The shares of all regions sum to 1 if
+// they know the same demand values.
+func (m *Meter) regionShare(s *limitState, f Fleet, now time.Time) float64 {
 	regions := float64(max(len(m.options.Regions), 1))
-	least := m.leastDemand()
-	own := k.counted() + least
-	sum := own
+	minimum := m.minDemand()
+	local := s.agreedDemand() + minimum
+	sum := local
 	for _, region := range m.options.Regions {
 		if region != m.options.Region {
-			sum += least + k.demandOf(region, own-least, len(f.Far[region]) > 0, now)
+			sum += minimum + s.demandOf(region, local-minimum, len(f.Far[region]) > 0, now)
 		}
 	}
 	if sum <= 0 {
 		return 1 / regions
 	}
-	return evenPart/regions + (1-evenPart)*own/sum
+	return evenFraction/regions + (1-evenFraction)*local/sum
 }
 
-// leastDemand is what each region counts as asking for at least. What a few calls
-// of a small workspace ask for says little of the next ones, so that a limit which is
-// small against the tolerated amount is shared almost evenly.
-func (m *Meter) leastDemand() float64 {
+// minDemand returns the minimum demand assumed for each region. A few calls of a small
+// workspace predict little, so a limit that is small compared with the tolerated amount is
+// shared almost evenly.
+func (m *Meter) minDemand() float64 {
 	t := m.options.Tolerance
 	if t.Window <= 0 {
 		return 0
@@ -106,23 +108,24 @@
 	return t.Amount / t.Window.Seconds()
 }
 
-// counted is what the region asks for, as far as all others know.
-func (k *kept) counted() float64 {
-	least := k.told
-	for _, heard := range k.heard {
-		least = min(least, heard)
+// agreedDemand returns the local demand that all other regions have acknowledged.
+func (s *limitState) agreedDemand() float64 {
+	agreed := s.reportedDemand
+	for _, acknowledged := range s.acknowledgedDemand {
+		agreed = min(agreed, acknowledged)
 	}
-	return least
+	return agreed
 }
 
-// demandOf is what another region asks for. One out of reach keeps what it asked for
-// last, and one that was not heard yet counts as one that asks for as much as this one.
-func (k *kept) demandOf(region string, own float64, reached bool, now time.Time) float64 {
-	d, heard := k.far[region]
+// demandOf returns the demand of another region. An unreachable region keeps its last
+// reported demand; one that has not reported yet is assumed to have the same demand as
+// this region.
+func (s *limitState) demandOf(region string, local float64, reached bool, now time.Time) float64 {
+	d, reported := s.remoteDemand[region]
 	switch {
-	case !heard:
-		return own
-	case reached && now.Sub(d.at) > demandGoodFor:
+	case !reported:
+		return local
+	case reached && now.Sub(d.at) > demandTTL:
 		return 0
 	default:
 		return d.perSecond
--- a/metering/metering.go
+++ b/metering/metering.go
@@ -1,13 +1,13 @@
-// Package metering holds the limits of workspaces over all VMs without shared state.
+// Package metering enforces workspace limits across all VMs without shared state.
 //
-// In each region one VM by rank keeps the region's part of a workspace's limit in
-// token buckets. The other VMs admit calls at once, tell the keeper soon after what
-// they admitted, and are told in return whether the limit is scarce. While it is, each
-// call is asked for before it is admitted. Regions move their parts by what their
-// callers ask for, and keep them while they cannot reach each other.
+// In each region a coordinator, chosen by rendezvous hashing, holds the region's share of
+// a workspace's limit in token buckets. The other VMs admit calls immediately, report the
+// usage to the coordinator shortly afterwards, and learn from its answers whether the
+// limit is scarce. While it is, they ask the coordinator before admitting each call.
+// Regions adjust their shares to the demand of their callers, and keep them while they
+// cannot reach each other.
 //
-// The package imports no network and no clock. The methods of a Meter may be called
-// from any goroutine.
+// The package has no network or clock dependencies. A Meter is safe for concurrent use.
 package metering
 
 import (
@@ -23,92 +23,96 @@
 )
 
 const (
-	// unsentPart is the part of what a limit's buckets hold that all VMs together may
-	// have admitted without having told.
-	unsentPart = 0.5
-	// noteWithin is when a use is told at the latest.
-	noteWithin = 3 * time.Second
-	// scarceFor is how long a keeper's word that a limit is scarce counts.
-	scarceFor = 3 * time.Second
-	// keeperLostFor is how long a keeper that did not answer is not asked again.
-	keeperLostFor = 500 * time.Millisecond
+	// unreportedFraction is the fraction of a limit's bucket capacity that all VMs
+	// together may have admitted without reporting it.
+	unreportedFraction = 0.5
+	// maxReportDelay is the maximum time until usage is reported.
+	maxReportDelay = 3 * time.Second
+	// scarceTTL is how long a limit is treated as scarce after the coordinator said so.
+	scarceTTL = 3 * time.Second
+	// coordinatorRetryDelay is how long a coordinator that did not answer is not
+	// contacted.
+	coordinatorRetryDelay = 500 * time.Millisecond
 )
 
-// Options set up a Meter. Every field is required but Tolerance.
+// Options configures a Meter. All fields except Tolerance are required.
 type Options struct {
 	VM     string
 	Region string
-	// Regions are all regions of the deployment.
+	// Regions lists all regions of the deployment.
 	Regions   []string
 	Tolerance Tolerance
-	// StartedAt is when the process started: what its earlier life admitted is not known.
+	// StartedAt is the start time of the process. Usage admitted by an earlier process is
+	// unknown.
 	StartedAt time.Time
 }
 
-// Tolerance is by how much the operators let limits be exceeded, as no VM knows all
-// others' use: in each window by a part of what the limit allows in it, and by an
-// amount besides, in the limit's unit.
+// Tolerance is how far usage may exceed a limit, since no VM knows the current usage of
+// all others. In each window the excess may be Part of what the limit allows, plus Amount
+// in the limit's unit.
 type Tolerance struct {
 	Window time.Duration
 	Part   float64
 	Amount float64
 }
 
-// of returns by how much a limit may be exceeded in a window.
+// of returns how far a limit may be exceeded in one window.
 func (t Tolerance) of(l route.Limit) float64 {
 	return t.Part*(l.PerSecond*t.Window.Seconds()+l.Burst) + t.Amount
 }
 
-// Fleet is what this VM knows of the others.
+// Fleet is this VM's view of the other VMs.
 type Fleet struct {
-	// Near are the VMs of the own region in reach, this one included.
+	// Near lists the reachable VMs of this region, including this one.
 	Near []fleet.VM
-	// Known is how many VMs of the own region are not known to be gone.
+	// Known is the number of VMs of this region that are not known to be gone.
 	Known int
-	// Far are those in reach of the other regions.
+	// Far lists the reachable VMs of each other region.
 	Far map[string][]fleet.VM
 }
 
-// Verdict says what becomes of a call.
+// Verdict is the decision on a call.
 type Verdict struct {
-	// Refusal is nil for a call that is admitted.
+	// Refusal is nil if the call is admitted.
 	Refusal *result.Refusal
-	// Keeper is set where that VM decides.
+	// Keeper is the coordinator that must be asked to decide; nil if the decision is
+	// final.
 	Keeper *fleet.VM
 }
 
-// Meter is that of one VM.
+// Meter enforces workspace limits on one VM.
 type Meter struct {
 	options Options
 	ledger  *limit.Ledger
-	// Due is sent to when a note should not wait.
+	// Due receives a value when notes should be sent immediately.
 	Due chan struct{}
 
 	mu     sync.Mutex
 	census fleet.Census
-	uses   map[string]*use
-	kept   map[string]*kept
-	// lost are the keepers that did not answer, with the time until which they are not asked.
-	lost map[string]time.Time
-	// sweptAt is when the ledger last forgot workspaces without calls.
+	usage  map[string]*unreportedUsage
+	limits map[string]*limitState
+	// unreachable maps coordinators that did not answer to the time of the next attempt.
+	unreachable map[string]time.Time
+	// sweptAt is when idle accounts were last removed from the ledger.
 	sweptAt time.Time
 }
 
-// use is what this VM admitted of a workspace that another one keeps.
-type use struct {
+// unreportedUsage is what this VM admitted for a workspace that another VM coordinates.
+type unreportedUsage struct {
 	workspace *route.Workspace
-	// usedAt is when the workspace last had a call here.
-	usedAt time.Time
-	// unsent was not told yet, since unsentSince.
-	unsent      float64
-	unsentSince time.Time
+	// lastCallAt is when this VM last received a call of the workspace.
+	lastCallAt time.Time
+	// amount is the unreported usage, accumulated since amountSince.
+	amount      float64
+	amountSince time.Time
 	scarceUntil time.Time
-	// comeBackAt is when a call of refused or more would be admitted.
-	refused    float64
-	comeBackAt time.Time
+	// refusedCost is the cost of the last refused call, and retryAt when it would be
+	// admitted.
+	refusedCost float64
+	retryAt     time.Time
 }
 
-// New makes a Meter that knows of no use.
+// New returns a Meter without recorded usage.
 func New(o Options) *Meter {
 	return &Meter{
 		options: o,
@@ -117,184 +121,187 @@
 		census: fleet.Census{
 			StartedAt: o.StartedAt,
 		},
-		uses: make(map[string]*use),
-		kept: make(map[string]*kept),
-		lost: make(map[string]time.Time),
+		usage:       make(map[string]*unreportedUsage),
+		limits:      make(map[string]*limitState),
+		unreachable: make(map[string]time.Time),
 	}
 }
 
-// Take admits a call of a cost, refuses it, or names the VM that decides.
+// Take admits or refuses a call, or names the coordinator that must decide.
 func (m *Meter) Take(w *route.Workspace, cost float64, f Fleet, now time.Time) Verdict {
 	if w.Limit.IsZero() || cost <= 0 {
 		return Verdict{}
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.learn(f, now)
-	keeper := m.keeper(w.Name, f)
-	if keeper.ID == m.options.VM {
-		return m.takeKept(w, cost, f, now)
+	m.updateCensus(f, now)
+	coordinator := m.coordinator(w.Name, f)
+	if coordinator.ID == m.options.VM {
+		return m.takeAsCoordinator(w, cost, f, now)
 	}
-	if now.Before(m.lost[keeper.ID]) {
-		return m.takeAlone(w, cost, now)
+	if now.Before(m.unreachable[coordinator.ID]) {
+		return m.takeFallback(w, cost, now)
 	}
-	u := m.use(w)
-	u.usedAt = now
-	if now.Before(u.comeBackAt) && cost >= u.refused {
+	u := m.usageOf(w)
+	u.lastCallAt = now
+	if now.Before(u.retryAt) && cost >= u.refusedCost {
 		return Verdict{
-			Refusal: refusal(w).Until(u.comeBackAt),
+			Refusal: refusal(w).Until(u.retryAt),
 		}
 	}
-	most := m.mostUnsent(w, f)
-	if now.Before(u.scarceUntil) || u.unsent+cost > most {
+	maxAmount := m.maxUnreported(w, f)
+	if now.Before(u.scarceUntil) || u.amount+cost > maxAmount {
 		return Verdict{
-			Keeper: &keeper,
+			Keeper: &coordinator,
 		}
 	}
-	u.admit(cost, now)
-	if 2*u.unsent >= most {
-		m.hurry()
+	u.add(cost, now)
+	if 2*u.amount >= maxAmount {
+		m.signalDue()
 	}
 	return Verdict{}
 }
 
-// mostUnsent is what this VM may have admitted of a limit without having told its
-// keeper. Single calls may be more, and are asked for.
-func (m *Meter) mostUnsent(w *route.Workspace, f Fleet) float64 {
-	return unsentPart * m.capacity(w.Limit) / float64(max(len(f.Near)*len(m.options.Regions), 1))
+// maxUnreported returns how much of a limit this VM may admit before reporting it. Calls
+// that would exceed it are sent to the coordinator.
+func (m *Meter) maxUnreported(w *route.Workspace, f Fleet) float64 {
+	return unreportedFraction * m.capacity(w.Limit) / float64(max(len(f.Near)*len(m.options.Regions), 1))
 }
 
-// capacity is what the buckets of all regions together hold of a limit.
+// capacity returns the total bucket capacity of all regions for a limit.
 func (m *Meter) capacity(l route.Limit) float64 {
-	return l.Burst + savedPart*m.options.Tolerance.of(l)
+	return l.Burst + savedToleranceFraction*m.options.Tolerance.of(l)
 }
 
-// hurry has notes sent at once.
-func (m *Meter) hurry() {
+// signalDue requests that notes are sent immediately.
+func (m *Meter) signalDue() {
 	select {
 	case m.Due <- struct{}{}:
 	default:
 	}
 }
 
-// alonePart is the part of an even share by which a VM admits whose keeper does not
-// answer: the keeper may serve on, out of this VM's reach.
-const alonePart = 0.5
+// fallbackFraction is the fraction of an even share that a VM uses while its coordinator
+// does not answer. The coordinator may still be serving other VMs.
+const fallbackFraction = 0.5
 
-// TakeAlone decides on a call whose keeper did not answer, by this VM's own part.
-func (m *Meter) TakeAlone(w *route.Workspace, keeper fleet.VM, cost float64, now time.Time) Verdict {
+// TakeAlone decides on a call whose coordinator did not answer, from this VM's fallback
+// share.
+func (m *Meter) TakeAlone(w *route.Workspace, coordinator fleet.VM, cost float64, now time.Time) Verdict {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.lost[keeper.ID] = now.Add(keeperLostFor)
-	return m.takeAlone(w, cost, now)
+	m.unreachable[coordinator.ID] = now.Add(coordinatorRetryDelay)
+	return m.takeFallback(w, cost, now)
 }
 
-func (m *Meter) takeAlone(w *route.Workspace, cost float64, now time.Time) Verdict {
-	share := alonePart / float64(max(len(m.options.Regions), 1)*m.census.VMs(now))
-	return m.takeFrom(w, share, cost, now)
+func (m *Meter) takeFallback(w *route.Workspace, cost float64, now time.Time) Verdict {
+	share := fallbackFraction / float64(max(len(m.options.Regions), 1)*m.census.VMs(now))
+	return m.takeShare(w, share, cost, now)
 }
 
-// takeFrom admits or refuses a call from this VM's buckets with a share of the limit.
-func (m *Meter) takeFrom(w *route.Workspace, share, cost float64, now time.Time) Verdict {
-	enough := min(cost, enoughPart*share*m.capacity(w.Limit))
-	if _, refused := m.ledger.Take(m.request(w, share, enough, now), now); refused != nil {
+// takeShare admits or refuses a call from this VM's buckets, with the given share of the
+// limit.
+func (m *Meter) takeShare(w *route.Workspace, share, cost float64, now time.Time) Verdict {
+	upfront := min(cost, minAdmitFraction*share*m.capacity(w.Limit))
+	if _, refusal := m.ledger.Take(m.request(w, share, upfront, now), now); refusal != nil {
 		return Verdict{
-			Refusal: refused,
+			Refusal: refusal,
 		}
 	}
-	if cost > enough {
-		m.ledger.Charge(m.request(w, share, cost-enough, now), now)
+	if cost > upfront {
+		m.ledger.Charge(m.request(w, share, cost-upfront, now), now)
 	}
 	return Verdict{}
 }
 
-// Answered takes the keeper's verdict on a call that it was asked for.
+// Answered applies the coordinator's decision on a call.
 func (m *Meter) Answered(w *route.Workspace, cost float64, a Answer) Verdict {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	u := m.use(w)
-	u.take(a)
+	u := m.usageOf(w)
+	u.applyAnswer(a)
 	if a.Admitted {
 		return Verdict{}
 	}
-	u.refused = cost
-	u.comeBackAt = a.ComeBackAt
+	u.refusedCost = cost
+	u.retryAt = a.ComeBackAt
 	return Verdict{
 		Refusal: refusal(w).Until(a.ComeBackAt),
 	}
 }
 
-func (u *use) take(a Answer) {
+func (u *unreportedUsage) applyAnswer(a Answer) {
 	u.scarceUntil = time.Time{}
 	if a.Scarce {
-		u.scarceUntil = a.At.Add(scarceFor)
+		u.scarceUntil = a.At.Add(scarceTTL)
 	}
 }
 
-// GiveBack returns the cost of a call that was admitted and certainly did not run.
+// GiveBack refunds the cost of an admitted call that is known not to have run.
 func (m *Meter) GiveBack(w *route.Workspace, cost float64, f Fleet, now time.Time) {
 	if w.Limit.IsZero() || cost <= 0 {
 		return
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.keeper(w.Name, f).ID == m.options.VM {
+	if m.coordinator(w.Name, f).ID == m.options.VM {
 		m.charge(w, -cost, f, now)
 		return
 	}
-	m.use(w).admit(-cost, now)
+	m.usageOf(w).add(-cost, now)
 }
 
-// admit notes what is yet to be told; a negative amount was given back.
-func (u *use) admit(amount float64, now time.Time) {
-	if u.unsent == 0 {
-		u.unsentSince = now
+// add records usage to report; a negative amount is a refund.
+func (u *unreportedUsage) add(amount float64, now time.Time) {
+	if u.amount == 0 {
+		u.amountSince = now
 	}
-	u.unsent += amount
+	u.amount += amount
 }
 
-// learn takes how many VMs the region has.
-func (m *Meter) learn(f Fleet, now time.Time) {
+// updateCensus records the number of VMs in the region.
+func (m *Meter) updateCensus(f Fleet, now time.Time) {
 	m.census.Learn(len(f.Near), f.Known, now)
 }
 
-// keeper is the VM of the region that keeps a workspace's limit. All VMs that reach
-// each other agree on it.
-func (m *Meter) keeper(workspace string, f Fleet) fleet.VM {
-	if keeper, ok := keeperOf(workspace, f.Near); ok {
-		return keeper
+// coordinator returns the VM of the region that coordinates a workspace's limit. VMs with
+// the same view of the region agree on it.
+func (m *Meter) coordinator(workspace string, f Fleet) fleet.VM {
+	if vm, ok := coordinatorOf(workspace, f.Near); ok {
+		return vm
 	}
 	return fleet.VM{
 		ID: m.options.VM,
 	}
 }
 
-// keeperGroups is in how many groups workspaces have the same keeper, so that what
-// keepers of two regions tell each other goes into few notes.
-const keeperGroups = 32
+// coordinatorGroups is the number of groups of workspaces that share a coordinator.
+// Grouping lets the coordinators of two regions exchange few notes.
+const coordinatorGroups = 32
 
-// keeperOf returns the keeper of a workspace among the VMs of a region, if there are any.
-func keeperOf(workspace string, vms []fleet.VM) (fleet.VM, bool) {
-	return entry.First(entry.Hash(workspace)%keeperGroups, vms)
+// coordinatorOf returns the coordinator of a workspace among the VMs of a region, and
+// false if there are none.
+func coordinatorOf(workspace string, vms []fleet.VM) (fleet.VM, bool) {
+	return entry.First(entry.Hash(workspace)%coordinatorGroups, vms)
 }
 
-func (m *Meter) use(w *route.Workspace) *use {
-	u := m.uses[w.Name]
+func (m *Meter) usageOf(w *route.Workspace) *unreportedUsage {
+	u := m.usage[w.Name]
 	if u == nil {
-		u = &use{}
-		m.uses[w.Name] = u
+		u = &unreportedUsage{}
+		m.usage[w.Name] = u
 	}
 	u.workspace = w
 	return u
 }
 
-// request asks the ledger for a share of a workspace's limit.
+// request returns the ledger request for a share of a workspace's limit.
 func (m *Meter) request(w *route.Workspace, share, cost float64, now time.Time) limit.Request {
 	r := limit.Request{
-		Workspace: w.Name,
-		Share:     share,
-		Owner:     true,
-		Opening:   m.opening(now),
+		Workspace:   w.Name,
+		Share:       share,
+		Owner:       true,
+		InitialFill: m.initialFill(now),
 	}
 	burst := m.capacity(w.Limit)
 	if w.Limit.Unit == route.UnitTokens {
@@ -310,20 +317,20 @@
 }
 
 const (
-	// savedPart is the part of the tolerance that is saved up beyond the burst, so that
-	// calls are not refused because a limit is kept in parts. The rest is for times in
-	// which VMs know too little of each other.
-	savedPart = 0.5
-	// opening is the part of its buckets that a keeper begins with that took over: the
-	// one before may have given out all, and has the rest.
-	opening = 0.25
+	// savedToleranceFraction is the fraction of the tolerance added to the bucket
+	// capacity, so that splitting a limit into shares does not cause refusals. The rest
+	// covers times when VMs lack information about each other.
+	savedToleranceFraction = 0.5
+	// minInitialFill is the fill level of the buckets when a VM takes over as coordinator,
+	// since the previous one may have spent its share already.
+	minInitialFill = 0.25
 )
 
-// opening returns how full buckets begin that this VM keeps from now on. They are full
-// where it would have kept them for a whole window and nobody asked.
-func (m *Meter) opening(now time.Time) float64 {
-	whole := max(m.options.Tolerance.Window, fleet.StartsFor)
-	return min(1, max(opening, m.census.SteadyFor(now).Seconds()/whole.Seconds()))
+// initialFill returns the fill level of new buckets. They start full once this VM's view
+// of the region has been stable for a whole window.
+func (m *Meter) initialFill(now time.Time) float64 {
+	window := max(m.options.Tolerance.Window, fleet.StartsFor)
+	return min(1, max(minInitialFill, m.census.SteadyFor(now).Seconds()/window.Seconds()))
 }
 
 func refusal(w *route.Workspace) *result.Refusal {
--- a/metering/metering_test.go
+++ b/metering/metering_test.go
@@ -17,63 +17,62 @@
 
 var seeds = flag.Uint64("metering.seeds", 1, "how many seeds of each scenario are played")
 
-// TestScenarios holds, under loads and faults, that what all VMs together admit of a
-// workspace stays within the operators' bound, and that nearly all is admitted that
-// one bucket for the whole fleet would admit.
+// TestScenarios checks, under various loads and faults, that usage stays within each limit
+// and its tolerance, and that nearly everything is admitted that a single bucket for the
+// whole fleet would admit.
 func TestScenarios(t *testing.T) {
 	for _, s := range datatest.Read[[]scenario](t, "testdata/scenarios.json") {
 		for seed := uint64(1); seed <= *seeds; seed++ {
 			t.Run(fmt.Sprintf("%s/%d", s.Name, seed), func(t *testing.T) {
 				t.Parallel()
-				o := playScenario(s, wayKeeper, seed)
+				o := runScenario(s, strategyCoordinator, seed)
 				t.Log(s.Name, o)
-				assert.Assert(t, o.most <= 1, "%.2f of the bound of workspace %s", o.most, o.workspace)
+				assert.Assert(t, o.boundFraction <= 1, "%.2f of the bound of workspace %s", o.boundFraction, o.workspace)
 				assert.Assert(t, o.served >= s.Served, "served %.3f", o.served)
-				assert.Assert(t, o.back >= s.Back, "served %.3f after the return", o.back)
+				assert.Assert(t, o.afterRestart >= s.Back, "served %.3f after the restart", o.afterRestart)
 			})
 		}
 	}
 }
 
-// outcome is what came of a scenario.
+// outcome is the result of a scenario.
 type outcome struct {
-	// most is the greatest part of its bound that a workspace came to.
-	most      float64
-	workspace string
-	// back is like served, of the seconds after VMs that were killed are back.
-	back float64
-	// served is the part of what one bucket would admit that was admitted, and waits the
-	// part of the calls that waited for a keeper's word.
-	served float64
-	waits  float64
-	// notes is how many a VM sends in a second.
+	// boundFraction is the highest usage of a workspace relative to its bound.
+	boundFraction float64
+	workspace     string
+	// afterRestart is like served, but only for calls shortly after killed VMs restart.
+	afterRestart float64
+	// served is the admitted fraction of what a single bucket would admit, and synchronous
+	// the fraction of calls that waited for a coordinator.
+	served      float64
+	synchronous float64
+	// notes is the number of notes that each VM sends per second.
 	notes float64
 }
 
-// String returns the figures.
 func (o outcome) String() string {
-	return fmt.Sprintf("%.2f of the bound, back %.3f, served %.3f, waits %.3f, notes %.1f", o.most, o.back, o.served, o.waits, o.notes)
+	return fmt.Sprintf("%.2f of the bound, served after restart %.3f, served %.3f, synchronous %.3f, notes per second %.1f", o.boundFraction, o.afterRestart, o.served, o.synchronous, o.notes)
 }
 
-func playScenario(s scenario, by way, seed uint64) outcome {
-	w := newWorld(s, by, seed)
-	w.play()
+func runScenario(s scenario, by strategy, seed uint64) outcome {
+	sim := newSimulation(s, by, seed)
+	sim.run()
 	o := outcome{
-		served: w.served / w.owed,
-		back:   w.backServed / max(w.backOwed, 1),
-		waits:  float64(w.waits) / float64(w.calls),
-		notes:  float64(w.notes) / float64(len(w.vms)) / s.Length,
+		served:       sim.served / sim.idealServed,
+		afterRestart: sim.servedAfterRestart / max(sim.idealServedAfterRestart, 1),
+		synchronous:  float64(sim.synchronousCalls) / float64(sim.calls),
+		notes:        float64(sim.notes) / float64(len(sim.vms)) / s.Length,
 	}
-	o.most, o.workspace = w.most()
+	o.boundFraction, o.workspace = sim.maxBoundFraction()
 	return o
 }
 
-// TestWays holds that the checks of TestScenarios fail on ways which do not do: each VM
-// with the whole limit breaks the bound, and an even part for each refuses too much.
+// TestWays checks that TestScenarios detects inadequate strategies: the full limit on each
+// VM exceeds the bound, and an even split refuses too many calls.
 func TestWays(t *testing.T) {
 	scenarios := datatest.Read[[]scenario](t, "testdata/scenarios.json")
 	for _, c := range datatest.Read[[]struct {
-		Way      way
+		Way      strategy
 		Scenario string
 		Breaks   bool
 		Refuses  bool
@@ -81,16 +80,16 @@
 		t.Run(fmt.Sprintf("%s in %s", c.Way, c.Scenario), func(t *testing.T) {
 			t.Parallel()
 			i := slices.IndexFunc(scenarios, func(s scenario) bool { return s.Name == c.Scenario })
-			o := playScenario(scenarios[i], c.Way, 1)
+			o := runScenario(scenarios[i], c.Way, 1)
 			t.Log(c.Way, c.Scenario, o)
-			assert.Equal(t, o.most > 1, c.Breaks, "%.2f of the bound", o.most)
+			assert.Equal(t, o.boundFraction > 1, c.Breaks, "%.2f of the bound", o.boundFraction)
 			assert.Equal(t, o.served < scenarios[i].Served, c.Refuses, "served %.3f", o.served)
 		})
 	}
 }
 
-// single returns a meter that is the only VM of the only region, with its fleet.
-func single(now time.Time) (*Meter, Fleet) {
+// singleVM returns the Meter and Fleet of a deployment with one VM.
+func singleVM(now time.Time) (*Meter, Fleet) {
 	vm := fleet.VM{
 		ID:     "a",
 		Region: "r",
@@ -107,11 +106,10 @@
 	}
 }
 
-// TestComeBack holds that a refused call is told when it will be admitted, and is
-// admitted then.
-func TestComeBack(t *testing.T) {
+// TestRetryTime checks that a refused call is admitted at its retry time and not earlier.
+func TestRetryTime(t *testing.T) {
 	now := time.Unix(1e9, 0)
-	m, f := single(now)
+	m, f := singleVM(now)
 	for _, unit := range []route.Unit{route.UnitRequests, route.UnitTokens} {
 		w := &route.Workspace{
 			Name: string(unit),
@@ -135,10 +133,10 @@
 	}
 }
 
-// TestGiveBack holds that what did not run is not charged.
+// TestGiveBack checks that refunded calls do not use up the limit.
 func TestGiveBack(t *testing.T) {
 	now := time.Unix(1e9, 0)
-	m, f := single(now)
+	m, f := singleVM(now)
 	w := &route.Workspace{
 		Name: "w",
 		Limit: route.Limit{
@@ -153,9 +151,9 @@
 	}
 }
 
-// TestRemembersScarcity holds that a VM goes on asking for the calls of a scarce limit
-// that were all asked for so far, and forgets a workspace that has no calls.
-func TestRemembersScarcity(t *testing.T) {
+// TestScarcityUntilIdle checks that a VM without unreported usage remembers that a limit
+// is scarce, and drops the workspace when it is idle.
+func TestScarcityUntilIdle(t *testing.T) {
 	now := time.Unix(1e9, 0)
 	f := Fleet{
 		Near:  []fleet.VM{{ID: "a", Region: "r"}, {ID: "b", Region: "r"}},
@@ -174,7 +172,7 @@
 		Workspaces: []route.Workspace{*w},
 	})
 	self := "a"
-	if keeper, _ := keeperOf(w.Name, f.Near); keeper.ID == self {
+	if coordinator, _ := coordinatorOf(w.Name, f.Near); coordinator.ID == self {
 		self = "b"
 	}
 	m := New(Options{
@@ -194,6 +192,6 @@
 	m.Notes(table, f, now)
 	m.Notes(table, f, now.Add(time.Second))
 	assert.Assert(t, m.Take(w, 1, f, now.Add(time.Second)).Keeper != nil)
-	m.Notes(table, f, now.Add(idleFor+2*time.Second))
-	assert.Equal(t, len(m.uses), 0)
+	m.Notes(table, f, now.Add(idleTimeout+2*time.Second))
+	assert.Equal(t, len(m.usage), 0)
 }
--- a/metering/note.go
+++ b/metering/note.go
@@ -9,152 +9,154 @@
 )
 
 const (
-	// demandEvery is the least time between two words to other regions on what this one
-	// asks for, and demandAgain when an unchanged word is told again.
-	demandEvery = 250 * time.Millisecond
-	demandAgain = 4 * time.Second
-	// demandLeast is the part of an even share below which nothing is told: the even
-	// part that each region has is enough, and most of many workspaces ask for less.
-	demandLeast = 0.25
-	// demandChange is the part of an even share by which a word must change to be told
-	// before its time.
-	demandChange = 0.15
-	// idleFor is how long a workspace without calls is kept in mind.
-	idleFor = 2 * time.Minute
+	// minDemandInterval is the minimum time between demand reports to other regions, and
+	// demandRefreshInterval how often an unchanged demand is repeated.
+	minDemandInterval     = 250 * time.Millisecond
+	demandRefreshInterval = 4 * time.Second
+	// minReportedDemand is the fraction of an even share below which demand is not
+	// reported: the evenly split part of the limit suffices, and most workspaces need
+	// less.
+	minReportedDemand = 0.25
+	// demandChangeThreshold is the change, as a fraction of an even share, that triggers a
+	// report before demandRefreshInterval.
+	demandChangeThreshold = 0.15
+	// idleTimeout is how long a workspace without calls is remembered.
+	idleTimeout = 2 * time.Minute
 )
 
-// Note is what one VM tells another. Its times are those of the receiver's clock.
+// Note is a message from one VM to another.
 type Note struct {
 	Uses    []Use
 	Demands []Demand
 }
 
-// Use is an amount of a workspace's limit, in the limit's unit.
+// Use is usage of a workspace's limit, in the limit's unit.
 type Use struct {
 	Workspace string
-	// Used was admitted since the last note; it is negative where more was given back.
+	// Used is the amount admitted since the last note; negative if refunds exceed it.
 	Used float64
-	// Wanted is to be admitted now, or not at all.
+	// Wanted is the cost of a call to admit now; zero if only usage is reported.
 	Wanted float64
 }
 
-// Demand is what the callers of a region ask for.
+// Demand is the demand of a region's callers.
 type Demand struct {
 	Region    string
 	Workspace string
 	PerSecond float64
 }
 
-// Answer is what a keeper says of a use.
+// Answer is the coordinator's answer to a Use.
 type Answer struct {
-	// Kept is false where the VM does not keep the limit.
+	// Kept is false if the receiver does not coordinate the limit.
 	Kept     bool
 	Admitted bool
-	// ComeBackAt is when what was wanted will be admitted.
+	// ComeBackAt is when the wanted amount would be admitted.
 	ComeBackAt time.Time
 	Scarce     bool
-	// At is when the answer came.
+	// At is when the answer was received.
 	At time.Time
 }
 
-// Reply answers a note.
+// Reply is the response to a Note.
 type Reply struct {
-	// Answers are to the uses of the note, in their order.
+	// Answers are the answers to the uses of the note, in the same order.
 	Answers []Answer
-	// Demands are what the receiver's region asks for of the workspaces of the note's
-	// demands, in their order.
+	// Demands are the receiver's demand for the workspaces in the note's demands, in the
+	// same order.
 	Demands []float64
 }
 
-// Outgoing is a note with its receiver.
+// Outgoing is a note with its destination.
 type Outgoing struct {
 	To   fleet.VM
 	Note Note
 }
 
-// Notes returns the notes that are due. Their uses count as told; one that was not
-// is put back by Failed.
+// Notes returns the notes that are due. Their usage counts as reported; Failed restores it
+// if a note could not be delivered.
 func (m *Meter) Notes(table *route.Table, f Fleet, now time.Time) []Outgoing {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.learn(f, now)
+	m.updateCensus(f, now)
 	var out outbox
-	for name, u := range m.uses {
+	for name, u := range m.usage {
 		w, ok := table.Workspace(name)
-		if !ok || (u.unsent == 0 && now.Sub(u.usedAt) > idleFor) {
-			delete(m.uses, name)
+		if !ok || (u.amount == 0 && now.Sub(u.lastCallAt) > idleTimeout) {
+			delete(m.usage, name)
 			continue
 		}
 		u.workspace = w
-		if u.unsent != 0 {
-			m.tellUse(&out, name, u, f, now)
+		if u.amount != 0 {
+			m.reportUsage(&out, name, u, f, now)
 		}
 	}
-	for name, k := range m.kept {
+	for name, s := range m.limits {
 		if w, ok := table.Workspace(name); ok {
-			k.workspace = w
-			m.tellDemand(&out, name, k, f, now)
+			s.workspace = w
+			m.reportDemand(&out, name, s, f, now)
 			continue
 		}
-		delete(m.kept, name)
+		delete(m.limits, name)
 	}
-	if now.Sub(m.sweptAt) > idleFor {
+	if now.Sub(m.sweptAt) > idleTimeout {
 		m.sweptAt = now
 		m.ledger.Sweep(now)
 	}
 	return out.notes
 }
 
-// tellUse tells a workspace's keeper of a use, which may have become this VM.
-func (m *Meter) tellUse(out *outbox, name string, u *use, f Fleet, now time.Time) {
-	keeper := m.keeper(name, f)
-	if now.Before(m.lost[keeper.ID]) {
+// reportUsage adds usage to the note for the workspace's coordinator, or charges it
+// directly if this VM has become the coordinator.
+func (m *Meter) reportUsage(out *outbox, name string, u *unreportedUsage, f Fleet, now time.Time) {
+	coordinator := m.coordinator(name, f)
+	if now.Before(m.unreachable[coordinator.ID]) {
 		return
 	}
-	used := u.unsent
-	u.unsent = 0
-	if keeper.ID == m.options.VM {
+	used := u.amount
+	u.amount = 0
+	if coordinator.ID == m.options.VM {
 		m.charge(u.workspace, used, f, now)
 		return
 	}
-	note := out.to(keeper)
+	note := out.to(coordinator)
 	note.Uses = append(note.Uses, Use{
 		Workspace: name,
 		Used:      used,
 	})
 }
 
-// tellDemand tells the keepers of other regions what this one asks for.
-func (m *Meter) tellDemand(out *outbox, name string, k *kept, f Fleet, now time.Time) {
-	if m.keeper(name, f).ID != m.options.VM || now.Sub(k.toldAt) < demandEvery {
+// reportDemand adds the local demand to the notes for the coordinators in other regions.
+func (m *Meter) reportDemand(out *outbox, name string, s *limitState, f Fleet, now time.Time) {
+	if m.coordinator(name, f).ID != m.options.VM || now.Sub(s.reportedAt) < minDemandInterval {
 		return
 	}
-	even := k.workspace.Limit.PerSecond / float64(max(len(m.options.Regions), 1))
-	asked := min(k.asked.perSecond(now), k.workspace.Limit.PerSecond)
-	if asked < max(demandLeast*even, m.leastDemand()) {
-		asked = 0
+	evenShare := s.workspace.Limit.PerSecond / float64(max(len(m.options.Regions), 1))
+	demand := min(s.localDemand.perSecond(now), s.workspace.Limit.PerSecond)
+	if demand < max(minReportedDemand*evenShare, m.minDemand()) {
+		demand = 0
 	}
-	isNews := math.Abs(asked-k.told) > demandChange*even || (asked == 0) != (k.told == 0)
-	if !isNews && (asked == 0 || now.Sub(k.toldAt) < demandAgain) {
+	changed := math.Abs(demand-s.reportedDemand) > demandChangeThreshold*evenShare || (demand == 0) != (s.reportedDemand == 0)
+	if !changed && (demand == 0 || now.Sub(s.reportedAt) < demandRefreshInterval) {
 		return
 	}
-	k.toldAt = now
-	k.told = asked
+	s.reportedAt = now
+	s.reportedDemand = demand
 	for _, vms := range f.Far {
-		keeper, ok := keeperOf(name, vms)
+		coordinator, ok := coordinatorOf(name, vms)
 		if !ok {
 			continue
 		}
-		note := out.to(keeper)
+		note := out.to(coordinator)
 		note.Demands = append(note.Demands, Demand{
 			Region:    m.options.Region,
 			Workspace: name,
-			PerSecond: asked,
+			PerSecond: demand,
 		})
 	}
 }
 
-// outbox gathers what goes to the same VM.
+// outbox collects one note per destination.
 type outbox struct {
 	notes []Outgoing
 	index map[string]int
@@ -175,74 +177,74 @@
 	return &o.notes[i].Note
 }
 
-// Sent takes the reply to a note.
+// Sent processes the reply to a note.
 func (m *Meter) Sent(o Outgoing, r Reply, now time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	delete(m.lost, o.To.ID)
+	delete(m.unreachable, o.To.ID)
 	for i, d := range o.Note.Demands {
-		if k := m.kept[d.Workspace]; k != nil && i < len(r.Demands) {
-			k.heard[o.To.Region] = d.PerSecond
-			k.hear(o.To.Region, r.Demands[i], now)
+		if s := m.limits[d.Workspace]; s != nil && i < len(r.Demands) {
+			s.acknowledgedDemand[o.To.Region] = d.PerSecond
+			s.setRemoteDemand(o.To.Region, r.Demands[i], now)
 		}
 	}
 	for i, used := range o.Note.Uses {
 		if i >= len(r.Answers) || !r.Answers[i].Kept {
-			m.putBack(used, now)
+			m.restoreUsage(used, now)
 			continue
 		}
-		if u := m.uses[used.Workspace]; u != nil {
-			u.take(r.Answers[i])
+		if u := m.usage[used.Workspace]; u != nil {
+			u.applyAnswer(r.Answers[i])
 		}
 	}
 }
 
-// Failed takes that a note was not answered: its uses are told again.
+// Failed handles a note that was not answered; its usage will be reported again.
 func (m *Meter) Failed(o Outgoing, now time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.lost[o.To.ID] = now.Add(keeperLostFor)
+	m.unreachable[o.To.ID] = now.Add(coordinatorRetryDelay)
 	for _, used := range o.Note.Uses {
-		m.putBack(used, now)
+		m.restoreUsage(used, now)
 	}
 }
 
-func (m *Meter) putBack(used Use, now time.Time) {
-	if u := m.uses[used.Workspace]; u != nil {
-		u.admit(used.Used, now)
+func (m *Meter) restoreUsage(used Use, now time.Time) {
+	if u := m.usage[used.Workspace]; u != nil {
+		u.add(used.Used, now)
 	}
 }
 
-// NextNote returns when notes are due at the latest.
+// NextNote returns the latest time at which notes are due.
 func (m *Meter) NextNote(now time.Time) time.Time {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	next := now.Add(noteWithin)
-	for _, u := range m.uses {
-		if by := u.unsentSince.Add(noteWithin); u.unsent != 0 && by.Before(next) {
+	next := now.Add(maxReportDelay)
+	for _, u := range m.usage {
+		if by := u.amountSince.Add(maxReportDelay); u.amount != 0 && by.Before(next) {
 			next = by
 		}
 	}
-	if len(m.kept) > 0 && now.Add(demandEvery).Before(next) {
-		next = now.Add(demandEvery)
+	if len(m.limits) > 0 && now.Add(minDemandInterval).Before(next) {
+		next = now.Add(minDemandInterval)
 	}
 	return next
 }
 
-// Receive takes another VM's note.
+// Receive processes a note from another VM.
 func (m *Meter) Receive(n Note, table *route.Table, f Fleet, now time.Time) Reply {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.learn(f, now)
+	m.updateCensus(f, now)
 	var r Reply
 	for _, d := range n.Demands {
-		own := 0.0
+		local := 0.0
 		if w, ok := table.Workspace(d.Workspace); ok {
-			k := m.keep(w)
-			k.hear(d.Region, d.PerSecond, now)
-			own = k.told
+			s := m.limitState(w)
+			s.setRemoteDemand(d.Region, d.PerSecond, now)
+			local = s.reportedDemand
 		}
-		r.Demands = append(r.Demands, own)
+		r.Demands = append(r.Demands, local)
 	}
 	for _, used := range n.Uses {
 		r.Answers = append(r.Answers, m.answer(used, table, f, now))
@@ -250,8 +252,8 @@
 	return r
 }
 
-func (k *kept) hear(region string, perSecond float64, now time.Time) {
-	k.far[region] = demand{
+func (s *limitState) setRemoteDemand(region string, perSecond float64, now time.Time) {
+	s.remoteDemand[region] = regionDemand{
 		perSecond: perSecond,
 		at:        now,
 	}
@@ -259,7 +261,7 @@
 
 func (m *Meter) answer(used Use, table *route.Table, f Fleet, now time.Time) Answer {
 	w, ok := table.Workspace(used.Workspace)
-	if !ok || w.Limit.IsZero() || m.keeper(used.Workspace, f).ID != m.options.VM {
+	if !ok || w.Limit.IsZero() || m.coordinator(used.Workspace, f).ID != m.options.VM {
 		return Answer{}
 	}
 	a := Answer{
@@ -269,7 +271,7 @@
 	if used.Wanted <= 0 {
 		return a
 	}
-	verdict := m.takeKept(w, used.Wanted, f, now)
+	verdict := m.takeAsCoordinator(w, used.Wanted, f, now)
 	a.Admitted = verdict.Refusal == nil
 	if !a.Admitted {
 		a.Scarce = true
--- a/metering/notes_test.go
+++ b/metering/notes_test.go
@@ -4,65 +4,65 @@
 	"time"
 )
 
-// hurry sends the notes that should not wait.
-func (w *world) hurry(v *vm) {
+// sendDueNotes sends notes if the Meter has signalled that they are due.
+func (sim *simulation) sendDueNotes(v *vm) {
 	select {
 	case <-v.meter.Due:
-		w.sendNotes(v)
+		sim.sendNotes(v)
 	default:
 	}
 }
 
-// tell sends a VM's notes when they are due.
-func (w *world) tell(v *vm) {
+// scheduleNotes sends a VM's notes whenever they are due.
+func (sim *simulation) scheduleNotes(v *vm) {
 	if !v.down {
-		w.sendNotes(v)
+		sim.sendNotes(v)
 	}
-	next := v.meter.NextNote(w.clock()).Sub(w.clock())
-	w.after(max(next, 20*time.Millisecond), func() { w.tell(v) })
+	next := v.meter.NextNote(sim.clock()).Sub(sim.clock())
+	sim.after(max(next, 20*time.Millisecond), func() { sim.scheduleNotes(v) })
 }
 
-func (w *world) sendNotes(v *vm) {
-	if w.way == wayEven || w.way == wayWhole {
+func (sim *simulation) sendNotes(v *vm) {
+	if sim.strategy == strategyEvenSplit || sim.strategy == strategyFullLimit {
 		return
 	}
-	life := v.meter
-	for _, note := range life.Notes(w.table(), w.fleet(v), w.clock()) {
-		w.send(v, w.byID(note.To.ID), note.Note, time.Second, func(r *Reply) {
+	meter := v.meter
+	for _, note := range meter.Notes(sim.table(), sim.fleet(v), sim.clock()) {
+		sim.send(v, sim.byID(note.To.ID), note.Note, time.Second, func(r *Reply) {
 			if r == nil {
-				life.Failed(note, w.clock())
+				meter.Failed(note, sim.clock())
 				return
 			}
-			life.Sent(note, *r, w.clock())
+			meter.Sent(note, *r, sim.clock())
 		})
 	}
 }
 
-// send carries a note there and its answers back; no reply means that none came in time.
-func (w *world) send(from, to *vm, n Note, within time.Duration, done func(*Reply)) {
-	w.notes++
-	w.entries += len(n.Uses) + len(n.Demands)
+// send delivers a note and its reply; done receives nil if no reply arrives in time.
+func (sim *simulation) send(from, to *vm, n Note, timeout time.Duration, done func(*Reply)) {
+	sim.notes++
+	sim.entries += len(n.Uses) + len(n.Demands)
 	for i, count := range [...]int{len(n.Uses), len(n.Demands)} {
 		if count > 0 {
-			w.told[i]++
+			sim.notesByKind[i]++
 		}
 	}
-	w.after(w.travel(from, to), func() {
-		if to.down || !w.reaches(from, to, w.now) {
-			wait := within
+	sim.after(sim.networkDelay(from, to), func() {
+		if to.down || !sim.reaches(from, to, sim.now) {
+			wait := timeout
 			if to.down {
-				wait = w.travel(from, to)
+				wait = sim.networkDelay(from, to)
 			}
-			w.after(wait, func() { done(nil) })
+			sim.after(wait, func() { done(nil) })
 			return
 		}
 		var r Reply
-		if w.now >= to.tableAt {
-			r = to.meter.Receive(n, w.table(), w.fleet(to), w.clock())
+		if sim.now >= to.tableLoadedAt {
+			r = to.meter.Receive(n, sim.table(), sim.fleet(to), sim.clock())
 		}
-		w.after(w.travel(from, to), func() {
+		sim.after(sim.networkDelay(from, to), func() {
 			for i := range r.Answers {
-				r.Answers[i].At = w.clock()
+				r.Answers[i].At = sim.clock()
 			}
 			done(&r)
 		})
--- a/metering/rate.go
+++ b/metering/rate.go
@@ -5,28 +5,28 @@
 	"time"
 )
 
-// rateOver is the time over which a rate is measured.
-const rateOver = time.Second
+// rateTimeConstant is the time constant of the exponential decay.
+const rateTimeConstant = time.Second
 
-// rate is how much comes in a second of late.
-type rate struct {
+// rateEstimate is an exponentially weighted moving rate.
+type rateEstimate struct {
 	sum float64
 	at  time.Time
 }
 
-func (r *rate) add(amount float64, now time.Time) {
+func (r *rateEstimate) add(amount float64, now time.Time) {
 	r.decay(now)
 	r.sum += amount
 }
 
-func (r *rate) perSecond(now time.Time) float64 {
+func (r *rateEstimate) perSecond(now time.Time) float64 {
 	r.decay(now)
-	return r.sum / rateOver.Seconds()
+	return r.sum / rateTimeConstant.Seconds()
 }
 
-func (r *rate) decay(now time.Time) {
+func (r *rateEstimate) decay(now time.Time) {
 	if past := now.Sub(r.at); past > 0 {
-		r.sum *= math.Exp(-past.Seconds() / rateOver.Seconds())
+		r.sum *= math.Exp(-past.Seconds() / rateTimeConstant.Seconds())
 		r.at = now
 	}
 }
--- a/metering/scenario_test.go
+++ b/metering/scenario_test.go
@@ -5,72 +5,72 @@
 	"time"
 )
 
-// way is how the VMs of a world hold limits.
-type way string
+// strategy is how the VMs of a simulation enforce limits.
+type strategy string
 
 const (
-	// wayKeeper is the one that is built.
-	wayKeeper way = "keeper"
-	// wayEven gives each VM an equal part for good.
-	wayEven way = "even"
-	// wayWhole gives each VM the whole limit.
-	wayWhole way = "whole"
-	// waySync asks the keeper for each call.
-	waySync way = "sync"
+	// strategyCoordinator is the implementation under test.
+	strategyCoordinator strategy = "keeper"
+	// strategyEvenSplit gives each VM a fixed, equal part of the limit.
+	strategyEvenSplit strategy = "even"
+	// strategyFullLimit gives each VM the full limit.
+	strategyFullLimit strategy = "whole"
+	// strategySynchronous asks the coordinator for every call.
+	strategySynchronous strategy = "sync"
 )
 
-// scenario is one load with its faults, as the table of scenarios has it. Times are
-// seconds from the start.
+// scenario is a load with faults, as in testdata/scenarios.json. Times are in seconds from
+// the start.
 type scenario struct {
 	Name       string
 	Regions    int
 	VMs        int `json:"vms_per_region"`
 	Workspaces int
-	// PerSecond is the limit of the largest workspace; the next ones have the half, the
-	// third and so on, but at least Floor.
+	// PerSecond is the limit of the largest workspace. The n-th largest has 1/n of it, but
+	// at least Floor.
 	PerSecond float64 `json:"per_second"`
 	Floor     float64
 	Slack     float64
 	Cost      float64
-	// Load is the part of its limit that each workspace asks for.
+	// Load is the demand of each workspace relative to its limit.
 	Load   float64
 	Length float64
-	// OneRegion has all callers at the first region, OneVM at its first VM.
+	// OneRegion connects all callers to the first region, OneVM to its first VM.
 	OneRegion bool `json:"one_region"`
 	OneVM     bool `json:"one_vm"`
-	// Tide moves the callers from region to region in so many seconds.
+	// Tide is the period, in seconds, after which most callers move to the next region.
 	Tide float64
-	Hot  []spell
-	// Cut parts all regions from each other, Apart one VM of each region from all
-	// others, Half one half of each region from the other.
-	Cut   []spell
-	Apart []spell
-	Half  []spell
-	// Kill ends a part of the VMs for a while.
-	Kill []spell
-	// Lower has the limits at a part of what they were.
-	Lower []spell
-	// Served is the least part of what one bucket would admit that must be admitted.
+	Hot  []interval
+	// Cut partitions all regions from each other, Apart one VM of each region from all
+	// other VMs, and Half each region into two halves.
+	Cut   []interval
+	Apart []interval
+	Half  []interval
+	// Kill stops a fraction of the VMs for the duration of the interval.
+	Kill []interval
+	// Lower reduces all limits to a fraction of their value.
+	Lower []interval
+	// Served is the minimum admitted fraction of what a single bucket would admit.
 	Served float64
-	// Back is the same of the calls in the seconds after VMs that were killed are back.
+	// Back is the same minimum for calls shortly after killed VMs restart.
 	Back float64
 }
 
-// spell is a time with a strength.
-type spell struct {
+// interval is a period with a factor X.
+type interval struct {
 	From float64
 	For  float64
 	X    float64
 }
 
-func (s spell) has(at time.Duration) bool {
+func (s interval) contains(at time.Duration) bool {
 	return at.Seconds() >= s.From && at.Seconds() < s.From+s.For
 }
 
-func within(list []spell, at time.Duration) (spell, bool) {
-	i := slices.IndexFunc(list, func(s spell) bool { return s.has(at) })
+func activeInterval(list []interval, at time.Duration) (interval, bool) {
+	i := slices.IndexFunc(list, func(s interval) bool { return s.contains(at) })
 	if i < 0 {
-		return spell{}, false
+		return interval{}, false
 	}
 	return list[i], true
 }
--- a/metering/simulation_test.go
+++ b/metering/simulation_test.go
@@ -12,53 +12,55 @@
 	"github.com/fuchsianotch/fuchsianotch/route"
 )
 
-// The world's times: ways within a region and between two, how long VMs believe what
-// is no longer so, and how long a VM that starts knows nobody.
+// Delays between VMs in the same region and in different regions, until failures are
+// detected, between refreshes of a VM's view, and until a new VM discovers the others.
 const (
-	nearWay      = time.Millisecond
-	farWay       = 80 * time.Millisecond
-	noticedAfter = 2500 * time.Millisecond
-	lookEvery    = 50 * time.Millisecond
-	learntAfter  = 300 * time.Millisecond
-	// tableAfter is how long after its start a VM has no table, at the most.
-	tableAfter = 900 * time.Millisecond
-	// backFor is how long after their return VMs count as just back.
-	backFor = 2 * time.Second
-	window  = 8 * time.Second
-	// tidePart of the callers are in one region, and move to the next within tideTurn.
-	tidePart  = 0.8
-	tideTurn  = 3 * time.Second
-	overshoot = 0.25
+	localDelay          = time.Millisecond
+	remoteDelay         = 80 * time.Millisecond
+	detectionDelay      = 2500 * time.Millisecond
+	viewRefreshInterval = 50 * time.Millisecond
+	discoveryDelay      = 300 * time.Millisecond
+	// maxTableDelay is the maximum time until a new VM has loaded its routing table.
+	maxTableDelay = 900 * time.Millisecond
+	// restartWindow is how long VMs count as recently restarted.
+	restartWindow = 2 * time.Second
+	window        = 8 * time.Second
+	// peakRegionFraction of the callers are in one region, and move to the next one during
+	// peakShiftDuration.
+	peakRegionFraction = 0.8
+	peakShiftDuration  = 3 * time.Second
+	toleratedFraction  = 0.25
 )
 
-// world plays a scenario in virtual time.
-type world struct {
+// simulation runs a scenario in virtual time.
+type simulation struct {
 	scenario
-	way    way
-	rand   *rand.Rand
-	now    time.Duration
-	queue  events
-	order  int
-	vms    []*vm
-	tables map[float64]*route.Table
-	// ideal admits as one bucket for the whole fleet would, by requests of whole.
-	ideal  *limit.Ledger
-	whole  *Meter
-	admits map[string][]admitted
-	served float64
-	owed   float64
-	// backServed and backOwed are those of the time after VMs are back.
-	backServed float64
-	backOwed   float64
-	waits      int
-	calls      int
-	notes      int
-	entries    int
-	// told counts the notes with uses and those with demands.
-	told [2]int
+	strategy strategy
+	rand     *rand.Rand
+	now      time.Duration
+	queue    events
+	order    int
+	vms      []*vm
+	tables   map[float64]*route.Table
+	// ideal is a single ledger for the whole fleet; idealMeter builds its requests.
+	ideal       *limit.Ledger
+	idealMeter  *Meter
+	admits      map[string][]admitted
+	served      float64
+	idealServed float64
+	// servedAfterRestart and idealServedAfterRestart count only calls shortly after VMs
+	// restart.
+	servedAfterRestart      float64
+	idealServedAfterRestart float64
+	synchronousCalls        int
+	calls                   int
+	notes                   int
+	entries                 int
+	// notesByKind counts the notes with uses and those with demands.
+	notesByKind [2]int
 }
 
-// admitted is one call that ran.
+// admitted is an admitted call.
 type admitted struct {
 	at   time.Duration
 	cost float64
@@ -68,16 +70,16 @@
 	fleet.VM
 	index  int
 	region int
-	// believed is what the VM believes of the others until believedUntil.
-	believed      Fleet
-	believedUntil time.Duration
-	meter         *Meter
-	even          *limit.Ledger
-	// startedAt is when this life began, and tableAt when it has a table; down is set
-	// while the VM is killed.
-	startedAt time.Duration
-	tableAt   time.Duration
-	down      bool
+	// view is the VM's view of the others, refreshed at viewExpiresAt.
+	view             Fleet
+	viewExpiresAt    time.Duration
+	meter            *Meter
+	fixedShareLedger *limit.Ledger
+	// startedAt is when this incarnation started, and tableLoadedAt when it has loaded its
+	// table; down is set while the VM is stopped.
+	startedAt     time.Duration
+	tableLoadedAt time.Duration
+	down          bool
 }
 
 type event struct {
@@ -107,78 +109,78 @@
 
 var origin = time.Unix(1e9, 0)
 
-func (w *world) clock() time.Time { return origin.Add(w.now) }
+func (sim *simulation) clock() time.Time { return origin.Add(sim.now) }
 
-func (w *world) after(d time.Duration, do func()) {
-	w.order++
-	heap.Push(&w.queue, event{at: w.now + d, order: w.order, do: do})
+func (sim *simulation) after(d time.Duration, do func()) {
+	sim.order++
+	heap.Push(&sim.queue, event{at: sim.now + d, order: sim.order, do: do})
 }
 
-func newWorld(s scenario, by way, seed uint64) *world {
-	w := &world{
-		scenario: s,
-		way:      by,
-		rand:     rand.New(rand.NewPCG(seed, 1)),
-		tables:   make(map[float64]*route.Table),
-		ideal:    limit.New(limit.Options{}),
-		whole:    New(Options{}),
-		admits:   make(map[string][]admitted),
+func newSimulation(s scenario, by strategy, seed uint64) *simulation {
+	sim := &simulation{
+		scenario:   s,
+		strategy:   by,
+		rand:       rand.New(rand.NewPCG(seed, 1)),
+		tables:     make(map[float64]*route.Table),
+		ideal:      limit.New(limit.Options{}),
+		idealMeter: New(Options{}),
+		admits:     make(map[string][]admitted),
 	}
 	for region := range s.Regions {
 		for range s.VMs {
 			v := &vm{
 				VM: fleet.VM{
-					ID:     fmt.Sprintf("vm-%d", len(w.vms)),
+					ID:     fmt.Sprintf("vm-%d", len(sim.vms)),
 					Region: regionName(region),
 				},
-				index:  len(w.vms),
+				index:  len(sim.vms),
 				region: region,
-				// All VMs run long before traffic starts.
+				// All VMs start long before the traffic does.
 				startedAt: -time.Minute,
 			}
-			w.vms = append(w.vms, v)
-			w.begin(v)
+			sim.vms = append(sim.vms, v)
+			sim.startVM(v)
 		}
 	}
-	for _, v := range w.vms {
-		v.meter.learn(w.look(v), origin.Add(v.startedAt))
+	for _, v := range sim.vms {
+		v.meter.updateCensus(sim.observeFleet(v), origin.Add(v.startedAt))
 	}
-	return w
+	return sim
 }
 
 func regionName(region int) string { return fmt.Sprintf("r%d", region) }
 
-func (w *world) begin(v *vm) {
+func (sim *simulation) startVM(v *vm) {
 	var regions []string
-	for region := range w.Regions {
+	for region := range sim.Regions {
 		regions = append(regions, regionName(region))
 	}
 	v.down = false
-	v.believedUntil = v.startedAt
-	v.even = limit.New(limit.Options{})
+	v.viewExpiresAt = v.startedAt
+	v.fixedShareLedger = limit.New(limit.Options{})
 	v.meter = New(Options{
 		VM:      v.ID,
 		Region:  v.Region,
 		Regions: regions,
 		Tolerance: Tolerance{
 			Window: window,
-			Part:   overshoot,
-			Amount: w.Slack,
+			Part:   toleratedFraction,
+			Amount: sim.Slack,
 		},
 		StartedAt: origin.Add(v.startedAt),
 	})
 }
 
-// table is the configuration in force, with limits that may be lowered.
-func (w *world) table() *route.Table {
+// table returns the active configuration.
+func (sim *simulation) table() *route.Table {
 	factor := 1.0
-	if lower, ok := within(w.Lower, w.now); ok {
+	if lower, ok := activeInterval(sim.Lower, sim.now); ok {
 		factor = lower.X
 	}
-	if w.tables[factor] == nil {
+	if sim.tables[factor] == nil {
 		var list []route.Workspace
-		for i := range w.Workspaces {
-			perSecond := max(w.PerSecond/float64(i+1), w.Floor) * factor
+		for i := range sim.Workspaces {
+			perSecond := max(sim.PerSecond/float64(i+1), sim.Floor) * factor
 			list = append(list, route.Workspace{
 				Name: fmt.Sprintf("w%d", i),
 				Limit: route.Limit{
@@ -188,49 +190,49 @@
 				},
 			})
 		}
-		w.tables[factor] = route.New(route.Options{Version: 1, Keyed: true, Workspaces: list})
+		sim.tables[factor] = route.New(route.Options{Version: 1, Keyed: true, Workspaces: list})
 	}
-	return w.tables[factor]
+	return sim.tables[factor]
 }
 
-// reaches reports whether two VMs could talk at a time.
-func (w *world) reaches(a, b *vm, at time.Duration) bool {
+// reaches reports whether two VMs could communicate at the given time.
+func (sim *simulation) reaches(a, b *vm, at time.Duration) bool {
 	if a == b {
 		return true
 	}
-	if _, cut := within(w.Cut, at); cut && a.region != b.region {
+	if _, cut := activeInterval(sim.Cut, at); cut && a.region != b.region {
 		return false
 	}
-	if _, apart := within(w.Apart, at); apart && (a.index%w.VMs == 0 || b.index%w.VMs == 0) {
+	if _, apart := activeInterval(sim.Apart, at); apart && (a.index%sim.VMs == 0 || b.index%sim.VMs == 0) {
 		return false
 	}
-	if _, half := within(w.Half, at); half && a.region == b.region && a.index%2 != b.index%2 {
+	if _, half := activeInterval(sim.Half, at); half && a.region == b.region && a.index%2 != b.index%2 {
 		return false
 	}
 	return true
 }
 
-// fleet is what a VM believes of the others, which it looks at every now and then.
-func (w *world) fleet(v *vm) Fleet {
-	if w.now >= v.believedUntil {
-		v.believed = w.look(v)
-		v.believedUntil = w.now + lookEvery
+// fleet returns the VM's view of the others, refreshed periodically.
+func (sim *simulation) fleet(v *vm) Fleet {
+	if sim.now >= v.viewExpiresAt {
+		v.view = sim.observeFleet(v)
+		v.viewExpiresAt = sim.now + viewRefreshInterval
 	}
-	return v.believed
+	return v.view
 }
 
-func (w *world) look(v *vm) Fleet {
+func (sim *simulation) observeFleet(v *vm) Fleet {
 	f := Fleet{
 		Far: make(map[string][]fleet.VM),
 	}
-	if w.now-v.startedAt < learntAfter && v.startedAt > 0 {
+	if sim.now-v.startedAt < discoveryDelay && v.startedAt > 0 {
 		f.Near = []fleet.VM{v.VM}
 		f.Known = 1
 		return f
 	}
-	for _, other := range w.vms {
-		// A VM that is killed is noticed at once, as its machine refuses connections.
-		if other.down || !w.reaches(v, other, max(w.now-noticedAfter, v.startedAt)) {
+	for _, other := range sim.vms {
+		// A stopped VM is detected immediately, since its machine refuses connections.
+		if other.down || !sim.reaches(v, other, max(sim.now-detectionDelay, v.startedAt)) {
 			continue
 		}
 		if other.region == v.region {
@@ -243,78 +245,80 @@
 	return f
 }
 
-func (w *world) travel(a, b *vm) time.Duration {
+func (sim *simulation) networkDelay(a, b *vm) time.Duration {
 	if a.region == b.region {
-		return nearWay
+		return localDelay
 	}
-	return farWay
+	return remoteDelay
 }
 
-// play runs the scenario.
-func (w *world) play() {
-	for i := range w.Workspaces {
-		w.arrive(i)
+// run executes the scenario.
+func (sim *simulation) run() {
+	for i := range sim.Workspaces {
+		sim.scheduleCalls(i)
 	}
-	for _, v := range w.vms {
-		w.after(time.Duration(w.rand.Int64N(int64(noteWithin))), func() { w.tell(v) })
+	for _, v := range sim.vms {
+		sim.after(time.Duration(sim.rand.Int64N(int64(maxReportDelay))), func() { sim.scheduleNotes(v) })
 	}
-	for _, k := range w.Kill {
-		w.after(seconds(k.From), func() { w.kill(k) })
+	for _, k := range sim.Kill {
+		sim.after(seconds(k.From), func() { sim.kill(k) })
 	}
-	for len(w.queue) > 0 {
-		e := heap.Pop(&w.queue).(event)
-		if e.at > seconds(w.Length) {
+	for len(sim.queue) > 0 {
+		e := heap.Pop(&sim.queue).(event)
+		if e.at > seconds(sim.Length) {
 			return
 		}
-		w.now = e.at
+		sim.now = e.at
 		e.do()
 	}
 }
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// kill ends a part of the VMs, which are back after a while without memory.
-func (w *world) kill(k spell) {
-	for _, v := range w.vms {
-		if w.rand.Float64() >= k.X {
+// kill stops a fraction of the VMs and restarts them, without their state, at the end of
+// the interval.
+func (sim *simulation) kill(k interval) {
+	for _, v := range sim.vms {
+		if sim.rand.Float64() >= k.X {
 			continue
 		}
 		v.down = true
-		w.after(seconds(k.For), func() {
-			v.startedAt = w.now
-			v.tableAt = w.now + time.Duration(w.rand.Int64N(int64(tableAfter)))
-			w.begin(v)
+		sim.after(seconds(k.For), func() {
+			v.startedAt = sim.now
+			v.tableLoadedAt = sim.now + time.Duration(sim.rand.Int64N(int64(maxTableDelay)))
+			sim.startVM(v)
 		})
 	}
 }
 
-// isBack reports whether VMs came back of late.
-func (w *world) isBack() bool {
-	return slices.ContainsFunc(w.Kill, func(k spell) bool {
-		since := w.now - seconds(k.From+k.For)
-		return since >= 0 && since < backFor
+// recentlyRestarted reports whether killed VMs restarted within the last restartWindow.
+func (sim *simulation) recentlyRestarted() bool {
+	return slices.ContainsFunc(sim.Kill, func(k interval) bool {
+		since := sim.now - seconds(k.From+k.For)
+		return since >= 0 && since < restartWindow
 	})
 }
 
-func (w *world) byID(id string) *vm {
-	return w.vms[slices.IndexFunc(w.vms, func(v *vm) bool { return v.ID == id })]
+func (sim *simulation) byID(id string) *vm {
+	return sim.vms[slices.IndexFunc(sim.vms, func(v *vm) bool { return v.ID == id })]
 }
 
-// end counts a call that was admitted, where its VM still runs.
-func (w *world) end(v *vm, ws *route.Workspace, cost float64, ok bool) {
+// recordAdmitted records an admitted call if its VM is still running.
+func (sim *simulation) recordAdmitted(v *vm, ws *route.Workspace, cost float64, ok bool) {
 	if !ok || v.down {
 		return
 	}
-	w.served += cost
-	if w.isBack() {
-		w.backServed += cost
+	sim.served += cost
+	if sim.recentlyRestarted() {
+		sim.servedAfterRestart += cost
 	}
-	w.admits[ws.Name] = append(w.admits[ws.Name], admitted{at: w.now, cost: cost})
+	sim.admits[ws.Name] = append(sim.admits[ws.Name], admitted{at: sim.now, cost: cost})
 }
 
-// most is the greatest part of its bound that a workspace's work came to in a window.
-func (w *world) most() (part float64, workspace string) {
-	for name, list := range w.admits {
+// maxBoundFraction returns the highest usage of a workspace in any window, relative to its
+// bound.
+func (sim *simulation) maxBoundFraction() (part float64, workspace string) {
+	for name, list := range sim.admits {
 		sum, from := 0.0, 0
 		for _, a := range list {
 			sum += a.cost
@@ -322,7 +326,7 @@
 				sum -= list[from].cost
 				from++
 			}
-			if used := sum / w.bound(name, list[from].at); used > part {
+			if used := sum / sim.bound(name, list[from].at); used > part {
 				part, workspace = used, name
 			}
 		}
@@ -330,10 +334,10 @@
 	return part, workspace
 }
 
-// bound is what a workspace may come to in a window that begins at a moment: the
-// operators' rule. A lower limit binds one window after it is known.
-func (w *world) bound(name string, from time.Duration) float64 {
-	w.now = from - window
-	ws, _ := w.table().Workspace(name)
-	return (ws.Limit.PerSecond*window.Seconds()+ws.Limit.Burst)*(1+overshoot) + w.Slack
+// bound returns the maximum usage of a workspace in a window: the limit plus the
+// tolerance. A reduced limit applies one window after it takes effect.
+func (sim *simulation) bound(name string, from time.Duration) float64 {
+	sim.now = from - window
+	ws, _ := sim.table().Workspace(name)
+	return (ws.Limit.PerSecond*window.Seconds()+ws.Limit.Burst)*(1+toleratedFraction) + sim.Slack
 }
