--- a/placement/late.go
+++ b/placement/late.go
@@ -7,70 +7,70 @@
 )
 
 const (
-	// lateWeight is the weight of one late call's end in what is expected of others.
-	lateWeight = 0.1
-	// lateForget is the time in which what late calls came to is half forgotten: some
-	// seconds, as an overload lasts, so that its end is soon tried.
-	lateForget = 3 * time.Second
-	// lateLeast is the part of the late calls that is always tried, to see whether
-	// they are served again.
-	lateLeast = 0.1
+	// missRateWeight is the weight of a new sample in the moving average of the miss
+	// rate.
+	missRateWeight = 0.1
+	// missRateHalfLife is the half-life of the miss rate. It is short, so that late
+	// calls are tried again soon after an overload ends.
+	missRateHalfLife = 3 * time.Second
+	// minProbeShare is the share of late calls that is always admitted, to detect that
+	// late calls are served again.
+	minProbeShare = 0.1
 )
 
-// Late knows which part of the calls that could not be on time was missed of
-// late. They yield to all that can be on time, so in a lasting overload they wait
-// until their deadline for nothing, and their callers had better know at once.
-// It is safe for concurrent use.
+// Late tracks the share of late calls that recently failed, so that callers can be
+// refused at once instead of waiting for a deadline that will not be met. It is safe
+// for concurrent use.
 type Late struct {
-	mu     sync.Mutex
-	groups map[LateGroup]lateGroup
+	mu    sync.Mutex
+	rates map[LateGroup]missRate
 }
 
-// LateGroup are calls that fare alike.
+// LateGroup identifies the calls that share one miss rate.
 type LateGroup struct {
 	Service string
 	Rank    int
 }
 
-// lateGroup is the part of a group's late calls that was not served, as of at.
-type lateGroup struct {
-	missed float64
-	at     time.Time
+// missRate is a decaying average of the share of late calls that were not served.
+type missRate struct {
+	value     float64
+	updatedAt time.Time
 }
 
-// NewLate makes a Late that expects all to be served.
+// NewLate creates a Late without samples: all late calls are expected to be served.
 func NewLate() *Late {
 	return &Late{
-		groups: make(map[LateGroup]lateGroup),
+		rates: make(map[LateGroup]missRate),
 	}
 }
 
-// Ended tells what became of a late call.
+// Ended records whether a late call was served.
 func (l *Late) Ended(g LateGroup, served bool, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	missed := l.groups[g].now(now)
+	rate := l.rates[g].decayed(now)
 	sample := 1.0
 	if served {
 		sample = 0
 	}
-	l.groups[g] = lateGroup{
-		missed: missed + lateWeight*(sample-missed),
-		at:     now,
+	l.rates[g] = missRate{
+		value:     rate + missRateWeight*(sample-rate),
+		updatedAt: now,
 	}
 }
 
-// Missed is the part of a group's late calls that was not served of late.
+// Missed returns the share of the group's late calls that were not served recently.
 func (l *Late) Missed(g LateGroup, now time.Time) float64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.groups[g].now(now)
+	return l.rates[g].decayed(now)
 }
 
-// now is the part that is missed, as far as it is not forgotten.
-func (g lateGroup) now(now time.Time) float64 {
-	if g.missed == 0 {
+// decayed returns the value of the average at the given time.
+func (g missRate) decayed(now time.Time) float64 {
+	if g.value == 0 {
 		return 0
 	}
-	return g.missed * math.Exp2(-float64(now.Sub(g.at))/float64(lateForget))
+	return g.value * math.Exp2(-float64(now.Sub(g.updatedAt))/float64(missRateHalfLife))
 }
--- a/placement/late_test.go
+++ b/placement/late_test.go
@@ -9,9 +9,9 @@
 	"github.com/fuchsianotch/fuchsianotch/common/datatest"
 )
 
-// TestLate tells of late calls that end every 100 ms, and asks after a while
-// which part of 1,000 others would be refused.
-func TestLate(t *testing.T) {
+// TestLateCallsRefused records late calls that end every 100 ms and checks which share
+// of 1,000 later calls is refused.
+func TestLateCallsRefused(t *testing.T) {
 	for _, c := range datatest.Read[[]struct {
 		Name   string
 		Missed int
@@ -42,7 +42,7 @@
 					Missed:     l.Missed(g, now),
 					LateDraw:   float64(i) / 1000,
 				}
-				if Decide(r, now).Refused == ReasonLate {
+				if Decide(r, now).Refused == ReasonObjective {
 					refused++
 				}
 			}
--- a/placement/overload_test.go
+++ b/placement/overload_test.go
@@ -16,28 +16,27 @@
 )
 
 const (
-	// Callers leave without a first token after patience.
-	objective = 600 * time.Millisecond
-	patience  = 2400 * time.Millisecond
-	// way is the time there and back.
-	way = 110 * time.Millisecond
-	// Regions tell their load every wordEvery, for a prompt of wordPrompt tokens, and
-	// VMs of a region what waits unread every notesEvery.
-	wordEvery  = time.Second
-	wordPrompt = 1000
-	notesEvery = 40 * time.Millisecond
-	// Prompts have meanPrompt tokens, of which engines read readRate a second.
-	meanPrompt = 1300.0
-	readRate   = 50_000
-	engines    = 3
-	playFor    = 30 * time.Second
+	// Callers give up when no token has arrived after callerTimeout.
+	firstTokenObjective = 600 * time.Millisecond
+	callerTimeout       = 2400 * time.Millisecond
+	roundTrip           = 110 * time.Millisecond
+	// Regions report their load every loadReportInterval, measured for a prompt of
+	// loadReportPromptTokens. The VMs of a region share their backlogs of unread
+	// prompts every backlogShareInterval.
+	loadReportInterval     = time.Second
+	loadReportPromptTokens = 1000
+	backlogShareInterval   = 40 * time.Millisecond
+	meanPromptTokens       = 1300.0
+	prefillPerSecond       = 50_000
+	engineCount            = 3
+	runDuration            = 30 * time.Second
 )
 
-// overloadRow is one row of testdata/overload.json: a region without engines of its
-// own sends all its calls to another one, for so many times what the engines there
-// read. Decides says which of the two regions' VMs says that a call yields, and
-// Counted whether the way is taken from the objective. Bounds are on the part of
-// the calls whose callers get the first token within the objective.
+// overloadRow is one row of testdata/overload.json: a region without engines sends all
+// its calls to another region. Load is the demand as a multiple of the engines' prefill
+// capacity. Decides says whether the sending or the serving region marks calls as late,
+// and Counted whether the network round trip is subtracted from the objective. Least
+// and Most bound the share of calls whose first token arrives within the objective.
 type overloadRow struct {
 	Name    string
 	Load    float64
@@ -47,83 +46,81 @@
 	Most    float64
 }
 
-// TestOverload plays the rows. Of calls for 1.3 times what the engines read, 40% are on
-// time where the sender decides, 25% where the way is not counted, and 82% with both;
-// for twice as much 27%, 3% and 61%. Before, where the sender decided, what calls that
-// yield held up was expected of all, and they yielded from 1.25 of the objective on,
-// it was 12% and 9%.
+// TestOverload checks that marking late calls in the serving region, with the round
+// trip subtracted from the objective, keeps most calls on time under overload, and that
+// the alternatives do not.
 func TestOverload(t *testing.T) {
 	for _, row := range datatest.Read[[]overloadRow](t, "testdata/overload.json") {
 		t.Run(row.Name, row.run)
 	}
 }
 
-// overloadWorld is what one row plays.
-type overloadWorld struct {
+// overloadSim simulates one row.
+type overloadSim struct {
 	row     overloadRow
 	clock   *enginetest.Clock
 	random  *rand.Rand
-	readers map[string]*enginetest.Reader
+	engines map[string]*enginetest.Reader
 	pools   []*routing.Pool
 	sent    *placement.Sent
-	// word is what the region last told of itself, and readsPerSecond how fast its
-	// engines read.
-	word           placement.Load
-	readsPerSecond float64
-	wordAt         time.Time
-	prefix         uint64
-	calls          int
-	onTime         int
+	// reportedLoad is the latest load report of the serving region, and
+	// reportedPrefillRate the tokens its engines prefill in a second.
+	reportedLoad        placement.Load
+	reportedPrefillRate float64
+	reportedAt          time.Time
+	nextPrefixID        uint64
+	calls               int
+	onTime              int
 }
 
 func (row overloadRow) run(t *testing.T) {
-	w := &overloadWorld{
+	w := &overloadSim{
 		row:     row,
 		clock:   enginetest.NewClock(),
 		random:  rand.New(rand.NewPCG(3, 1)),
-		readers: make(map[string]*enginetest.Reader),
+		engines: make(map[string]*enginetest.Reader),
 		sent:    placement.NewSent(),
 	}
 	w.start()
-	end := w.clock.Now().Add(playFor)
-	w.clock.Poisson(w.random, row.Load*engines*readRate/meanPrompt, end, w.call)
+	end := w.clock.Now().Add(runDuration)
+	w.clock.Poisson(w.random, row.Load*engineCount*prefillPerSecond/meanPromptTokens, end, w.sendCall)
 	w.clock.Run(end.Add(time.Minute))
 	part := float64(w.onTime) / float64(w.calls)
 	t.Logf("on time: %.3f of %d calls", part, w.calls)
 	assert.Assert(t, part >= row.Least && part <= row.Most, "%.3f", part)
 }
 
-func (w *overloadWorld) start() {
+func (w *overloadSim) start() {
 	var ids []string
-	for i := range engines {
+	for i := range engineCount {
 		id := string(rune('a' + i))
-		w.readers[id] = &enginetest.Reader{
+		w.engines[id] = &enginetest.Reader{
 			Clock:     w.clock,
-			PerSecond: readRate,
+			PerSecond: prefillPerSecond,
 		}
 		ids = append(ids, id)
 	}
 	w.pools = enginetest.Pools(2, ids, w.random, w.clock.Now())
-	w.clock.Every(wordEvery, w.tellWord)
-	w.clock.Every(notesEvery, w.tellNotes)
+	w.clock.Every(loadReportInterval, w.reportLoad)
+	w.clock.Every(backlogShareInterval, w.shareBacklogs)
 }
 
-// tellWord tells the sending region what calls may expect.
-func (w *overloadWorld) tellWord() {
+// reportLoad sends the serving region's expected latency to the sending region.
+func (w *overloadSim) reportLoad() {
 	now := w.clock.Now()
-	expected, _ := w.pools[0].Expect(routing.Request{PromptTokens: wordPrompt}, now)
+	expected, _ := w.pools[0].Expect(routing.Request{PromptTokens: loadReportPromptTokens}, now)
 	supply := w.pools[0].Supply(now)
-	w.word = placement.Load{
+	w.reportedLoad = placement.Load{
 		Region:    "far",
 		Endpoints: supply.Endpoints,
 		First:     expected.First,
-		Way:       way,
+		Way:       roundTrip,
 	}
-	w.readsPerSecond = supply.PrefillPerSecond
-	w.wordAt = now
+	w.reportedPrefillRate = supply.PrefillPerSecond
+	w.reportedAt = now
 }
 
-func (w *overloadWorld) tellNotes() {
+func (w *overloadSim) shareBacklogs() {
 	now := w.clock.Now()
 	for i, from := range w.pools {
 		list, _ := from.Unread()
@@ -131,55 +128,55 @@
 	}
 }
 
-// call is sent to one of the VMs of the region with engines.
-func (w *overloadWorld) call() {
-	w.prefix++
+// sendCall sends a call to a random VM of the serving region.
+func (w *overloadSim) sendCall() {
+	w.nextPrefixID++
 	w.calls++
-	tokens := 100 + int(w.random.ExpFloat64()*(meanPrompt-100))
-	by := w.clock.Now().Add(objective)
-	saysLate := w.senderSaysLate(tokens, by)
+	tokens := 100 + int(w.random.ExpFloat64()*(meanPromptTokens-100))
+	deadline := w.clock.Now().Add(firstTokenObjective)
+	senderExpectsLate := w.senderExpectsLate(tokens, deadline)
 	w.sent.Add("far", "s", float64(tokens), w.clock.Now())
-	w.clock.After(way/2, func() { w.arrive(tokens, by, saysLate) })
+	w.clock.After(roundTrip/2, func() { w.receiveCall(tokens, deadline, senderExpectsLate) })
 }
 
-func (w *overloadWorld) senderSaysLate(tokens int, by time.Time) bool {
-	if w.wordAt.IsZero() {
+func (w *overloadSim) senderExpectsLate(tokens int, deadline time.Time) bool {
+	if w.reportedAt.IsZero() {
 		return false
 	}
-	load := w.word
-	more := float64(tokens-wordPrompt) + w.sent.Since("far", "s", w.wordAt, 1)/float64(load.Endpoints)
-	load.First += time.Duration(more / w.readsPerSecond * float64(time.Second))
-	return placement.Yields(load, by, w.clock.Now())
+	load := w.reportedLoad
+	extraTokens := float64(tokens-loadReportPromptTokens) + w.sent.Since("far", "s", w.reportedAt, 1)/float64(load.Endpoints)
+	load.First += time.Duration(extraTokens / w.reportedPrefillRate * float64(time.Second))
+	return placement.Yields(load, deadline, w.clock.Now())
 }
 
-func (w *overloadWorld) arrive(tokens int, by time.Time, saysLate bool) {
+func (w *overloadSim) receiveCall(tokens int, deadline time.Time, senderExpectsLate bool) {
 	now := w.clock.Now()
 	pool := w.pools[w.random.IntN(len(w.pools))]
-	parts := []call.PromptPart{{ID: w.prefix, Tokens: 1}, {ID: w.prefix, Tokens: tokens - 1}}
+	parts := []call.PromptPart{{ID: w.nextPrefixID, Tokens: 1}, {ID: w.nextPrefixID, Tokens: tokens - 1}}
 	request := routing.Request{
 		Prefixes:     routing.Prefixes("", parts),
 		PromptTokens: tokens,
 		MaxTokens:    20,
 	}
-	seenBy := by.Add(way / 2)
+	localDeadline := deadline.Add(roundTrip / 2)
 	if w.row.Counted {
-		seenBy = by.Add(-way / 2)
+		localDeadline = deadline.Add(-roundTrip / 2)
 	}
-	routed := call.Routed{Late: saysLate}
+	routed := call.Routed{Late: senderExpectsLate}
 	if w.row.Decides == "server" {
 		expected, _ := pool.Expect(request, now)
-		routed.Late = placement.Yields(placement.Load{First: expected.First}, seenBy, now)
+		routed.Late = placement.Yields(placement.Load{First: expected.First}, localDeadline, now)
 	}
 	request.Turn = routed.Turn()
 	choice, ok := pool.Choose(request, now)
 	if !ok {
 		return
 	}
-	w.read(pool, choice, request, by)
+	w.prefill(pool, choice, request, deadline)
 }
 
-func (w *overloadWorld) read(pool *routing.Pool, choice routing.Choice, request routing.Request, by time.Time) {
-	reader := w.readers[choice.Endpoint.ID]
+func (w *overloadSim) prefill(pool *routing.Pool, choice routing.Choice, request routing.Request, deadline time.Time) {
+	engine := w.engines[choice.Endpoint.ID]
 	prompt := &enginetest.Prompt{
 		Tokens: float64(request.PromptTokens),
 		Turn:   request.Turn,
@@ -188,13 +185,13 @@
 		now := w.clock.Now()
 		pool.Began(choice, now)
 		pool.Done(choice, routing.Outcome{Code: result.Done, Sent: true, FirstAt: now}, now)
-		if !now.Add(way / 2).After(by) {
+		if !now.Add(roundTrip / 2).After(deadline) {
 			w.onTime++
 		}
 	}
-	reader.Send(prompt)
-	w.clock.After(patience-way, func() {
-		if reader.Drop(prompt) {
+	engine.Send(prompt)
+	w.clock.After(callerTimeout-roundTrip, func() {
+		if engine.Drop(prompt) {
 			pool.Done(choice, routing.Outcome{Code: result.EndpointTimeout, Sent: true, Canceled: true}, w.clock.Now())
 		}
 	})
--- a/placement/placement_test.go
+++ b/placement/placement_test.go
@@ -9,15 +9,15 @@
 	"github.com/fuchsianotch/fuchsianotch/common/datatest"
 )
 
-// placeLoad has its times in milliseconds.
-type placeLoad struct {
+// loadCase is a Load with its times in milliseconds.
+type loadCase struct {
 	Region            string
 	Endpoints         int
 	First, Whole, Way int64
 	Long              int64
 }
 
-func (l placeLoad) load() Load {
+func (l loadCase) load() Load {
 	return Load{
 		Region:    l.Region,
 		Endpoints: l.Endpoints,
@@ -28,13 +28,13 @@
 	}
 }
 
-// TestDecide decides calls with an objective of 1 s and a deadline of 10 s.
+// TestDecide uses an objective of 1 s and a deadline of 10 s.
 func TestDecide(t *testing.T) {
 	now := time.Unix(1e9, 0)
 	for _, c := range datatest.Read[[]struct {
 		Name       string
-		Own        placeLoad
-		Others     []placeLoad
+		Own        loadCase
+		Others     []loadCase
 		NotAllowed bool `json:"not_allowed"`
 		Rank       int
 		Draw       float64
@@ -58,15 +58,16 @@
 			got := Decide(r, now)
 			assert.Equal(t, got.Region, c.Want)
 			assert.Equal(t, got.Late, c.Late)
-			assert.Equal(t, got.Refused == ReasonEnd, c.Overloaded)
+			assert.Equal(t, got.Refused == ReasonDeadline, c.Overloaded)
 			assert.Equal(t, got.Refused == ReasonNoRegion, c.Want == "")
 		})
 	}
 }
 
-// TestComeBack holds that a refused call comes back early enough for its objective, and
-// within a third of its time where it has none or that has passed.
-func TestComeBack(t *testing.T) {
+// TestRetryTime checks that the retry time of a refused call leaves time for its
+// objective, and comes within a third of the time to the deadline if there is no
+// objective or it has passed.
+func TestRetryTime(t *testing.T) {
 	now := time.Unix(1e9, 0)
 	for _, c := range datatest.Read[[]struct {
 		Name    string
@@ -86,7 +87,7 @@
 				r.FirstBy = now.Add(time.Duration(c.FirstMS) * time.Millisecond)
 			}
 			d := Decide(r, now)
-			assert.Equal(t, d.Refused, ReasonEnd)
+			assert.Equal(t, d.Refused, ReasonDeadline)
 			wait := d.ComeBackAt.Sub(now).Milliseconds()
 			assert.Assert(t, wait >= c.Least && wait <= c.Most, "%d ms", wait)
 		})
--- a/placement/sent.go
+++ b/placement/sent.go
@@ -6,86 +6,83 @@
 )
 
 const (
-	// sentKept is how many calls that were sent to one region are remembered: the
-	// word of a region about its load is a second or two old, in which a VM under
-	// load sends some ten.
-	sentKept = 64
-	// alikeSent is how far other VMs of the own region are taken to have sent as
-	// much as this one has.
-	alikeSent = 0.8
+	// sentHistorySize is the number of calls remembered per destination. It covers what
+	// a busy VM sends between two load reports of a region.
+	sentHistorySize = 64
+	// peerSendRatio estimates the tokens that each other VM of the region sent,
+	// relative to this VM.
+	peerSendRatio = 0.8
 )
 
-// Sent remembers the prompts that this VM sent to other regions, so that what a
-// region said of itself before they came is corrected by them: else all VMs
-// send to the region that looked empty a second ago, until it says otherwise.
-// It is safe for concurrent use.
+// Sent records the prompts that this VM recently sent to other regions. Adding them to
+// a region's load report, which predates them, keeps all VMs from sending to the same
+// idle region until its next report. It is safe for concurrent use.
 type Sent struct {
-	mu   sync.Mutex
-	byTo map[sentTo]*sentRing
+	mu            sync.Mutex
+	byDestination map[destination]*sentHistory
 }
 
-type sentTo struct {
+type destination struct {
 	region  string
 	service string
 }
 
-// sentRing holds the latest calls.
-type sentRing struct {
-	at     [sentKept]time.Time
-	tokens [sentKept]float64
+// sentHistory is a ring buffer of the latest calls.
+type sentHistory struct {
+	sentAt [sentHistorySize]time.Time
+	tokens [sentHistorySize]float64
 	next   int
 }
 
-// NewSent makes a Sent without calls.
+// NewSent creates an empty Sent.
 func NewSent() *Sent {
 	return &Sent{
-		byTo: make(map[sentTo]*sentRing),
+		byDestination: make(map[destination]*sentHistory),
 	}
 }
 
-// Add notes that a prompt with so many tokens to read is sent now.
+// Add records that a prompt with this many uncached tokens is being sent.
 func (s *Sent) Add(region, service string, tokens float64, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	to := sentTo{
+	dest := destination{
 		region:  region,
 		service: service,
 	}
-	ring := s.byTo[to]
-	if ring == nil {
-		ring = &sentRing{}
-		s.byTo[to] = ring
+	history := s.byDestination[dest]
+	if history == nil {
+		history = &sentHistory{}
+		s.byDestination[dest] = history
 	}
-	ring.at[ring.next] = now
-	ring.tokens[ring.next] = tokens
-	ring.next = (ring.next + 1) % sentKept
+	history.sentAt[history.next] = now
+	history.tokens[history.next] = tokens
+	history.next = (history.next + 1) % sentHistorySize
 }
 
-// Since returns the tokens that the VMs of the own region, so many, are taken to
-// have sent after a moment.
-func (s *Sent) Since(region, service string, moment time.Time, vms int) float64 {
+// Since estimates how many tokens all VMs of the local region have sent to a
+// destination after a time.
+func (s *Sent) Since(region, service string, after time.Time, regionVMs int) float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	ring := s.byTo[sentTo{
+	history := s.byDestination[destination{
 		region:  region,
 		service: service,
 	}]
-	if ring == nil {
+	if history == nil {
 		return 0
 	}
 	tokens := 0.0
-	for i, at := range ring.at {
-		if at.After(moment) {
-			tokens += ring.tokens[i]
+	for i, sentAt := range history.sentAt {
+		if sentAt.After(after) {
+			tokens += history.tokens[i]
 		}
 	}
-	return tokens * (1 + alikeSent*float64(max(vms-1, 0)))
+	return tokens * (1 + peerSendRatio*float64(max(regionVMs-1, 0)))
 }
 
-// Queued is how many tokens each endpoint of a region has yet to read of those that
-// were sent there since the region's word, by what they read in the time that has
-// passed. Where all that was sent counted, 90 VMs sent calls elsewhere that the
-// nearest region would have served: one heavy day's worth was 0.685 in place of 0.736.
-func Queued(sent float64, endpoints int, readsPerSecond float64, passed time.Duration) float64 {
-	return max(sent/float64(max(endpoints, 1))-readsPerSecond*passed.Seconds(), 0)
+// Queued estimates how many of the sent tokens each endpoint of a region still has to
+// prefill. It subtracts what the endpoints prefilled in the elapsed time, since
+// otherwise calls leave the nearest region too early.
+func Queued(sentTokens float64, endpoints int, prefillPerSecond float64, elapsed time.Duration) float64 {
+	return max(sentTokens/float64(max(endpoints, 1))-prefillPerSecond*elapsed.Seconds(), 0)
 }
--- a/placement/sent_test.go
+++ b/placement/sent_test.go
@@ -9,7 +9,7 @@
 	"github.com/fuchsianotch/fuchsianotch/common/datatest"
 )
 
-// TestSent adds calls to two regions and asks what was sent after a moment.
+// TestSent checks the tokens that count as sent to a region after a time.
 func TestSent(t *testing.T) {
 	start := time.Unix(1e9, 0)
 	for _, c := range datatest.Read[[]struct {
@@ -38,7 +38,7 @@
 	}
 }
 
-// TestQueued tells what is left to read of prompts that were sent to three endpoints.
+// TestQueued checks the backlog of three endpoints that prefill 50,000 tokens a second.
 func TestQueued(t *testing.T) {
 	for _, c := range datatest.Read[[]struct {
 		Name      string
