--- a/admission/admission.go
+++ b/admission/admission.go
@@ -1,5 +1,5 @@
-// Package admission decides which call starts, waits or is refused, so that a
-// call is refused at once when its deadline cannot be met.
+// Package admission decides which call starts, waits or is refused. A call is refused
+// as soon as its deadline cannot be met.
 package admission
 
 import (
@@ -12,61 +12,64 @@
 	"github.com/fuchsianotch/fuchsianotch/routing"
 )
 
-// The policies that Options names. PolicyBackfill is the default; the others
-// are baselines to compare it with.
+// Policies for Options. PolicyBackfill is the default; the others are baselines for
+// comparison.
 const (
-	// PolicyBackfill starts urgent calls before chat and chat before reports, and
-	// lets reports fill the slots that the forecast demand of the others leaves, up
-	// to the report share.
+	// PolicyBackfill starts urgent calls before chat and chat before reports. Reports
+	// fill the slots that the forecast demand of the others leaves free, up to the
+	// report share.
 	PolicyBackfill = "backfill"
-	// PolicyPriority is the same with the report share alone.
+	// PolicyPriority is PolicyBackfill without the forecast: reports may always fill
+	// the report share.
 	PolicyPriority = "priority"
-	// PolicyFIFO starts calls as they came.
+	// PolicyFIFO starts calls in order of arrival.
 	PolicyFIFO = "fifo"
-	// PolicyEngine starts every call at once and leaves the order to the
-	// endpoints' own queues, which know the calls of all VMs.
+	// PolicyEngine starts every call at once and leaves the order to the queues of the
+	// endpoints, which see the calls of all VMs.
 	PolicyEngine = "engine"
 )
 
-// tickEvery is how often a queue with waiting calls is looked at again.
-const tickEvery = 20 * time.Millisecond
+// tickInterval is how often the waiting calls are reevaluated.
+const tickInterval = 20 * time.Millisecond
 
-// Options are the settings of a Queue.
+// Options configures a Queue.
 type Options struct {
-	// Policy is one of the constants; empty means PolicyBackfill.
+	// Policy is one of the Policy constants; empty means PolicyBackfill.
 	Policy string
-	// Length is how many calls may wait; zero means a default.
+	// Length is the maximum number of waiting calls; zero means a default.
 	Length int
-	// ReportShare is the part of the slots, above 0 and up to 1, that reports may
+	// ReportShare is the share of the slots, above 0 and up to 1, that reports may
 	// hold; zero means a default.
 	ReportShare float64
-	// Now is the clock for waiting calls; nil means time.Now.
+	// Now returns the current time; nil means time.Now.
 	Now func() time.Time
 }
 
-// Request is one call that asks for a place.
+// Request is a call that asks for a slot.
 type Request struct {
 	Priority call.Priority
-	// FirstBy and WholeBy are deadlines; a zero time means none.
+	// FirstBy is the deadline of the first token and WholeBy that of the whole answer;
+	// zero means none.
 	FirstBy    time.Time
 	WholeBy    time.Time
 	PrefixHash uint64
 	Prefixes   []routing.Prefix
-	// Homes are the regions that may hold the prompt; none means all.
+	// Homes are the regions that may store the prompt; none means all.
 	Homes        []string
 	PromptTokens int
 	MaxTokens    int
-	// Turn is the call's place in the order at an endpoint, 0 first.
+	// Turn is the rank in an endpoint's queue; 0 is served first.
 	Turn int
-	// Exclude names endpoints that were tried already.
+	// Exclude lists the ids of endpoints that were already tried.
 	Exclude [2]string
-	// Again lets one of them be tried again where no other takes work.
+	// Again allows an excluded endpoint if no other accepts calls.
 	Again bool
-	// Tentative is as in routing.Request.
+	// Tentative is passed on to routing.Request.
 	Tentative bool
 }
 
-// Slot is a place at an endpoint. It must be given back by Release exactly once.
+// Slot is a place in an endpoint's batch. It must be released exactly once with
+// Release.
 type Slot struct {
 	Choice routing.Choice
 	id     uint64
@@ -75,32 +78,31 @@
 // Queue admits calls to the endpoints of one pool. It is safe for concurrent use.
 type Queue struct {
 	now func() time.Time
-	// schedule runs a function later.
+	// schedule calls f after d.
 	schedule func(d time.Duration, f func())
 	pool     *routing.Pool
 	policy   string
 
-	mu      sync.Mutex
-	state   *State
-	lastID  uint64
-	waiters map[uint64]waiter
-	// armed is set while a tick is scheduled.
-	armed bool
+	mu            sync.Mutex
+	state         *State
+	lastID        uint64
+	waiters       map[uint64]waiter
+	tickScheduled bool
 }
 
-// waiter is one call that waits for its answer, which is given once.
+// waiter is a queued call. answer is called exactly once.
 type waiter struct {
 	request Request
 	answer  func(answer)
 }
 
-// answer is a slot, or a refusal.
+// answer is a slot or a refusal.
 type answer struct {
 	slot    Slot
 	refusal *result.Refusal
 }
 
-// New makes an empty Queue over the pool.
+// New creates an empty Queue for the pool.
 func New(o Options, pool *routing.Pool) *Queue {
 	if o.Now == nil {
 		o.Now = time.Now
@@ -115,15 +117,16 @@
 	}
 }
 
-// Admit waits for a place. It refuses at once when the call's deadline cannot
-// be met (2020), the queue is full (2021) or no endpoint takes work (2022), and
-// later as soon as that becomes so. A canceled ctx leaves the queue (2023).
+// Admit waits for a slot. It refuses the call when its deadline cannot be met (2020),
+// the queue is full (2021) or no endpoint accepts calls (2022), either at once or as
+// soon as this becomes true while the call waits. If ctx ends first, the call leaves
+// the queue (2023).
 func (q *Queue) Admit(ctx context.Context, r Request, now time.Time) (Slot, *result.Refusal) {
 	if q.policy == PolicyEngine {
-		return q.admitNow(r, now)
+		return q.admitImmediately(r, now)
 	}
 	answers := make(chan answer, 1)
-	id := q.arrive(waiter{
+	id := q.enqueue(waiter{
 		request: r,
 		answer:  func(a answer) { answers <- a },
 	}, now)
@@ -141,13 +144,13 @@
 	}
 }
 
-// admitNow starts a call at once, if an endpoint takes work.
-func (q *Queue) admitNow(r Request, now time.Time) (Slot, *result.Refusal) {
-	choice, ok := q.pool.Choose(r.routing(), now)
+// admitImmediately starts a call without queueing, if an endpoint accepts it.
+func (q *Queue) admitImmediately(r Request, now time.Time) (Slot, *result.Refusal) {
+	choice, ok := q.pool.Choose(r.routingRequest(), now)
 	if !ok {
-		return Slot{}, refusal(Action{
+		return Slot{}, newRefusal(Action{
 			Code:       result.NoEndpoint,
-			ComeBackAt: now.Add(noEndpointRetry),
+			ComeBackAt: now.Add(noEndpointRetryDelay),
 		})
 	}
 	return Slot{
@@ -155,13 +158,13 @@
 	}, nil
 }
 
-func (q *Queue) arrive(w waiter, now time.Time) uint64 {
+func (q *Queue) enqueue(w waiter, now time.Time) uint64 {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.lastID++
 	id := q.lastID
 	q.waiters[id] = w
-	q.step(Message{
+	q.process(Message{
 		Kind:    MessageArrive,
 		ID:      id,
 		Request: w.request,
@@ -169,8 +172,8 @@
 	return id
 }
 
-// cancel takes a call out of the queue. A place that was given meanwhile is
-// given back unused.
+// cancel removes a call from the queue. A slot that was assigned concurrently is
+// released unused.
 func (q *Queue) cancel(id uint64, answers chan answer) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -182,14 +185,14 @@
 		}
 	default:
 		delete(q.waiters, id)
-		q.step(Message{
+		q.process(Message{
 			Kind: MessageCancel,
 			ID:   id,
 		}, now)
 	}
 }
 
-// Release gives a place back with what became of the call.
+// Release frees a slot and reports the outcome of its call.
 func (q *Queue) Release(s Slot, o routing.Outcome, now time.Time) {
 	if q.policy == PolicyEngine {
 		q.pool.Done(s.Choice, o, now)
@@ -202,59 +205,60 @@
 
 func (q *Queue) release(s Slot, o routing.Outcome, now time.Time) {
 	q.pool.Done(s.Choice, o, now)
-	q.step(Message{
+	q.process(Message{
 		Kind:   MessageDone,
 		ID:     s.id,
 		Unsent: !o.Sent,
 	}, now)
 }
 
-// Poke looks at the waiting calls again, after the pool's endpoints changed.
+// Poke reevaluates the waiting calls after the pool's endpoints changed.
 func (q *Queue) Poke(now time.Time) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.step(Message{Kind: MessageTick}, now)
+	q.process(Message{Kind: MessageTick}, now)
 }
 
-// Waiting is how many calls of each priority wait.
+// Waiting returns the number of waiting calls by priority.
 func (q *Queue) Waiting() [call.Priorities]int {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return q.state.Waiting()
 }
 
-// step runs the core and carries its actions out.
-func (q *Queue) step(m Message, now time.Time) {
+// process passes a message to the state and executes the resulting actions.
+func (q *Queue) process(m Message, now time.Time) {
 	m.Supply = q.pool.Supply(now)
-	var unplaced []uint64
+	var unassigned []uint64
 	for _, a := range q.state.Step(m, now) {
 		w, ok := q.waiters[a.ID]
 		delete(q.waiters, a.ID)
 		switch {
 		case !ok:
 		case a.Kind == ActionRefuse:
-			w.answer(answer{refusal: refusal(a)})
-		case !q.place(a.ID, w, now):
-			unplaced = append(unplaced, a.ID)
+			w.answer(answer{refusal: newRefusal(a)})
+		case !q.assignEndpoint(a.ID, w, now):
+			unassigned = append(unassigned, a.ID)
 		}
 	}
-	for _, id := range unplaced {
-		q.step(Message{
+	for _, id := range unassigned {
+		q.process(Message{
 			Kind:   MessageDone,
 			ID:     id,
 			Unsent: true,
 		}, now)
 	}
-	q.arm()
+	q.scheduleTick()
 }
 
-// place returns the call an endpoint; it returns false when none is left for it.
-func (q *Queue) place(id uint64, w waiter, now time.Time) bool {
-	choice, ok := q.pool.Choose(w.request.routing(), now)
+// assignEndpoint chooses an endpoint for a call, and refuses the call and returns false
+// if there is none.
+func (q *Queue) assignEndpoint(id uint64, w waiter, now time.Time) bool {
+	choice, ok := q.pool.Choose(w.request.routingRequest(), now)
 	if !ok {
-		w.answer(answer{refusal: refusal(Action{
+		w.answer(answer{refusal: newRefusal(Action{
 			Code:       result.NoEndpoint,
-			ComeBackAt: now.Add(noEndpointRetry),
+			ComeBackAt: now.Add(noEndpointRetryDelay),
 		})})
 		return false
 	}
@@ -265,23 +269,23 @@
 	return true
 }
 
-// arm schedules the next tick while calls wait.
-func (q *Queue) arm() {
-	if q.armed || len(q.waiters) == 0 {
+// scheduleTick schedules the next tick while calls wait.
+func (q *Queue) scheduleTick() {
+	if q.tickScheduled || len(q.waiters) == 0 {
 		return
 	}
-	q.armed = true
-	q.schedule(tickEvery, q.tick)
+	q.tickScheduled = true
+	q.schedule(tickInterval, q.tick)
 }
 
 func (q *Queue) tick() {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.armed = false
-	q.step(Message{Kind: MessageTick}, q.now())
+	q.tickScheduled = false
+	q.process(Message{Kind: MessageTick}, q.now())
 }
 
-func (r Request) routing() routing.Request {
+func (r Request) routingRequest() routing.Request {
 	return routing.Request{
 		PrefixHash:   r.PrefixHash,
 		Prefixes:     r.Prefixes,
@@ -303,6 +307,6 @@
 	result.NoEndpoint:         "no endpoint takes work",
 }
 
-func refusal(a Action) *result.Refusal {
+func newRefusal(a Action) *result.Refusal {
 	return result.Refuse(a.Code, "%s", refusalTexts[a.Code]).Until(a.ComeBackAt)
 }
--- a/admission/admission_test.go
+++ b/admission/admission_test.go
@@ -14,7 +14,7 @@
 	"github.com/fuchsianotch/fuchsianotch/routing"
 )
 
-func onePool(slots int) *routing.Pool {
+func newPool(slots int) *routing.Pool {
 	p := routing.New(routing.Options{})
 	p.SetEndpoints([]fleet.Endpoint{{
 		ID:    "e0",
@@ -26,7 +26,7 @@
 
 func TestAdmitCancelLeavesQueue(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		q := New(Options{}, onePool(1))
+		q := New(Options{}, newPool(1))
 		held, refusal := q.Admit(t.Context(), Request{Priority: call.PriorityChat}, time.Now())
 		assert.Assert(t, refusal == nil)
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
@@ -47,11 +47,11 @@
 	})
 }
 
-// TestAdmitWaits holds that a waiting call starts when a place is given back,
-// and that one whose deadline became unmeetable is told before its end.
+// TestAdmitWaits checks that a waiting call starts when a slot is released, and that a
+// call is refused before its deadline once that cannot be met.
 func TestAdmitWaits(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		q := New(Options{}, onePool(1))
+		q := New(Options{}, newPool(1))
 		held, _ := q.Admit(t.Context(), Request{Priority: call.PriorityChat}, time.Now())
 		begin := time.Now()
 		given := make(chan time.Duration, 1)
@@ -92,8 +92,8 @@
 	assert.Assert(t, refusal.ComeBackAt.After(time.Now()))
 }
 
-func TestAdmitExcluded(t *testing.T) {
-	q := New(Options{}, onePool(1))
+func TestAdmitSkipsExcludedEndpoint(t *testing.T) {
+	q := New(Options{}, newPool(1))
 	_, refusal := q.Admit(t.Context(), Request{Exclude: [2]string{"e0"}}, time.Now())
 	assert.Equal(t, refusal.Code, result.NoEndpoint)
 	slot, refusal := q.Admit(t.Context(), Request{}, time.Now())
@@ -102,7 +102,7 @@
 }
 
 func BenchmarkAdmit(b *testing.B) {
-	q := New(Options{}, onePool(64))
+	q := New(Options{}, newPool(64))
 	b.ReportAllocs()
 	b.RunParallel(func(pb *testing.PB) {
 		for pb.Next() {
--- a/admission/decision_test.go
+++ b/admission/decision_test.go
@@ -15,91 +15,92 @@
 )
 
 const (
-	seeds       = 5
-	vms         = 3
-	engines     = 4
-	engineSlots = 8
-	warmUp      = 60 * time.Second
-	runFor      = 360 * time.Second
-	reportLag   = 300 * time.Millisecond
-	// policyOpen sends every call at once, as without admission.
-	policyOpen = "open"
+	seeds           = 5
+	vmCount         = 3
+	engineCount     = 4
+	engineSlots     = 8
+	warmUp          = 60 * time.Second
+	runDuration     = 360 * time.Second
+	loadReportDelay = 300 * time.Millisecond
+	// policyNone sends every call without admission control.
+	policyNone = "open"
 )
 
-// class is one kind of calls. hold is about the seconds one keeps a slot.
-type class struct {
-	part                float64
-	prompt, prefix      int
-	tokens, more, bound int
-	hold                float64
-	firstBy, wholeBy    time.Duration
+// callClass describes the calls of one priority. slotSeconds is about how long a call
+// holds its slot.
+type callClass struct {
+	share                             float64
+	promptTokens, prefixTokens        int
+	minTokens, extraTokens, maxTokens int
+	slotSeconds                       float64
+	firstTokenWithin, completeWithin  time.Duration
 }
 
-var classes = [call.Priorities]class{
+var classes = [call.Priorities]callClass{
 	call.PriorityUrgent: {
-		part:    0.10,
-		prompt:  120,
-		prefix:  100,
-		tokens:  10,
-		more:    10,
-		bound:   32,
-		hold:    0.35,
-		firstBy: 500 * time.Millisecond,
-		wholeBy: 2 * time.Second,
+		share:            0.10,
+		promptTokens:     120,
+		prefixTokens:     100,
+		minTokens:        10,
+		extraTokens:      10,
+		maxTokens:        32,
+		slotSeconds:      0.35,
+		firstTokenWithin: 500 * time.Millisecond,
+		completeWithin:   2 * time.Second,
 	},
 	call.PriorityChat: {
-		part:    0.50,
-		prompt:  1100,
-		prefix:  1000,
-		tokens:  20,
-		more:    160,
-		bound:   256,
-		hold:    2,
-		firstBy: 1500 * time.Millisecond,
-		wholeBy: 10 * time.Second,
+		share:            0.50,
+		promptTokens:     1100,
+		prefixTokens:     1000,
+		minTokens:        20,
+		extraTokens:      160,
+		maxTokens:        256,
+		slotSeconds:      2,
+		firstTokenWithin: 1500 * time.Millisecond,
+		completeWithin:   10 * time.Second,
 	},
 	call.PriorityReport: {
-		part:    0.40,
-		prompt:  700,
-		prefix:  600,
-		tokens:  400,
-		more:    800,
-		bound:   1500,
-		hold:    16,
-		wholeBy: 120 * time.Second,
+		share:          0.40,
+		promptTokens:   700,
+		prefixTokens:   600,
+		minTokens:      400,
+		extraTokens:    800,
+		maxTokens:      1500,
+		slotSeconds:    16,
+		completeWithin: 120 * time.Second,
 	},
 }
 
-type scene struct {
+type workload struct {
 	policy string
 	load   float64
-	// surge ends the reports' steady arrival: all of a minute come in its first seconds.
-	surge bool
-	alone bool
+	// reportBurst makes the reports of each minute arrive within its first 10 seconds.
+	reportBurst bool
+	urgentOnly  bool
 }
 
 // BenchmarkDecision compares the policies; run it with -benchtime 1x.
 func BenchmarkDecision(b *testing.B) {
 	for _, load := range []float64{0.7, 1, 2} {
 		for _, surge := range []bool{false, true} {
-			for _, policy := range []string{PolicyPriority, PolicyBackfill, PolicyFIFO, policyOpen} {
-				s := scene{
-					policy: policy,
-					load:   load,
-					surge:  surge,
+			for _, policy := range []string{PolicyPriority, PolicyBackfill, PolicyFIFO, policyNone} {
+				s := workload{
+					policy:      policy,
+					load:        load,
+					reportBurst: surge,
 				}
 				b.Run(fmt.Sprintf("load=%.0f/surge=%v/%s", 100*load, surge, policy), s.benchmark)
 			}
 		}
 	}
-	b.Run("urgent_alone", scene{
-		policy: PolicyPriority,
-		load:   1,
-		alone:  true,
+	b.Run("urgent_alone", workload{
+		policy:     PolicyPriority,
+		load:       1,
+		urgentOnly: true,
 	}.benchmark)
 }
 
-func (s scene) benchmark(b *testing.B) {
+func (s workload) benchmark(b *testing.B) {
 	for b.Loop() {
 		all := map[string][]float64{}
 		for seed := range uint64(seeds) {
@@ -115,45 +116,45 @@
 	}
 }
 
-// rig is one run of a scene.
-type rig struct {
-	scene
-	clock   *enginetest.Clock
-	random  *rand.Rand
-	engines []*enginetest.Engine
-	list    []fleet.Endpoint
-	pools   []*routing.Pool
-	queues  []*Queue
-	from    time.Time
+// simulation is one run of a workload.
+type simulation struct {
+	workload
+	clock       *enginetest.Clock
+	random      *rand.Rand
+	engines     []*enginetest.Engine
+	endpoints   []fleet.Endpoint
+	pools       []*routing.Pool
+	queues      []*Queue
+	measureFrom time.Time
 
-	first   [call.Priorities]*enginetest.Latencies
-	refusal *enginetest.Latencies
-	came    [call.Priorities]float64
-	inTime  [call.Priorities]float64
-	late    [call.Priorities]float64
-	// work is the slot seconds of answers in time.
-	work float64
+	firstTokenLatency [call.Priorities]*enginetest.Latencies
+	refusalLatency    *enginetest.Latencies
+	arrived           [call.Priorities]float64
+	inTime            [call.Priorities]float64
+	late              [call.Priorities]float64
+	// usefulSlotSeconds are the slot seconds spent on answers that met their deadlines.
+	usefulSlotSeconds float64
 }
 
-func (s scene) run(seed uint64) map[string]float64 {
-	r := &rig{
-		scene:   s,
-		clock:   enginetest.NewClock(),
-		random:  rand.New(rand.NewPCG(seed, 2)),
-		refusal: enginetest.NewLatencies(),
+func (s workload) run(seed uint64) map[string]float64 {
+	r := &simulation{
+		workload:       s,
+		clock:          enginetest.NewClock(),
+		random:         rand.New(rand.NewPCG(seed, 2)),
+		refusalLatency: enginetest.NewLatencies(),
 	}
-	r.from = r.clock.Now().Add(warmUp)
-	for p := range r.first {
-		r.first[p] = enginetest.NewLatencies()
+	r.measureFrom = r.clock.Now().Add(warmUp)
+	for p := range r.firstTokenLatency {
+		r.firstTokenLatency[p] = enginetest.NewLatencies()
 	}
 	r.start()
-	end := r.clock.Now().Add(runFor)
+	end := r.clock.Now().Add(runDuration)
 	for p, c := range classes {
-		if s.alone && call.Priority(p) != call.PriorityUrgent {
+		if s.urgentOnly && call.Priority(p) != call.PriorityUrgent {
 			continue
 		}
-		rate := s.load * c.part * engines * engineSlots / c.hold
-		if s.surge && call.Priority(p) == call.PriorityReport {
+		rate := s.load * c.share * engineCount * engineSlots / c.slotSeconds
+		if s.reportBurst && call.Priority(p) == call.PriorityReport {
 			r.clock.Every(time.Minute, func() {
 				r.clock.Poisson(r.random, rate*6, r.clock.Now().Add(10*time.Second), func() { r.arrive(call.PriorityReport) })
 			})
@@ -162,22 +163,22 @@
 		r.clock.Poisson(r.random, rate, end, func() { r.arrive(call.Priority(p)) })
 	}
 	r.clock.Run(end)
-	measured := (runFor - warmUp).Seconds()
-	share := func(p call.Priority) float64 { return 100 * r.inTime[p] / max(r.came[p], 1) }
+	measured := (runDuration - warmUp).Seconds()
+	share := func(p call.Priority) float64 { return 100 * r.inTime[p] / max(r.arrived[p], 1) }
 	return map[string]float64{
-		"urgent_p99_ms": r.first[call.PriorityUrgent].Milliseconds(99),
-		"chat_p99_ms":   r.first[call.PriorityChat].Milliseconds(99),
-		"urgent_pct":    share(call.PriorityUrgent), "urgent_late": 100 * r.late[0] / max(r.came[0], 1), "chat_late": 100 * r.late[1] / max(r.came[1], 1),
+		"urgent_p99_ms": r.firstTokenLatency[call.PriorityUrgent].Milliseconds(99),
+		"chat_p99_ms":   r.firstTokenLatency[call.PriorityChat].Milliseconds(99),
+		"urgent_pct":    share(call.PriorityUrgent), "urgent_late": 100 * r.late[0] / max(r.arrived[0], 1), "chat_late": 100 * r.late[1] / max(r.arrived[1], 1),
 		"chat_pct":       share(call.PriorityChat),
 		"report_pct":     share(call.PriorityReport),
-		"late_pct":       100 * (r.late[0] + r.late[1] + r.late[2]) / (r.came[0] + r.came[1] + r.came[2]),
-		"goodput":        r.work / measured / (engines * engineSlots),
-		"refusal_p99_ms": r.refusal.Milliseconds(99),
+		"late_pct":       100 * (r.late[0] + r.late[1] + r.late[2]) / (r.arrived[0] + r.arrived[1] + r.arrived[2]),
+		"goodput":        r.usefulSlotSeconds / measured / (engineCount * engineSlots),
+		"refusal_p99_ms": r.refusalLatency.Milliseconds(99),
 	}
 }
 
-func (r *rig) start() {
-	for i := range engines {
+func (r *simulation) start() {
+	for i := range engineCount {
 		r.engines = append(r.engines, &enginetest.Engine{
 			Clock:    r.clock,
 			Slots:    engineSlots,
@@ -185,19 +186,19 @@
 			Prefill:  8000,
 			Prefixes: 40,
 		})
-		r.list = append(r.list, fleet.Endpoint{
+		r.endpoints = append(r.endpoints, fleet.Endpoint{
 			ID:    fmt.Sprintf("endpoint-%d", i),
 			Slots: engineSlots,
 			State: fleet.StateLive,
 		})
 		r.clock.After(time.Duration(r.random.IntN(1000))*time.Millisecond, func() {
-			r.clock.Every(time.Second, func() { r.report(i) })
+			r.clock.Every(time.Second, func() { r.reportLoad(i) })
 		})
 	}
-	for range vms {
+	for range vmCount {
 		p := routing.New(routing.Options{Rand: r.random.Uint64})
-		p.SetVMs(vms)
-		p.SetEndpoints(r.list, r.clock.Now())
+		p.SetVMs(vmCount)
+		p.SetEndpoints(r.endpoints, r.clock.Now())
 		q := New(Options{
 			Policy: r.policy,
 			Now:    r.clock.Now,
@@ -208,82 +209,83 @@
 	}
 }
 
-func (r *rig) report(i int) {
+func (r *simulation) reportLoad(i int) {
 	l := r.engines[i].Load()
-	r.clock.After(reportLag, func() {
+	r.clock.After(loadReportDelay, func() {
 		for vm, p := range r.pools {
-			p.Report(r.list[i].ID, l, r.clock.Now())
+			p.Report(r.endpoints[i].ID, l, r.clock.Now())
 			r.queues[vm].Poke(r.clock.Now())
 		}
 	})
 }
 
-// arrive brings one call to the entry VM of its prefix or to the second one.
-func (r *rig) arrive(p call.Priority) {
+// arrive delivers a call to the primary or, in 30% of the cases, the secondary VM of
+// its prefix.
+func (r *simulation) arrive(p call.Priority) {
 	c := classes[p]
 	prefix := uint64(r.random.IntN(40)) + 1
-	vm := int(prefix) % vms
+	vm := int(prefix) % vmCount
 	if r.random.IntN(10) < 3 {
-		vm = (vm + 1) % vms
+		vm = (vm + 1) % vmCount
 	}
 	now := r.clock.Now()
 	request := Request{
 		Priority:     p,
-		WholeBy:      now.Add(c.wholeBy),
+		WholeBy:      now.Add(c.completeWithin),
 		PrefixHash:   prefix * 0x9e3779b97f4a7c15,
-		PromptTokens: c.prompt,
-		MaxTokens:    c.bound,
+		PromptTokens: c.promptTokens,
+		MaxTokens:    c.maxTokens,
 	}
-	if c.firstBy > 0 {
-		request.FirstBy = now.Add(c.firstBy)
+	if c.firstTokenWithin > 0 {
+		request.FirstBy = now.Add(c.firstTokenWithin)
 	}
-	if now.After(r.from) {
-		r.came[p]++
+	if now.After(r.measureFrom) {
+		r.arrived[p]++
 	}
-	tokens := c.tokens + r.random.IntN(c.more)
-	if r.policy == policyOpen {
-		choice, _ := r.pools[vm].Choose(request.routing(), now)
+	tokens := c.minTokens + r.random.IntN(c.extraTokens)
+	if r.policy == policyNone {
+		choice, _ := r.pools[vm].Choose(request.routingRequest(), now)
 		r.send(vm, request, prefix, tokens, Slot{Choice: choice}, now)
 		return
 	}
-	r.queues[vm].arrive(waiter{
+	r.queues[vm].enqueue(waiter{
 		request: request,
 		answer: func(a answer) {
 			if a.refusal == nil {
 				r.send(vm, request, prefix, tokens, a.slot, now)
-			} else if now.After(r.from) {
-				r.refusal.Add(r.clock.Now().Sub(now))
+			} else if now.After(r.measureFrom) {
+				r.refusalLatency.Add(r.clock.Now().Sub(now))
 			}
 		},
 	}, now)
 }
 
-func (r *rig) send(vm int, request Request, prefix uint64, tokens int, slot Slot, cameAt time.Time) {
+func (r *simulation) send(vm int, request Request, prefix uint64, tokens int, slot Slot, arrivedAt time.Time) {
 	p := request.Priority
 	var firstAt time.Time
-	i := slices.IndexFunc(r.list, func(e fleet.Endpoint) bool { return e.ID == slot.Choice.Endpoint.ID })
+	i := slices.IndexFunc(r.endpoints, func(e fleet.Endpoint) bool { return e.ID == slot.Choice.Endpoint.ID })
 	r.engines[i].Send(enginetest.Job{
 		Prefix:       prefix,
-		PrefixTokens: classes[p].prefix,
+		PrefixTokens: classes[p].prefixTokens,
 		PromptTokens: request.PromptTokens,
 		Tokens:       tokens,
 		Priority:     p,
 		First: func() {
 			firstAt = r.clock.Now()
-			if cameAt.After(r.from) {
-				r.first[p].Add(firstAt.Sub(cameAt))
+			if arrivedAt.After(r.measureFrom) {
+				r.firstTokenLatency[p].Add(firstAt.Sub(arrivedAt))
 			}
 		},
 		End: func(u call.Usage) {
 			now := r.clock.Now()
-			r.count(request, firstAt, now, cameAt, tokens)
+			r.recordResult(request, firstAt, now, arrivedAt, tokens)
 			o := routing.Outcome{
 				Code:    result.Done,
 				Usage:   u,
 				Sent:    true,
 				FirstAt: firstAt,
 			}
-			if r.policy == policyOpen {
+			if r.policy == policyNone {
 				r.pools[vm].Done(slot.Choice, o, now)
 				return
 			}
@@ -292,8 +294,8 @@
 	})
 }
 
-func (r *rig) count(request Request, firstAt, endAt, cameAt time.Time, tokens int) {
-	if !cameAt.After(r.from) {
+func (r *simulation) recordResult(request Request, firstAt, endAt, arrivedAt time.Time, tokens int) {
+	if !arrivedAt.After(r.measureFrom) {
 		return
 	}
 	p := request.Priority
@@ -303,5 +305,5 @@
 	}
 	r.inTime[p]++
 	c := classes[p]
-	r.work += c.hold * float64(tokens) / (float64(c.tokens) + float64(c.more)/2)
+	r.usefulSlotSeconds += c.slotSeconds * float64(tokens) / (float64(c.minTokens) + float64(c.extraTokens)/2)
 }
--- a/admission/state.go
+++ b/admission/state.go
@@ -8,10 +8,10 @@
 	"github.com/fuchsianotch/fuchsianotch/routing"
 )
 
-// MessageKind tells what happened.
+// MessageKind is the type of an event.
 type MessageKind string
 
-// The kinds of messages.
+// Kinds of messages.
 const (
 	MessageArrive MessageKind = "arrive"
 	MessageCancel MessageKind = "cancel"
@@ -22,21 +22,20 @@
 // Message is one event for State.
 type Message struct {
 	Kind MessageKind
-	// ID names the call, but for MessageTick.
+	// ID identifies the call; it is unset on MessageTick.
 	ID uint64
 	// Request is set on MessageArrive.
 	Request Request
-	// Unsent is set on MessageDone when the call never reached its endpoint.
+	// Unsent is set on MessageDone if the call never reached its endpoint.
 	Unsent bool
-	// Supply is what the endpoints can take now.
+	// Supply is the current capacity of the endpoints.
 	Supply routing.Supply
 }
 
-// ActionKind tells what to do with a call.
+// ActionKind is the type of an action.
 type ActionKind string
 
-// The kinds of actions. Each call that arrived gets exactly one, unless it was
-// canceled before.
+// Kinds of actions. Each call gets exactly one, unless it is canceled before.
 const (
 	ActionStart  ActionKind = "start"
 	ActionRefuse ActionKind = "refuse"
@@ -52,45 +51,46 @@
 }
 
 const (
-	defaultLength      = 512
+	defaultQueueLength = 512
 	defaultReportShare = 0.5
-	// noEndpointRetry is when to come back if nothing tells when an endpoint will.
-	noEndpointRetry = time.Second
+	// noEndpointRetryDelay is the retry delay if no endpoint has announced when it will
+	// be back.
+	noEndpointRetryDelay = time.Second
 )
 
-// State is the queue's decision core. It reads no clock and takes no lock; the
+// State is the deterministic core of a Queue. It reads no clock and takes no lock; the
 // same messages give the same actions.
 type State struct {
 	policy      string
 	length      int
 	reportShare float64
 
-	waiting [call.Priorities]line
-	running map[uint64]started
+	waiting [call.Priorities]callQueue
+	running map[uint64]runningCall
 	// inFlight counts running by priority.
 	inFlight [call.Priorities]int
 	demand   demand
-	// promised is the latest time that a refused call was told to come back at.
-	promised [call.Priorities]time.Time
-	actions  []Action
+	// lastRetryAt is the latest retry time given to a refused call.
+	lastRetryAt [call.Priorities]time.Time
+	actions     []Action
 }
 
-// started is a call that got a place.
-type started struct {
-	priority call.Priority
-	at       time.Time
+// runningCall is a call that holds a slot.
+type runningCall struct {
+	priority  call.Priority
+	startedAt time.Time
 }
 
-// NewState makes the core for the options; Now is not used.
+// NewState creates a State; Options.Now is not used.
 func NewState(o Options) *State {
 	s := &State{
 		policy:      o.Policy,
 		length:      o.Length,
 		reportShare: o.ReportShare,
-		running:     map[uint64]started{},
+		running:     map[uint64]runningCall{},
 	}
 	if s.length <= 0 {
-		s.length = defaultLength
+		s.length = defaultQueueLength
 	}
 	if s.reportShare <= 0 {
 		s.reportShare = defaultReportShare
@@ -98,49 +98,49 @@
 	return s
 }
 
-// Waiting is how many calls of each priority wait.
+// Waiting returns the number of waiting calls by priority.
 func (s *State) Waiting() [call.Priorities]int {
 	var counts [call.Priorities]int
 	for p := range s.waiting {
-		counts[p] = len(s.waiting[p].entries)
+		counts[p] = len(s.waiting[p].calls)
 	}
 	return counts
 }
 
-// Step takes one message and returns the actions to carry out, valid until the
-// next step.
+// Step processes a message and returns the actions to execute, which are valid until
+// the next call of Step.
 func (s *State) Step(m Message, now time.Time) []Action {
 	s.actions = s.actions[:0]
 	switch m.Kind {
 	case MessageArrive:
-		s.arrive(m, now)
+		s.enqueue(m, now)
 	case MessageCancel:
 		s.remove(m.ID)
 	case MessageDone:
-		s.done(m, now)
+		s.complete(m, now)
 	case MessageTick:
 	}
 	supply := m.Supply
-	s.expire(supply, now)
-	s.start(&supply, now)
+	s.refuseExpired(supply, now)
+	s.startCalls(&supply, now)
 	switch m.Kind {
 	case MessageArrive:
-		s.forecastNew(m.ID, m.Request.Priority, supply, now)
+		s.refuseNewIfLate(m.ID, m.Request.Priority, supply, now)
 	case MessageTick:
-		s.forecastAll(supply, now)
+		s.refuseQueuedIfLate(supply, now)
 	case MessageCancel, MessageDone:
 	}
-	s.bound(supply, now)
+	s.enforceLength(supply, now)
 	return s.actions
 }
 
-func (s *State) arrive(m Message, now time.Time) {
-	s.demand.arrived(m.Request.Priority, now)
-	s.waiting[m.Request.Priority].insert(entry{
-		id:      m.ID,
-		request: m.Request,
-		at:      now,
-		latest:  latestStart(m.Request, m.Supply),
+func (s *State) enqueue(m Message, now time.Time) {
+	s.demand.recordArrival(m.Request.Priority, now)
+	s.waiting[m.Request.Priority].insert(queuedCall{
+		id:          m.ID,
+		request:     m.Request,
+		arrivedAt:   now,
+		latestStart: latestStart(m.Request, m.Supply),
 	})
 }
 
@@ -152,7 +152,7 @@
 	}
 }
 
-func (s *State) done(m Message, now time.Time) {
+func (s *State) complete(m Message, now time.Time) {
 	c, ok := s.running[m.ID]
 	if !ok {
 		return
@@ -160,108 +160,110 @@
 	delete(s.running, m.ID)
 	s.inFlight[c.priority]--
 	if !m.Unsent {
-		s.demand.held(c.priority, now.Sub(c.at))
+		s.demand.recordSlotTime(c.priority, now.Sub(c.startedAt))
 	}
 }
 
-// expire refuses the calls that cannot be on time even if they started now.
-func (s *State) expire(supply routing.Supply, now time.Time) {
+// refuseExpired refuses the calls that could not meet their deadline even if they
+// started now.
+func (s *State) refuseExpired(supply routing.Supply, now time.Time) {
 	for p := range s.waiting {
-		l := &s.waiting[p]
-		for len(l.entries) > 0 {
-			e := l.entries[0]
+		queue := &s.waiting[p]
+		for len(queue.calls) > 0 {
+			e := queue.calls[0]
 			if !latestStart(e.request, supply).Before(now) {
 				break
 			}
-			l.removeAt(0)
+			queue.removeAt(0)
 			s.refuseLate(e, supply, now)
 		}
 	}
 }
 
-// refuseLate refuses a call that would be late if it started now.
-func (s *State) refuseLate(e entry, supply routing.Supply, now time.Time) {
+// refuseLate refuses a call that cannot meet its deadline.
+func (s *State) refuseLate(e queuedCall, supply routing.Supply, now time.Time) {
 	code := result.DeadlineUnmeetable
 	if passed(e.request.FirstBy, now) || passed(e.request.WholeBy, now) {
 		code = result.DeadlinePassed
 	}
-	s.refuse(e.id, code, s.comeBack(e, supply, now))
+	s.refuse(e.id, code, s.retryTime(e, supply, now))
 }
 
-// comeBack is when a call like e, with as much time as e had when it came,
-// could be admitted; zero if never.
-func (s *State) comeBack(e entry, supply routing.Supply, now time.Time) time.Time {
-	patience := e.latest.Sub(e.at)
+// retryTime returns when a call with as much time as e had on arrival could be
+// admitted; zero if never.
+func (s *State) retryTime(e queuedCall, supply routing.Supply, now time.Time) time.Time {
+	patience := e.latestStart.Sub(e.arrivedAt)
 	if patience <= 0 {
 		return time.Time{}
 	}
-	wait := s.forecast(s.ahead(e.request.Priority), e.request.Priority, supply, now)
-	at := now.Add(max(wait-patience, supply.Hold/time.Duration(max(supply.Slots, 1))))
-	return s.promise(e, at, supply, now)
+	wait := s.expectedWait(s.callsAhead(e.request.Priority), e.request.Priority, supply, now)
+	retryAt := now.Add(max(wait-patience, supply.Hold/time.Duration(max(supply.Slots, 1))))
+	return s.scheduleRetry(e, retryAt, supply, now)
 }
 
-// start gives places to waiting calls while there are any.
-func (s *State) start(supply *routing.Supply, now time.Time) {
+// startCalls assigns free slots to waiting calls.
+func (s *State) startCalls(supply *routing.Supply, now time.Time) {
 	if supply.Endpoints == 0 {
 		s.startProbe(*supply, now)
 		return
 	}
 	for {
-		p, ok := s.next(*supply, now)
+		p, ok := s.nextPriority(*supply, now)
 		if !ok {
 			return
 		}
-		s.begin(s.waiting[p].removeAt(0), now)
+		s.startCall(s.waiting[p].removeAt(0), now)
 		supply.Free--
 		supply.Own++
 	}
 }
 
-// startProbe lets one call test an endpoint after its back-off and refuses the others.
+// startProbe lets one call test an endpoint whose backoff has ended and refuses the
+// others.
 func (s *State) startProbe(supply routing.Supply, now time.Time) {
 	retryAt := supply.RetryAt
 	if !retryAt.IsZero() && !retryAt.After(now) {
 		for p := range s.waiting {
-			if len(s.waiting[p].entries) > 0 {
-				s.begin(s.waiting[p].removeAt(0), now)
+			if len(s.waiting[p].calls) > 0 {
+				s.startCall(s.waiting[p].removeAt(0), now)
 				break
 			}
 		}
 	}
 	if !retryAt.After(now) {
-		retryAt = now.Add(noEndpointRetry)
+		retryAt = now.Add(noEndpointRetryDelay)
 	}
 	for p := range s.waiting {
-		for len(s.waiting[p].entries) > 0 {
+		for len(s.waiting[p].calls) > 0 {
 			s.refuse(s.waiting[p].removeAt(0).id, result.NoEndpoint, retryAt)
 		}
 	}
 }
 
-// next names the priority whose first call may start now.
-func (s *State) next(supply routing.Supply, now time.Time) (call.Priority, bool) {
+// nextPriority returns the highest priority whose first call may start now.
+func (s *State) nextPriority(supply routing.Supply, now time.Time) (call.Priority, bool) {
 	if s.policy == PolicyFIFO {
-		return s.oldest(supply)
+		return s.oldestPriority(supply)
 	}
 	for p := range s.waiting {
 		priority := call.Priority(p)
-		if len(s.waiting[p].entries) > 0 && s.allowed(priority, supply, now) {
+		if len(s.waiting[p].calls) > 0 && s.mayStart(priority, supply, now) {
 			return priority, true
 		}
 	}
 	return 0, false
 }
 
-// oldest names the priority of the call that waits longest.
-func (s *State) oldest(supply routing.Supply) (call.Priority, bool) {
+// oldestPriority returns the priority of the call that has waited longest.
+func (s *State) oldestPriority(supply routing.Supply) (call.Priority, bool) {
 	found := false
 	var first call.Priority
 	for p := range s.waiting {
-		l := s.waiting[p].entries
-		if len(l) == 0 {
+		calls := s.waiting[p].calls
+		if len(calls) == 0 {
 			continue
 		}
-		if !found || l[0].id < s.waiting[first].entries[0].id {
+		if !found || calls[0].id < s.waiting[first].calls[0].id {
 			first = call.Priority(p)
 			found = true
 		}
@@ -269,10 +271,10 @@
 	return first, found && supply.Free >= 1
 }
 
-func (s *State) begin(e entry, now time.Time) {
-	s.running[e.id] = started{
-		priority: e.request.Priority,
-		at:       now,
+func (s *State) startCall(e queuedCall, now time.Time) {
+	s.running[e.id] = runningCall{
+		priority:  e.request.Priority,
+		startedAt: now,
 	}
 	s.inFlight[e.request.Priority]++
 	s.actions = append(s.actions, Action{
@@ -290,19 +292,20 @@
 	})
 }
 
-// bound refuses the last calls of the lowest priority above the queue's length.
-func (s *State) bound(supply routing.Supply, now time.Time) {
-	over := -s.length
+// enforceLength refuses the last calls of the lowest priorities while the queue is too
+// long.
+func (s *State) enforceLength(supply routing.Supply, now time.Time) {
+	excess := -s.length
 	for p := range s.waiting {
-		over += len(s.waiting[p].entries)
+		excess += len(s.waiting[p].calls)
 	}
-	for p := call.Priorities - 1; p >= 0 && over > 0; p-- {
-		l := &s.waiting[p]
-		for len(l.entries) > 0 && over > 0 {
-			e := l.removeAt(len(l.entries) - 1)
-			wait := s.forecast(s.ahead(e.request.Priority), e.request.Priority, supply, now)
-			s.refuse(e.id, result.QueueFull, s.promise(e, now.Add(wait), supply, now))
-			over--
+	for p := call.Priorities - 1; p >= 0 && excess > 0; p-- {
+		queue := &s.waiting[p]
+		for len(queue.calls) > 0 && excess > 0 {
+			e := queue.removeAt(len(queue.calls) - 1)
+			wait := s.expectedWait(s.callsAhead(e.request.Priority), e.request.Priority, supply, now)
+			s.refuse(e.id, result.QueueFull, s.scheduleRetry(e, now.Add(wait), supply, now))
+			excess--
 		}
 	}
 }
--- a/admission/state_test.go
+++ b/admission/state_test.go
@@ -17,19 +17,19 @@
 
 var start = time.Date(2026, time.March, 1, 6, 0, 0, 0, time.UTC)
 
-type script struct {
+type stateScript struct {
 	Name   string
 	Policy string
 	Length int
 	Share  float64
-	// Busy is how many chat calls run already.
+	// Busy is the number of chat calls that already run.
 	Busy  int
-	Steps []step
+	Steps []scriptStep
 }
 
-// step is one message with its supply, of four slots that a call holds for a
-// second each, and the actions wanted.
-type step struct {
+// scriptStep is one message with its supply, the number of free slots of four, and the
+// actions wanted. A call holds its slot for a second.
+type scriptStep struct {
 	At       string
 	Arrive   uint64
 	Priority string
@@ -41,7 +41,7 @@
 	Tick     bool
 	Free     float64
 	Own      int
-	// Endpoints is 0 for one and -1 for none.
+	// Endpoints is added to the one endpoint of the supply; -1 means none.
 	Endpoints int
 	Retry     string
 	Want      []string
@@ -50,7 +50,7 @@
 func TestStateScripts(t *testing.T) {
 	data, err := os.ReadFile("testdata/state.json")
 	assert.NilError(t, err)
-	var scripts []script
+	var scripts []stateScript
 	assert.NilError(t, json.Unmarshal(data, &scripts))
 	for _, s := range scripts {
 		t.Run(s.Name, func(t *testing.T) {
@@ -64,11 +64,11 @@
 					Kind:    MessageArrive,
 					ID:      uint64(100 + i),
 					Request: Request{Priority: call.PriorityChat},
-					Supply:  supplyOf(1),
+					Supply:  supplyWithFree(1),
 				}, start.Add(-time.Hour))
 			}
 			for i, st := range s.Steps {
-				now := after(t, start, st.At)
+				now := timeAfter(t, start, st.At)
 				var got []string
 				for _, a := range state.Step(st.message(t, now), now) {
 					got = append(got, format(a, now))
@@ -79,17 +79,17 @@
 	}
 }
 
-func (st step) message(t *testing.T, now time.Time) Message {
+func (st scriptStep) message(t *testing.T, now time.Time) Message {
 	m := Message{
 		Kind:   MessageTick,
-		Supply: supplyOf(st.Free),
+		Supply: supplyWithFree(st.Free),
 	}
 	m.Supply.Endpoints += st.Endpoints
 	if st.Own > 0 {
 		m.Supply.Own = st.Own
 	}
 	if st.Retry != "" {
-		m.Supply.RetryAt = after(t, now, st.Retry)
+		m.Supply.RetryAt = timeAfter(t, now, st.Retry)
 	}
 	switch {
 	case st.Arrive != 0:
@@ -98,10 +98,10 @@
 		m.Request.Priority, _ = call.ParsePriority(st.Priority)
 		m.Request.MaxTokens = st.Max
 		if st.First != "" {
-			m.Request.FirstBy = after(t, now, st.First)
+			m.Request.FirstBy = timeAfter(t, now, st.First)
 		}
 		if st.Whole != "" {
-			m.Request.WholeBy = after(t, now, st.Whole)
+			m.Request.WholeBy = timeAfter(t, now, st.Whole)
 		}
 	case st.Cancel != 0:
 		m.Kind = MessageCancel
@@ -113,7 +113,7 @@
 	return m
 }
 
-func supplyOf(free float64) routing.Supply {
+func supplyWithFree(free float64) routing.Supply {
 	return routing.Supply{
 		Endpoints:        1,
 		Slots:            4,
@@ -127,7 +127,7 @@
 	}
 }
 
-func after(t *testing.T, from time.Time, text string) time.Time {
+func timeAfter(t *testing.T, from time.Time, text string) time.Time {
 	if text == "" {
 		return from
 	}
@@ -147,10 +147,10 @@
 	return fmt.Sprintf("refuse %d %d %s", a.ID, a.Code, back)
 }
 
-// TestStateKeepsPromises holds over random messages that each call gets one
-// answer, none starts too late, urgent calls wait behind nothing, and no call
-// waits beside a slot that it may take.
-func TestStateKeepsPromises(t *testing.T) {
+// TestStateInvariants checks on random messages that each call gets one action, none
+// starts too late, urgent calls start first, and no call waits while a slot is free
+// that it may take.
+func TestStateInvariants(t *testing.T) {
 	policies := []string{PolicyBackfill, PolicyPriority}
 	rapid.Check(t, func(t *rapid.T) {
 		const slots, length = 4, 6
@@ -163,7 +163,7 @@
 		var running []uint64
 		lastID := uint64(0)
 		step := func(t *rapid.T, m Message) {
-			m.Supply = supplyOf(float64(slots - len(running)))
+			m.Supply = supplyWithFree(float64(slots - len(running)))
 			if m.Kind == MessageArrive {
 				waiting[m.ID] = m.Request
 			}
@@ -186,7 +186,7 @@
 			free := float64(slots - len(running))
 			assert.Assert(t, free >= 0)
 			assert.Assert(t, left[call.PriorityUrgent] == 0 || (free == 0 && !lower))
-			assert.Assert(t, left[call.PriorityChat] == 0 || free < 1+s.reserve(m.Supply, now))
+			assert.Assert(t, left[call.PriorityChat] == 0 || free < 1+s.urgentReserve(m.Supply, now))
 		}
 		t.Repeat(map[string]func(*rapid.T){
 			"arrive": func(t *rapid.T) {
