--- a/retry/history.go
+++ b/retry/history.go
@@ -2,21 +2,21 @@
 
 import "github.com/fuchsianotch/fuchsianotch/result"
 
-// maxRefused is how many endpoints may refuse one routed call before its caller
-// is told: more seldom find a place and use up the repeats of others.
-const maxRefused = 2
+// maxRefusals is the number of endpoints that may refuse one routed call before the
+// caller is told. Further attempts seldom succeed and use up the retry budget.
+const maxRefusals = 2
 
-// History is what the attempts that one VM made of a call have come to.
+// History summarizes the attempts that one VM made for a call.
 type History struct {
 	Attempts int
-	// Refused are the attempts that certainly did not run.
+	// Refused is the number of attempts that certainly did not run.
 	Refused int
-	// Uncertain is the last code of class unknown that an attempt ended with, zero
-	// while none did.
+	// Uncertain is the last code of class unknown that an attempt ended with; zero if
+	// there was none.
 	Uncertain result.Code
 }
 
-// Take adds an attempt. Sent is set when a byte of it may have reached the endpoint.
+// Take records an attempt. sent is set if a byte of it may have reached the endpoint.
 func (h *History) Take(code result.Code, sent bool) {
 	h.Attempts++
 	if !sent || code.Class() == result.ClassNotRun {
@@ -27,13 +27,13 @@
 	}
 }
 
-// Ran is how many attempts may have run.
+// Ran is the number of attempts that may have run.
 func (h *History) Ran() int {
 	return h.Attempts - h.Refused
 }
 
-// Code is that of the call whose last attempt ended with a code. A call of which
-// an earlier attempt may have run may have run, whatever its last one came to.
+// Code returns the result code of the call, given that of its last attempt: if an
+// earlier attempt may have run, the call is not reported as not run.
 func (h *History) Code(last result.Code) result.Code {
 	if last.Class() == result.ClassNotRun && h.Uncertain != 0 {
 		return h.Uncertain
@@ -41,12 +41,12 @@
 	return last
 }
 
-// Routed returns how often a routed call was tried and may be tried. The route
-// bounds the endpoints that may have run it; those that certainly have not are
-// bounded besides.
-func (h *History) Routed(mostRuns int) (attempts, most int) {
-	if h.Refused > maxRefused {
+// Routed returns the number of attempts made for a routed call and their limit.
+// Attempts that certainly did not run are limited separately and do not count towards
+// maxRuns.
+func (h *History) Routed(maxRuns int) (attempts, limit int) {
+	if h.Refused > maxRefusals {
 		return h.Attempts, h.Attempts
 	}
-	return h.Ran(), mostRuns
+	return h.Ran(), maxRuns
 }
--- a/retry/places.go
+++ b/retry/places.go
@@ -2,34 +2,36 @@
 
 import "github.com/fuchsianotch/fuchsianotch/result"
 
-// PlacesPerCall bounds the VMs, the caller's own included, that look at one
-// routed call: each one more costs a way there and back.
+// PlacesPerCall is the maximum number of VMs, including the caller's, that handle one
+// routed call. Each further one adds a round trip.
 const PlacesPerCall = 3
 
-// Place is what one VM made of a routed call.
+// Place is the result of one VM's attempts to serve a routed call.
 type Place struct {
 	Code result.Code
-	// Ran is how many endpoints may have run the call there, as far as it told.
+	// Ran is the number of endpoints that may have run the call there, as far as that
+	// VM reported it.
 	Ran        int
 	Idempotent bool
-	// Headed is set when the caller has the head of an answer, Resumable when the
-	// answer may go on elsewhere, and HasEvent when it has an event to go on from.
+	// Headed is set if the caller has received the head of an answer, Resumable if the
+	// answer can be resumed by another VM, and HasEvent if the caller has received an
+	// event to resume after.
 	Headed    bool
 	Resumable bool
 	HasEvent  bool
 }
 
-// RunsLeft is how many more endpoints may run a call of which so many may. A VM
-// that was lost with the call is taken to have had it run by one.
-func (p Place) RunsLeft(most int) int {
+// RunsLeft returns how many more endpoints may run the call. A VM that was lost without
+// a report counts as one run.
+func (p Place) RunsLeft(maxRuns int) int {
 	if p.Ran == 0 && p.Code.Class() == result.ClassUnknown {
-		return most - 1
+		return maxRuns - 1
 	}
-	return most - p.Ran
+	return maxRuns - p.Ran
 }
 
-// MayMove reports whether the call may go to another place: it did not run at this
-// one, or it may run again and the caller can be given the rest.
+// MayMove reports whether another VM may serve the call: it did not run here, or it may
+// run again and the caller can be given the rest.
 func (p Place) MayMove() bool {
 	switch p.Code {
 	case result.EndpointRefused, result.LimitEndpoint, result.NoEndpoint, result.PeerUnreachable, result.Stopping, result.NotReady, result.DeadlineUnmeetable, result.QueueFull:
@@ -41,7 +43,7 @@
 	}
 }
 
-// IsRepeat reports whether the next place's first attempt is one more of the call's.
+// IsRepeat reports whether the next VM's first attempt counts as a retry.
 func (p Place) IsRepeat() bool {
 	return p.Code.Class() != result.ClassNotRun || p.Code == result.EndpointRefused
 }
--- a/retry/retry.go
+++ b/retry/retry.go
@@ -1,4 +1,5 @@
-// Package retry decides which failed calls are sent again, and bounds how many.
+// Package retry decides which failed calls are retried, and bounds the number of
+// retries.
 package retry
 
 import (
@@ -9,37 +10,38 @@
 )
 
 const (
-	// burst is how many retries may be saved up.
-	burst = 10
-	// minimum is how many retries are there at the start.
-	minimum = 3
-	// maxAttempts bounds how often one call is sent.
+	// maxSavedRetries is the capacity of the token bucket.
+	maxSavedRetries = 10
+	// initialRetries is the fill level of a new bucket.
+	initialRetries = 3
+	// maxAttempts is the default limit of attempts per call.
 	maxAttempts = 3
 )
 
-// Budget bounds retries to a share of the requests. It is safe for concurrent use.
+// Budget is a token bucket that limits retries to a share of the requests. It is safe
+// for concurrent use.
 type Budget struct {
 	mu     sync.Mutex
-	share  float64
+	ratio  float64
 	tokens float64
 }
 
-// New makes a Budget of so many retries for each request, for example 0.1.
-func New(share float64) *Budget {
+// New creates a Budget that allows ratio retries per request, for example 0.1.
+func New(ratio float64) *Budget {
 	return &Budget{
-		share:  max(share, 0),
-		tokens: minimum,
+		ratio:  max(ratio, 0),
+		tokens: initialRetries,
 	}
 }
 
-// OnRequest counts one first attempt.
+// OnRequest counts a first attempt.
 func (b *Budget) OnRequest() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.tokens = min(b.tokens+b.share, burst)
+	b.tokens = min(b.tokens+b.ratio, maxSavedRetries)
 }
 
-// Allow takes one retry from the budget, if there is one.
+// Allow takes one retry from the budget and reports whether there was one.
 func (b *Budget) Allow() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -50,40 +52,41 @@
 	return true
 }
 
-// Attempt is one attempt that did not end in a whole answer.
+// Attempt is an attempt that ended without a complete answer.
 type Attempt struct {
 	Code result.Code
-	// Sent is set when a byte of the call may have reached the endpoint.
+	// Sent is set if a byte of the call may have reached the endpoint.
 	Sent       bool
 	Idempotent bool
-	// Delivered is set when a part of the answer went to the caller, Resumable
-	// when another endpoint can go on after it without a seam.
+	// Delivered is set if a part of the answer was sent to the caller, Resumable if
+	// another endpoint can continue the stream without a gap or a repetition.
 	Delivered bool
 	Resumable bool
-	// Attempts is how often the call was tried, this one included.
+	// Attempts is the number of attempts made, including this one.
 	Attempts int
-	// MaxAttempts bounds Attempts; zero means the default of three.
+	// MaxAttempts limits Attempts; zero means the default of three.
 	MaxAttempts int
-	// WholeBy is the deadline, zero for none; Needed is the least time for another try.
+	// WholeBy is the deadline, zero for none; Needed is the minimum duration of another
+	// attempt.
 	WholeBy time.Time
 	Needed  time.Duration
 }
 
-// Verdict is the answer of Decide.
+// Verdict is the result of Decide.
 type Verdict string
 
-// The verdicts. Any but VerdictRetry and VerdictResume ends the call.
+// Verdicts. All but VerdictRetry and VerdictResume end the call.
 const (
-	VerdictRetry    Verdict = "retry"
-	VerdictResume   Verdict = "resume"
-	VerdictFinal    Verdict = "final"
-	VerdictUnsafe   Verdict = "unsafe"
-	VerdictTooLate  Verdict = "too_late"
-	VerdictAttempts Verdict = "attempts"
+	VerdictRetry           Verdict = "retry"
+	VerdictResume          Verdict = "resume"
+	VerdictFinal           Verdict = "final"
+	VerdictUnsafe          Verdict = "unsafe"
+	VerdictTooLate         Verdict = "too_late"
+	VerdictTooManyAttempts Verdict = "attempts"
 )
 
-// repeatable lists the codes after which another endpoint may do better.
-var repeatable = map[result.Code]bool{
+// retryableCodes are the codes after which another endpoint may succeed.
+var retryableCodes = map[result.Code]bool{
 	result.EndpointRefused: true,
 	result.LimitEndpoint:   true,
 	result.EndpointCut:     true,
@@ -91,18 +94,18 @@
 	result.AnswerCrossed:   true,
 }
 
-// Decide reports whether a call may be sent again. It does not ask the budget.
-// Only the VM that sends to endpoints retries: the one that forwarded a call
-// never does, so the layers do not multiply.
+// Decide reports whether a call may be retried. It does not consult the budget. Only
+// the VM that sends to endpoints retries, never one that forwarded the call, so retries
+// do not multiply across layers.
 func Decide(a Attempt, now time.Time) Verdict {
 	notRun := !a.Sent || a.Code.Class() == result.ClassNotRun
 	switch {
-	case !repeatable[a.Code]:
+	case !retryableCodes[a.Code]:
 		return VerdictFinal
 	case !notRun && !a.Idempotent:
 		return VerdictUnsafe
-	case a.Attempts >= a.most():
-		return VerdictAttempts
+	case a.Attempts >= a.maxAttempts():
+		return VerdictTooManyAttempts
 	case !a.WholeBy.IsZero() && now.Add(a.Needed).After(a.WholeBy):
 		return VerdictTooLate
 	case a.Delivered && a.Resumable && a.Idempotent:
@@ -114,7 +117,7 @@
 	}
 }
 
-func (a Attempt) most() int {
+func (a Attempt) maxAttempts() int {
 	if a.MaxAttempts > 0 {
 		return a.MaxAttempts
 	}
--- a/retry/retry_test.go
+++ b/retry/retry_test.go
@@ -52,9 +52,9 @@
 	}
 }
 
-// TestDecideNeverDoubles holds that nothing that may have run is repeated
-// unless it is idempotent, and nothing after its deadline.
-func TestDecideNeverDoubles(t *testing.T) {
+// TestDecideNeverRepeatsUnsafeCall checks that a call that may have run is retried only
+// if it is idempotent, and no call after its deadline.
+func TestDecideNeverRepeatsUnsafeCall(t *testing.T) {
 	now := time.Date(2026, time.March, 1, 6, 0, 0, 0, time.UTC)
 	codes := make([]result.Code, 0, len(result.Table))
 	for _, row := range result.Table {
@@ -81,7 +81,7 @@
 	})
 }
 
-func TestBudgetShare(t *testing.T) {
+func TestBudgetBoundsRetries(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		share := rapid.Float64Range(0, 1).Draw(t, "share")
 		b := New(share)
@@ -94,6 +94,6 @@
 				retries++
 			}
 		}
-		assert.Assert(t, float64(retries) <= minimum+share*float64(requests)+1e-6)
+		assert.Assert(t, float64(retries) <= initialRetries+share*float64(requests)+1e-6)
 	})
 }
--- a/retry/window.go
+++ b/retry/window.go
@@ -6,97 +6,97 @@
 )
 
 const (
-	// windowParts is how finely a window slides.
-	windowParts = 20
-	// keptBack is the part of the bound that is left unused: requests and repeats
-	// are counted here as they are sent, and elsewhere as they arrive.
-	keptBack = 0.1
+	// windowBuckets is the number of buckets of a sliding window.
+	windowBuckets = 20
+	// safetyMargin is the share of the limit that stays unused, since requests and
+	// retries are counted here when they are sent, and by endpoints when they arrive.
+	safetyMargin = 0.1
 )
 
-// WindowOptions set up a Window.
+// WindowOptions configures a Window.
 type WindowOptions struct {
-	// Ratio is how many repeats each request allows.
+	// Ratio is the number of retries allowed per request.
 	Ratio float64
-	// Slack is how many repeats all VMs together may make beyond that.
+	// Slack is the number of further retries that all VMs may make together.
 	Slack float64
-	// Length is that of the window, in which both count.
+	// Length is the length of the sliding window.
 	Length time.Duration
-	// VMs returns the number of VMs that share the slack; zero or less means that
-	// it is not known yet, and that nothing of the slack is used.
+	// VMs returns the number of VMs that share the slack. While it is zero or less, the
+	// number is unknown and no slack is used.
 	VMs func() int
-	// SlackFrom is from when on this VM uses its part of the slack: one Length after
-	// its start, as what an earlier life of it used before is not known, and what
-	// others are there only after some exchanges.
+	// SlackFrom is when this VM starts to use its part of the slack. One Length after
+	// its start, retries of its previous incarnation have left the window and the other
+	// VMs are known.
 	SlackFrom time.Time
 	Now       func() time.Time
 }
 
-// Window bounds the repeats to one service in any window of time: this VM's
-// own requests allow it a ratio, and it uses its part of the fleet's slack. So
-// the sum over all VMs keeps the bound without a message between them. It is
-// safe for concurrent use.
+// Window limits the retries to one service within a sliding window. Each VM retries a
+// share of its own requests and uses an equal part of the fleet's slack, so all VMs
+// together keep the limit without coordination. It is safe for concurrent use.
 type Window struct {
 	options WindowOptions
 	mu      sync.Mutex
-	parts   [windowParts]windowPart
+	buckets [windowBuckets]windowBucket
 }
 
-type windowPart struct {
-	number   int64
+type windowBucket struct {
+	tick     int64
 	requests int
-	repeats  int
+	retries  int
 }
 
-// NewWindow makes an empty Window.
+// NewWindow creates an empty Window.
 func NewWindow(o WindowOptions) *Window {
 	return &Window{
 		options: o,
 	}
 }
 
-// OnRequest counts one first attempt.
+// OnRequest counts a first attempt.
 func (w *Window) OnRequest() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.part().requests++
+	w.bucket().requests++
 }
 
-// Allow takes one repeat from the budget, if there is one.
+// Allow takes one retry from the budget and reports whether there was one.
 func (w *Window) Allow() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	current := w.part()
-	requests, repeats := w.sums(current.number)
-	bound := w.options.Ratio * float64(requests)
+	current := w.bucket()
+	requests, retries := w.totals(current.tick)
+	limit := w.options.Ratio * float64(requests)
 	if vms := w.options.VMs(); vms > 0 && !w.options.Now().Before(w.options.SlackFrom) {
-		bound += w.options.Slack / float64(vms)
+		limit += w.options.Slack / float64(vms)
 	}
-	if float64(repeats+1) > bound*(1-keptBack) {
+	if float64(retries+1) > limit*(1-safetyMargin) {
 		return false
 	}
-	current.repeats++
+	current.retries++
 	return true
 }
 
-// part is that of now, emptied if it is of an earlier round.
-func (w *Window) part() *windowPart {
-	length := w.options.Length / windowParts
-	number := w.options.Now().UnixNano() / int64(max(length, 1))
-	part := &w.parts[number%windowParts]
-	if part.number != number {
-		*part = windowPart{
-			number: number,
+// currentBucket returns the bucket of the current time and clears what it held of an
+// earlier window.
+func (w *Window) bucket() *windowBucket {
+	length := w.options.Length / windowBuckets
+	tick := w.options.Now().UnixNano() / int64(max(length, 1))
+	bucket := &w.buckets[tick%windowBuckets]
+	if bucket.tick != tick {
+		*bucket = windowBucket{
+			tick: tick,
 		}
 	}
-	return part
+	return bucket
 }
 
-func (w *Window) sums(now int64) (requests, repeats int) {
-	for _, part := range w.parts {
-		if part.number > now-windowParts {
-			requests += part.requests
-			repeats += part.repeats
+func (w *Window) totals(tick int64) (requests, retries int) {
+	for _, bucket := range w.buckets {
+		if bucket.tick > tick-windowBuckets {
+			requests += bucket.requests
+			retries += bucket.retries
 		}
 	}
-	return requests, repeats
+	return requests, retries
 }
--- a/retry/window_test.go
+++ b/retry/window_test.go
@@ -8,10 +8,9 @@
 	"pgregory.net/rapid"
 )
 
-// TestWindowBoundsTheFleet holds that all VMs together keep the bound in any
-// window, however their requests and failures fall, also while they are split
-// or start again.
-func TestWindowBoundsTheFleet(t *testing.T) {
+// TestWindowBoundsFleetRetries checks that all VMs together keep the limit in any
+// window, also when VMs restart.
+func TestWindowBoundsFleetRetries(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const ratio, slack, length = 0.2, 20.0, 10 * time.Second
 		now := time.Unix(1e9, 0)
@@ -30,7 +29,7 @@
 		for i := range windows {
 			windows[i] = start(time.Time{})
 		}
-		var requests, repeats []time.Time
+		var requests, retries []time.Time
 		for range rapid.IntRange(1, 300).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 300).Draw(t, "ms")) * time.Millisecond)
 			vm := rapid.IntRange(0, vms-1).Draw(t, "vm")
@@ -42,27 +41,27 @@
 				w.OnRequest()
 				requests = append(requests, now)
 			} else if w.Allow() {
-				repeats = append(repeats, now)
+				retries = append(retries, now)
 			}
-			assert.Assert(t, float64(within(repeats, now, length)) <= ratio*float64(within(requests, now, length))+slack)
+			assert.Assert(t, float64(countWithin(retries, now, length)) <= ratio*float64(countWithin(requests, now, length))+slack)
 		}
 	})
 }
 
-func within(times []time.Time, now time.Time, length time.Duration) int {
+func countWithin(times []time.Time, now time.Time, length time.Duration) int {
 	n := 0
 	for _, at := range times {
-		// A window's parts are whole, so it forgets up to one part early.
-		if now.Sub(at) < length-length/windowParts {
+		// The window advances by whole buckets, so it may forget one bucket early.
+		if now.Sub(at) < length-length/windowBuckets {
 			n++
 		}
 	}
 	return n
 }
 
-// TestWindowWithoutVMs holds that nothing of the slack is used while the number
-// of VMs that share it is not known.
-func TestWindowWithoutVMs(t *testing.T) {
+// TestWindowUnknownVMCount checks that no slack is used while the number of VMs is
+// unknown.
+func TestWindowUnknownVMCount(t *testing.T) {
 	w := NewWindow(WindowOptions{
 		Ratio:  0.2,
 		Slack:  100,
