--- a/throttle/keeper.go
+++ b/throttle/keeper.go
@@ -8,103 +8,105 @@
 )
 
 const (
-	// settlesFor is how long a keeper permits nothing after its start: hundreds of VMs may
-	// start together, and each takes itself for the keeper until it knows the others.
-	settlesFor = 2 * fleet.StartsFor
-	// leastPerSecond is the rate at which an endpoint is sent requests that names less, as
-	// only an answer tells that the limit has ended.
-	leastPerSecond = 0.1
-	// savedFor is how long a keeper saves up what nobody asks for.
-	savedFor = 250 * time.Millisecond
-	// turnsWithin bounds how far ahead another VM is told when to ask again.
-	turnsWithin = 2 * time.Second
+	// startupDelay is how long a keeper grants no permits after its start: when
+	// hundreds of VMs start together, each considers itself the keeper until it knows
+	// the others.
+	startupDelay = 2 * fleet.StartsFor
+	// minPerSecond is the lowest rate at which requests are sent to an endpoint, since
+	// only an answer shows that its limit has been raised or lifted.
+	minPerSecond = 0.1
+	// maxSavedDuration is the time for which unused tokens accumulate.
+	maxSavedDuration = 250 * time.Millisecond
+	// maxRetryDelay bounds how far ahead another VM is told to ask again.
+	maxRetryDelay = 2 * time.Second
 )
 
-// Answer is what a VM says when it is asked for a permit.
+// Answer is the response to a VM that asked for a permit.
 type Answer struct {
-	// Kept is false where the VM is not the keeper.
+	// Kept is set if the VM is the keeper of the endpoint.
 	Kept    bool
 	Granted bool
-	// NextAt is when the asker may ask for the next one.
+	// NextAt is when the VM may ask for the next permit.
 	NextAt time.Time
-	// Limit is the one that the VM holds, where it is another one than the asker's.
+	// Limit is the keeper's limit if it differs from that of the request.
 	Limit Limit
 }
 
-// Ask decides for another VM, which knows of the limit.
+// Ask decides on a permit for another VM, which sends the limit that it knows.
 func (t *Throttle) Ask(l Limit, r Region, now time.Time) Answer {
 	t.Learn(l, now)
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.census.Learn(len(r.Near), r.Known, now)
-	held := t.endpoints[l.Endpoint]
-	if held == nil || t.keeper(l.Endpoint, r).ID != t.options.VM {
+	endpoint := t.endpoints[l.Endpoint]
+	if endpoint == nil || t.keeper(l.Endpoint, r).ID != t.options.VM {
 		return Answer{}
 	}
 	a := Answer{
 		Kept:    true,
 		Granted: true,
 	}
-	if held.limit != l {
-		a.Limit = held.limit
+	if endpoint.limit != l {
+		a.Limit = endpoint.limit
 	}
-	if !held.limit.Active {
+	if !endpoint.limit.Active {
 		return a
 	}
-	a.Granted, a.NextAt = t.grant(held, now)
+	a.Granted, a.NextAt = t.grant(endpoint, now)
 	if !a.Granted {
-		a.NextAt = held.turns.next(a.NextAt, interval(t.rate(held.limit, now)), now.Add(turnsWithin))
+		a.NextAt = endpoint.retries.next(a.NextAt, interval(t.permitRate(endpoint.limit, now)), now.Add(maxRetryDelay))
 	}
 	return a
 }
 
-// grant permits one request if the rate allows it, and says when it allows the next one.
-func (t *Throttle) grant(held *limited, now time.Time) (granted bool, nextAt time.Time) {
-	if settledAt := t.options.StartedAt.Add(settlesFor); now.Before(settledAt) {
-		held.bucket.at = now
+// grant takes a token for one request and returns when the next one is available.
+func (t *Throttle) grant(endpoint *limitedEndpoint, now time.Time) (granted bool, nextAt time.Time) {
+	if settledAt := t.options.StartedAt.Add(startupDelay); now.Before(settledAt) {
+		endpoint.bucket.refilledAt = now
 		return false, settledAt
 	}
-	rate := t.rate(held.limit, now)
-	held.bucket.fill(rate, now)
-	granted = held.bucket.take()
-	return granted, held.bucket.nextAt(rate, now)
+	rate := t.permitRate(endpoint.limit, now)
+	endpoint.bucket.refill(rate, now)
+	granted = endpoint.bucket.take()
+	return granted, endpoint.bucket.nextTokenAt(rate, now)
 }
 
-// rate is the part of an endpoint's rate that this VM permits: that of the VMs of the
-// region which it reaches. The others may have a keeper of their own.
-func (t *Throttle) rate(l Limit, now time.Time) float64 {
-	return max(l.PerSecond, leastPerSecond) * t.census.Part(now)
+// permitRate is the rate at which this VM grants permits: the endpoint's rate times the
+// share of the region's VMs that are reachable, as unreachable VMs may have a keeper of
+// their own.
+func (t *Throttle) permitRate(l Limit, now time.Time) float64 {
+	return max(l.PerSecond, minPerSecond) * t.census.Part(now)
 }
 
-// bucket holds the requests that may be sent now.
-type bucket struct {
-	level float64
-	at    time.Time
+// tokenBucket holds the requests that may be sent now.
+type tokenBucket struct {
+	tokens     float64
+	refilledAt time.Time
 }
 
-// fill adds what a rate has allowed since the last time.
-func (b *bucket) fill(rate float64, now time.Time) {
-	if past := now.Sub(b.at); past > 0 {
-		b.level += rate * past.Seconds()
-		b.at = now
+// refill adds the tokens for the time since the last refill.
+func (b *tokenBucket) refill(rate float64, now time.Time) {
+	if elapsed := now.Sub(b.refilledAt); elapsed > 0 {
+		b.tokens += rate * elapsed.Seconds()
+		b.refilledAt = now
 	}
-	b.level = min(b.level, max(1, rate*savedFor.Seconds()))
+	b.tokens = min(b.tokens, max(1, rate*maxSavedDuration.Seconds()))
 }
 
-func (b *bucket) take() bool {
-	if b.level < 1 {
+func (b *tokenBucket) take() bool {
+	if b.tokens < 1 {
 		return false
 	}
-	b.level--
+	b.tokens--
 	return true
 }
 
-// nextAt is when the bucket holds a request.
-func (b *bucket) nextAt(rate float64, now time.Time) time.Time {
-	if b.level >= 1 {
+// nextTokenAt is when the bucket holds a whole token.
+func (b *tokenBucket) nextTokenAt(rate float64, now time.Time) time.Time {
+	if b.tokens >= 1 {
 		return now
 	}
-	return now.Add(time.Duration((1 - b.level) * float64(interval(rate))))
+	return now.Add(time.Duration((1 - b.tokens) * float64(interval(rate))))
 }
 
 // interval is the time between two requests.
@@ -112,24 +114,24 @@
 	return time.Duration(math.Round(float64(time.Second) / rate))
 }
 
-// turns are the times at which those who were turned away are to come again, one after the
-// other: what comes together is turned away together.
-type turns struct {
+// retrySchedule spaces out the retries of refused VMs or callers, so that they do not
+// come back at the same time.
+type retrySchedule struct {
 	last time.Time
 }
 
-// next returns the next turn, from a moment on and up to another one.
-func (t *turns) next(from time.Time, every time.Duration, most time.Time) time.Time {
-	at := t.last.Add(every)
-	if at.Before(from) {
-		at = from
+// next returns the next retry time between earliest and latest.
+func (t *retrySchedule) next(earliest time.Time, spacing time.Duration, latest time.Time) time.Time {
+	at := t.last.Add(spacing)
+	if at.Before(earliest) {
+		at = earliest
 	}
-	if at.After(most) {
-		at = most
+	if at.After(latest) {
+		at = latest
 	}
 	t.last = at
-	if at.Before(from) {
-		return from
+	if at.Before(earliest) {
+		return earliest
 	}
 	return at
 }
--- a/throttle/limit.go
+++ b/throttle/limit.go
@@ -9,28 +9,28 @@
 	"github.com/fuchsianotch/fuchsianotch/fleet"
 )
 
-// Limit is what is known of the requests that one life of an endpoint takes.
+// Limit is the rate limit of one incarnation of an endpoint.
 type Limit struct {
 	Endpoint    string
 	Incarnation int64
-	// Version orders the limits of one life: each change has the next one. Zero stands for
-	// one that has named none yet.
+	// Version orders the limits of one incarnation and increases with each change. Zero
+	// means that the endpoint has named no limit yet.
 	Version uint32
-	// Active is false once an answer has named no limit any more.
+	// Active is false once an answer no longer names a limit.
 	Active    bool
 	PerSecond float64
 }
 
-// binds reports whether the limit holds for a life of its endpoint. One of a later life than
-// the published one does too: the store tells of that late.
-func (l Limit) binds(e fleet.Endpoint) bool {
+// appliesTo reports whether the limit holds for an endpoint as published. A limit of a
+// later incarnation holds too, since the store publishes that late.
+func (l Limit) appliesTo(e fleet.Endpoint) bool {
 	return l.Active && l.Incarnation >= e.Incarnation
 }
 
-// mayChange reports whether an answer of a life says something else than the limit. A
-// lower rate counts whenever it comes, a higher one or none only if the answer is later
-// than the limit.
-func (l Limit) mayChange(incarnation int64, r fleet.Rate, isLater bool) bool {
+// isChangedBy reports whether an answer replaces the limit. A lower rate is accepted at
+// any time, a higher rate or none only if the request was sent after the limit was
+// learned.
+func (l Limit) isChangedBy(incarnation int64, r fleet.Rate, isLater bool) bool {
 	switch {
 	case !r.Named && r.Unreadable:
 		return false
@@ -47,8 +47,8 @@
 	}
 }
 
-// next is the limit that takes the place of this one.
-func (l Limit) next(e fleet.Endpoint, r fleet.Rate) Limit {
+// updated returns the limit that replaces this one.
+func (l Limit) updated(e fleet.Endpoint, r fleet.Rate) Limit {
 	version := uint32(1)
 	if e.Incarnation == l.Incarnation {
 		version = l.Version + 1
@@ -62,8 +62,8 @@
 	}
 }
 
-// supersedes reports whether a limit takes the place of another one. Of two with one version,
-// which two VMs have read at the same time, the stricter one counts.
+// supersedes reports whether a limit replaces another. If two VMs have read different
+// limits at the same time, these have the same version and the stricter one wins.
 func (l Limit) supersedes(other Limit) bool {
 	switch {
 	case l.Incarnation != other.Incarnation:
@@ -77,38 +77,39 @@
 	}
 }
 
-// recentFor is how long a limit is told unasked.
-const recentFor = 2 * time.Second
+// recentWindow is how long a new limit is sent to other VMs unasked.
+const recentWindow = 2 * time.Second
 
-// Recent returns the limits that this VM has learnt of late.
+// Recent returns the limits learned within the last two seconds.
 func (t *Throttle) Recent(now time.Time) []Limit {
-	return t.limits(func(l *limited) bool { return now.Sub(l.learntAt) < recentFor })
+	return t.limits(func(l *limitedEndpoint) bool { return now.Sub(l.learnedAt) < recentWindow })
 }
 
 // Limits returns all limits.
 func (t *Throttle) Limits() []Limit {
-	return t.limits(func(*limited) bool { return true })
+	return t.limits(func(*limitedEndpoint) bool { return true })
 }
 
-func (t *Throttle) limits(wanted func(*limited) bool) []Limit {
+func (t *Throttle) limits(include func(*limitedEndpoint) bool) []Limit {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var out []Limit
-	for _, held := range t.endpoints {
-		if wanted(held) {
-			out = append(out, held.limit)
+	for _, endpoint := range t.endpoints {
+		if include(endpoint) {
+			out = append(out, endpoint.limit)
 		}
 	}
 	return out
 }
 
-// Digest is the same at two VMs that hold the same limits; zero without any.
+// Digest returns a hash that is equal on VMs with the same limits; zero if there are
+// none.
 func (t *Throttle) Digest() uint64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var sum uint64
-	for _, held := range t.endpoints {
-		sum ^= held.limit.hash()
+	for _, endpoint := range t.endpoints {
+		sum ^= endpoint.limit.hash()
 	}
 	return sum
 }
--- a/throttle/throttle.go
+++ b/throttle/throttle.go
@@ -1,12 +1,13 @@
-// Package throttle keeps the rates at which endpoints take requests, where they name one:
-// so many a second from all VMs together, for as long as their answers say so.
+// Package throttle enforces the rate limits that endpoints name in their answers, in
+// requests per second from all VMs together.
 //
-// An endpoint is reached from its own region only. There one VM by rank, the keeper,
-// permits each request to it, whichever VM sends it and on whatever way it came. What one
-// VM reads from an answer is told to all VMs of the region.
+// An endpoint is reached only from its own region. For each endpoint one VM of the
+// region, the keeper, is chosen by rendezvous hashing and grants a permit for every
+// request to it, whichever VM sends it. A limit that one VM learns from an answer is
+// sent to all VMs of the region.
 //
-// The package imports no network and no clock. The methods of a Throttle may be called
-// from any goroutine.
+// The package imports no network and no clock. The methods of a Throttle are safe for
+// concurrent use.
 package throttle
 
 import (
@@ -18,63 +19,68 @@
 )
 
 const (
-	// permitFor is how long a permit is good: a new connection and a lost packet.
-	permitFor = time.Second
-	// keeperLostFor is how long a keeper that did not answer is not asked again.
-	keeperLostFor = 500 * time.Millisecond
-	// againAfter is when an endpoint is tried again whose keeper is not agreed on.
-	againAfter = 100 * time.Millisecond
-	// forgetAfter is how long the limit of an endpoint is kept that is not published: entries
-	// may lapse for as long as the store is away.
-	forgetAfter = time.Minute
+	// permitLifetime covers a new connection and the retransmission of a lost packet.
+	permitLifetime = time.Second
+	// keeperBackoffDuration is how long a keeper that did not answer is not asked
+	// again.
+	keeperBackoffDuration = 500 * time.Millisecond
+	// noKeeperRetryDelay is the retry delay while the VMs disagree on the keeper.
+	noKeeperRetryDelay = 100 * time.Millisecond
+	// unlistedRetention is how long the limit of an endpoint is kept after it is no
+	// longer published. Published entries may expire during an outage of the store.
+	unlistedRetention = time.Minute
 )
 
-// Options set up a Throttle.
+// Options configures a Throttle.
 type Options struct {
 	VM string
-	// StartedAt is when the process started: what its earlier life permitted is not known.
+	// StartedAt is the start of the process; which permits a previous process on this
+	// VM granted is unknown.
 	StartedAt time.Time
-	// Changed, if set, is told of each new limit.
+	// Changed, if set, is called with each new limit.
 	Changed func(l Limit)
 }
 
-// Region is what this VM knows of the others of its region.
+// Region is the membership of the local region as this VM knows it.
 type Region struct {
-	// Near are the VMs in reach, this one included.
+	// Near are the reachable VMs, including this one.
 	Near []fleet.VM
-	// Known is how many VMs are not known to be gone.
+	// Known is the number of VMs that are not known to have left.
 	Known int
 }
 
-// Throttle is that of one VM.
+// Throttle holds the limits known to one VM and grants permits for the endpoints that
+// it keeps.
 type Throttle struct {
 	options Options
 
 	mu        sync.Mutex
 	census    fleet.Census
-	endpoints map[string]*limited
-	// lost are the keepers that did not answer, with the time until which they are not asked.
-	lost map[string]time.Time
-	// comeBacks are the times that refused callers were told, by target.
-	comeBacks map[string]*turns
+	endpoints map[string]*limitedEndpoint
+	// keeperBackoff holds the keepers that did not answer, with the end of their
+	// backoff.
+	keeperBackoff map[string]time.Time
+	// callerRetries are the retry times given to refused callers, by target.
+	callerRetries map[string]*retrySchedule
 }
 
-// limited is an endpoint that has named a rate.
-type limited struct {
+// limitedEndpoint is the state of an endpoint that has named a limit.
+type limitedEndpoint struct {
 	limit Limit
-	// learntAt is when this VM took the limit, listedAt when the endpoint was last published.
-	learntAt time.Time
-	listedAt time.Time
-	// closedUntil is until when the keeper permits this VM nothing.
+	// learnedAt is when this VM learned the limit, listedAt when the endpoint was last
+	// published.
+	learnedAt time.Time
+	listedAt  time.Time
+	// closedUntil is when the keeper may grant this VM the next permit.
 	closedUntil time.Time
-	// bucket and turns are used where this VM is the keeper.
-	bucket bucket
-	turns  turns
-	// questionAt is when it may next be asked for its load and health.
-	questionAt time.Time
+	// bucket and retries are used if this VM is the keeper.
+	bucket  tokenBucket
+	retries retrySchedule
+	// nextProbeAt is when the next load and health probe is allowed.
+	nextProbeAt time.Time
 }
 
-// New makes a Throttle that knows of no rate.
+// New creates a Throttle without limits.
 func New(o Options) *Throttle {
 	if o.Changed == nil {
 		o.Changed = func(Limit) {}
@@ -84,40 +90,41 @@
 		census: fleet.Census{
 			StartedAt: o.StartedAt,
 		},
-		endpoints: make(map[string]*limited),
-		lost:      make(map[string]time.Time),
-		comeBacks: make(map[string]*turns),
+		endpoints:     make(map[string]*limitedEndpoint),
+		keeperBackoff: make(map[string]time.Time),
+		callerRetries: make(map[string]*retrySchedule),
 	}
 }
 
-// Verdict says whether a request may be sent to an endpoint.
+// Verdict is the result of Take: a permit, a time to wait for, or the keeper to ask.
 type Verdict struct {
-	// Permit is set where it may.
+	// Permit is set if the request may be sent.
 	Permit *Permit
-	// OpensAt is when this VM may send the next one, where it may not.
+	// OpensAt is when this VM may send the next request, if this one may not be sent.
 	OpensAt time.Time
-	// Keeper is set where that VM decides, which is to be asked with the limit. AskedAt is
-	// from when on its permit counts.
+	// Keeper is set if that VM has to be asked, with Limit. The lifetime of its permit
+	// starts at AskedAt.
 	Keeper  *fleet.VM
 	Limit   Limit
 	AskedAt time.Time
 }
 
-// Take permits a request to an endpoint, refuses it, or names the VM that decides.
+// Take grants a permit for a request to an endpoint, refuses it, or names the keeper to
+// ask.
 func (t *Throttle) Take(e fleet.Endpoint, r Region, now time.Time) Verdict {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.census.Learn(len(r.Near), r.Known, now)
-	held := t.endpoints[e.ID]
-	if held == nil || !held.limit.binds(e) {
+	endpoint := t.endpoints[e.ID]
+	if endpoint == nil || !endpoint.limit.appliesTo(e) {
 		return Verdict{
 			Permit: &Permit{},
 		}
 	}
 	keeper := t.keeper(e.ID, r)
-	opensAt := held.closedUntil
-	if lostUntil := t.lost[keeper.ID]; lostUntil.After(opensAt) {
-		opensAt = lostUntil
+	opensAt := endpoint.closedUntil
+	if backoffUntil := t.keeperBackoff[keeper.ID]; backoffUntil.After(opensAt) {
+		opensAt = backoffUntil
 	}
 	if now.Before(opensAt) {
 		return Verdict{
@@ -127,16 +134,16 @@
 	if keeper.ID != t.options.VM {
 		return Verdict{
 			Keeper:  &keeper,
-			Limit:   held.limit,
+			Limit:   endpoint.limit,
 			AskedAt: now,
 		}
 	}
-	granted, nextAt := t.grant(held, now)
-	return held.decided(granted, nextAt, now, now)
+	granted, nextAt := t.grant(endpoint, now)
+	return endpoint.applyDecision(granted, nextAt, now, now)
 }
 
-// decided takes the keeper's decision.
-func (l *limited) decided(granted bool, nextAt, askedAt, now time.Time) Verdict {
+// applyDecision records the keeper's decision and turns it into a Verdict.
+func (l *limitedEndpoint) applyDecision(granted bool, nextAt, askedAt, now time.Time) Verdict {
 	if nextAt.After(now) {
 		l.closedUntil = nextAt
 	}
@@ -147,43 +154,43 @@
 	}
 	return Verdict{
 		Permit: &Permit{
-			Until: askedAt.Add(permitFor),
+			Until: askedAt.Add(permitLifetime),
 		},
 	}
 }
 
-// Decided takes the answer of the VM that a verdict named.
+// Decided processes the answer of the keeper that a verdict named.
 func (t *Throttle) Decided(v Verdict, a Answer, now time.Time) Verdict {
 	t.Learn(a.Limit, now)
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	delete(t.lost, v.Keeper.ID)
-	held := t.endpoints[v.Limit.Endpoint]
+	delete(t.keeperBackoff, v.Keeper.ID)
+	endpoint := t.endpoints[v.Limit.Endpoint]
 	switch {
-	case held == nil || !held.limit.Active:
+	case endpoint == nil || !endpoint.limit.Active:
 		return Verdict{
 			Permit: &Permit{},
 		}
 	case !a.Kept:
-		return held.decided(false, now.Add(againAfter), v.AskedAt, now)
+		return endpoint.applyDecision(false, now.Add(noKeeperRetryDelay), v.AskedAt, now)
 	}
-	return held.decided(a.Granted, a.NextAt, v.AskedAt, now)
+	return endpoint.applyDecision(a.Granted, a.NextAt, v.AskedAt, now)
 }
 
-// Unanswered takes that the VM that a verdict named did not answer. It may have permitted
-// the request, so this VM sends none.
+// Unanswered records that the keeper did not answer. It may have granted the permit, so
+// the request must not be sent.
 func (t *Throttle) Unanswered(v Verdict, now time.Time) Verdict {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	lostUntil := now.Add(keeperLostFor)
-	t.lost[v.Keeper.ID] = lostUntil
+	backoffUntil := now.Add(keeperBackoffDuration)
+	t.keeperBackoff[v.Keeper.ID] = backoffUntil
 	return Verdict{
-		OpensAt: lostUntil,
+		OpensAt: backoffUntil,
 	}
 }
 
-// keeper is the VM of the region that permits requests to an endpoint. All VMs that reach
-// each other agree on it.
+// keeper returns the VM that grants permits for an endpoint. All VMs that reach each
+// other choose the same one.
 func (t *Throttle) keeper(endpointID string, r Region) fleet.VM {
 	if keeper, ok := entry.First(entry.Hash(endpointID), r.Near); ok {
 		return keeper
@@ -193,34 +200,34 @@
 	}
 }
 
-// Answered takes what an answer of an endpoint says of its rate. The request was sent at
-// sentAt: an answer to an earlier one may be from before the limit that is held, so that it
-// neither ends a limit nor raises it.
+// Answered processes the rate that an endpoint's answer names. sentAt is when the
+// request was sent: the answer to a request sent before the current limit was learned
+// may predate that limit, so it can only lower it.
 func (t *Throttle) Answered(e fleet.Endpoint, r fleet.Rate, sentAt, now time.Time) {
 	t.mu.Lock()
-	var held Limit
+	var current Limit
 	isLater := true
-	if known := t.endpoints[e.ID]; known != nil {
-		held = known.limit
-		isLater = sentAt.After(known.learntAt)
+	if endpoint := t.endpoints[e.ID]; endpoint != nil {
+		current = endpoint.limit
+		isLater = sentAt.After(endpoint.learnedAt)
 	}
-	if !held.mayChange(e.Incarnation, r, isLater) {
+	if !current.isChangedBy(e.Incarnation, r, isLater) {
 		t.mu.Unlock()
 		return
 	}
-	next := held.next(e, r)
-	t.take(next, now)
+	next := current.updated(e, r)
+	t.storeLimit(next, now)
 	t.mu.Unlock()
 	t.options.Changed(next)
 }
 
-// Learn takes another VM's limit, if it is newer than the one held.
+// Learn stores another VM's limit if it is newer, and reports whether it was.
 func (t *Throttle) Learn(l Limit, now time.Time) (isNew bool) {
 	t.mu.Lock()
-	known := t.endpoints[l.Endpoint]
-	isNew = l.Version > 0 && (known == nil || l.supersedes(known.limit))
+	endpoint := t.endpoints[l.Endpoint]
+	isNew = l.Version > 0 && (endpoint == nil || l.supersedes(endpoint.limit))
 	if isNew {
-		t.take(l, now)
+		t.storeLimit(l, now)
 	}
 	t.mu.Unlock()
 	if isNew {
@@ -229,43 +236,45 @@
 	return isNew
 }
 
-// take holds a limit. Its bucket begins empty: what was sent before is not known.
-func (t *Throttle) take(l Limit, now time.Time) {
-	held := t.endpoints[l.Endpoint]
-	if held == nil {
-		held = &limited{
+// storeLimit replaces a limit. The token bucket of a new limit starts empty, as earlier
+// requests are unknown.
+func (t *Throttle) storeLimit(l Limit, now time.Time) {
+	endpoint := t.endpoints[l.Endpoint]
+	if endpoint == nil {
+		endpoint = &limitedEndpoint{
 			listedAt: now,
 		}
-		t.endpoints[l.Endpoint] = held
+		t.endpoints[l.Endpoint] = endpoint
 	}
-	if l.Incarnation != held.limit.Incarnation || !held.limit.Active || !l.Active {
-		held.bucket = bucket{
-			at: now,
+	if l.Incarnation != endpoint.limit.Incarnation || !endpoint.limit.Active || !l.Active {
+		endpoint.bucket = tokenBucket{
+			refilledAt: now,
 		}
 	}
-	held.limit = l
-	held.learntAt = now
+	endpoint.limit = l
+	endpoint.learnedAt = now
 	if !l.Active {
-		held.closedUntil = time.Time{}
+		endpoint.closedUntil = time.Time{}
 	}
 }
 
-// IsLimited reports whether a life of an endpoint takes a limited number of requests.
+// IsLimited reports whether the endpoint has an active limit.
 func (t *Throttle) IsLimited(e fleet.Endpoint) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	held := t.endpoints[e.ID]
-	return held != nil && held.limit.binds(e)
+	endpoint := t.endpoints[e.ID]
+	return endpoint != nil && endpoint.limit.appliesTo(e)
 }
 
-// Listed takes which endpoints are published, and forgets others after a while.
+// Listed updates which endpoints are published and drops the others after
+// unlistedRetention.
 func (t *Throttle) Listed(isListed func(endpointID string) bool, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for id, held := range t.endpoints {
+	for id, endpoint := range t.endpoints {
 		if isListed(id) {
-			held.listedAt = now
-		} else if now.Sub(held.listedAt) > forgetAfter {
+			endpoint.listedAt = now
+		} else if now.Sub(endpoint.listedAt) > unlistedRetention {
 			delete(t.endpoints, id)
 		}
 	}
--- a/throttle/throttle_test.go
+++ b/throttle/throttle_test.go
@@ -11,18 +11,18 @@
 	"github.com/fuchsianotch/fuchsianotch/fleet"
 )
 
-// TestLimits reads what answers say, in their order, and the limits that this makes.
+// TestLimits checks the limit that follows from a sequence of answers.
 func TestLimits(t *testing.T) {
 	start := time.Unix(1e9, 0)
 	for _, c := range datatest.Read[[]struct {
 		Name    string
 		Answers []struct {
-			// SentMS and AtMS are when the request was sent and the answer came.
+			// SentMS and AtMS are when the request was sent and its answer received.
 			SentMS      int
 			AtMS        int
 			Incarnation int64
 			Rate        fleet.Rate
-			// Want is the number of the new limit, zero for none.
+			// Want is the version of the new limit, zero if there is none.
 			Want uint32
 		}
 		Limited   bool
@@ -31,7 +31,7 @@
 		t.Run(c.Name, func(t *testing.T) {
 			var last Limit
 			throttle := New(Options{
-				Changed: func(w Limit) { last = w },
+				Changed: func(l Limit) { last = l },
 			})
 			e := fleet.Endpoint{ID: "e"}
 			for _, a := range c.Answers {
@@ -51,7 +51,7 @@
 	}
 }
 
-// TestLimitsConverge holds that VMs which hear the same limits in any order hold the same.
+// TestLimitsConverge checks that the order in which limits arrive does not matter.
 func TestLimitsConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limits := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) Limit {
@@ -70,18 +70,18 @@
 		}
 		now := time.Unix(1e9, 0)
 		one, two := New(Options{}), New(Options{})
-		for _, w := range limits {
-			one.Learn(w, now)
+		for _, l := range limits {
+			one.Learn(l, now)
 		}
-		for _, w := range rapid.Permutation(limits).Draw(t, "order") {
-			two.Learn(w, now)
+		for _, l := range rapid.Permutation(limits).Draw(t, "order") {
+			two.Learn(l, now)
 		}
 		assert.Equal(t, one.Digest(), two.Digest())
 	})
 }
 
-// TestPermit holds that a permit is good for one request, for a short time, and for the life
-// of the endpoint that named the limit.
+// TestPermit checks that a permit is valid for one request, for a limited time, and for
+// one incarnation of the endpoint.
 func TestPermit(t *testing.T) {
 	now := time.Unix(1e9, 0)
 	alone := Region{
@@ -109,7 +109,7 @@
 
 	now = now.Add(time.Second)
 	late := throttle.Take(e, alone, now).Permit
-	assert.Assert(t, throttle.Sending(e, late, now.Add(permitFor+time.Millisecond)) != nil, "it has waited too long")
+	assert.Assert(t, throttle.Sending(e, late, now.Add(permitLifetime+time.Millisecond)) != nil, "it has waited too long")
 
 	next := e
 	next.Incarnation = 1
@@ -117,9 +117,9 @@
 	assert.Assert(t, throttle.Sending(next, free, now) == nil)
 }
 
-// TestComeBack holds that callers who are refused together are told times one after the
-// other, at the pace of this VM's part.
-func TestComeBack(t *testing.T) {
+// TestCallerRetriesAreSpaced checks that callers refused together get different retry
+// times, at the pace of this VM's share of the limit.
+func TestCallerRetriesAreSpaced(t *testing.T) {
 	now := time.Unix(1e9, 0)
 	throttle := New(Options{
 		VM: "a",
@@ -131,7 +131,7 @@
 	opensAt := now.Add(300 * time.Millisecond)
 	for i := range 8 {
 		want := opensAt.Add(time.Duration(i) * 2 * time.Second)
-		if most := now.Add(comeBackWithin); want.After(most) {
+		if most := now.Add(maxCallerRetryDelay); want.After(most) {
 			want = most
 		}
 		assert.Equal(t, throttle.ComeBackAt("s", []string{"e"}, opensAt, r, now), want)
--- a/throttle/way.go
+++ b/throttle/way.go
@@ -1,18 +1,18 @@
 package throttle
 
-// Way is how a request came to be sent to an endpoint.
+// Way is the reason why a request is sent to an endpoint.
 type Way string
 
-// The ways.
+// Reasons for requests.
 const (
-	// WayCall is a call's first request, WayForwarded the first of a call that another VM
-	// has forwarded.
+	// WayCall is the first request of a call, WayForwarded that of a call forwarded by
+	// another VM.
 	WayCall      Way = "call"
 	WayForwarded Way = "forwarded"
-	// WayRepeat sends a call once more, WayResumed goes on with its stream.
+	// WayRepeat is a retry, WayResumed a request that resumes a stream.
 	WayRepeat  Way = "repeat"
 	WayResumed Way = "resumed"
-	// WayReport asks for an endpoint's load, WayHealth for its health.
+	// WayReport is a load probe, WayHealth a health probe.
 	WayReport Way = "report"
 	WayHealth Way = "health"
 )
