--- a/quarantine/agent/agent.go
+++ b/quarantine/agent/agent.go
@@ -1,7 +1,6 @@
-// Package agent keeps calls from endpoints that these crash under, on one VM: it finds
-// out whether an endpoint crashed when connections to it break off, exchanges notes
-// with other VMs, and tells traffic which calls are held. What is decided is decided by
-// the package quarantine.
+// Package agent runs the quarantine on one VM: it checks whether an endpoint crashed
+// when connections to it break off, exchanges notes with other VMs, and provides the
+// quarantined calls to the request path. Decisions are made by package quarantine.
 package agent
 
 import (
@@ -17,84 +16,85 @@
 )
 
 const (
-	// inboxLength is how many messages may wait: one crash cuts some hundred calls of
-	// a VM at the most.
-	inboxLength = 512
-	// stepEvery is the interval at which notes fall due: what a VM that starts
-	// or comes back has to hear waits for that.
-	stepEvery = time.Second
-	// tellWithin bounds one note with a new connection between the most distant regions.
-	tellWithin = time.Second
-	// tellsAtOnce bounds the notes under way: a verdict goes to all VMs of the fleet.
-	tellsAtOnce = 32
-	// tryWithin is when another try of a call that is held may be let through, if
-	// nothing was heard of the one before: longer than calls last.
-	tryWithin = 15 * time.Second
+	// inboxCapacity covers the calls that one crash interrupts on a VM, some hundred at
+	// most.
+	inboxCapacity = 512
+	// stepInterval is the interval at which notes are sent, also to VMs that have
+	// restarted or become reachable again.
+	stepInterval = time.Second
+	// sendTimeout allows for a new connection between the most distant regions.
+	sendTimeout = time.Second
+	// maxConcurrentSends limits the notes in flight, as a verdict is sent to all VMs.
+	maxConcurrentSends = 32
+	// trialTimeout is when another trial may be admitted if the result of the previous
+	// one is unknown. It is longer than calls last.
+	trialTimeout = 15 * time.Second
 )
 
-// Options set up an Agent. Every field is required.
+// Options configures an Agent. All fields are required.
 type Options struct {
 	VM  string
 	Log *slog.Logger
 	Now func() time.Time
-	// Dial opens a connection to an address and closes it.
+	// Dial opens and closes a connection to an address.
 	Dial func(ctx context.Context, addr string) error
-	// Listed reports whether an endpoint takes work by what is published: one that leaves
-	// ends as planned, with calls that it has.
+	// Listed reports whether an endpoint is published as accepting calls. An endpoint
+	// that is draining stops as planned, with calls in flight.
 	Listed func(e fleet.Endpoint) bool
-	// VMs returns those in reach with this one, and whether others are out of reach.
+	// VMs returns the reachable VMs, including this one, and whether others are
+	// unreachable.
 	VMs func() (vms []quarantine.Peer, parted bool)
 	// Tell sends a note to a VM.
 	Tell func(ctx context.Context, to fleet.VM, n quarantine.Note) error
-	// Count is told how many calls are held.
+	// Count is called with the number of quarantined calls.
 	Count func(held int)
 }
 
-// Agent is that of one VM. Its exported methods may be called from any goroutine.
+// Agent runs the quarantine on one VM. Its exported methods are safe for concurrent
+// use.
 type Agent struct {
-	options Options
-	inbox   mailbox.Mailbox[message]
-	tells   chan struct{}
-	// held are the calls that are held, for traffic to read.
-	held atomic.Pointer[map[uint64]*held]
-	// proven are calls that ended well of late.
-	proven proven
-
-	// What follows belongs to the agent's goroutine.
+	options   Options
+	inbox     mailbox.Mailbox[message]
+	sendSlots chan struct{}
+	// held are the quarantined calls, read by the request path.
+	held atomic.Pointer[map[uint64]*heldCall]
+	// proven are the calls that recently succeeded.
+	proven provenCalls
+
+	// The following fields are used by the agent's goroutine only.
 	list *quarantine.List
-	// due is set when a note may be due at once.
-	due bool
-	// checks are the endpoints that are being looked at, or were of late.
-	checks map[life]*check
+	// stepDue requests a step before the next tick.
+	stepDue bool
+	// checks are the endpoint checks that are in progress or have a valid result.
+	checks map[instance]*check
 }
 
-// held is a call that is held.
-type held struct {
+// heldCall is a quarantined call.
+type heldCall struct {
 	quarantine.Held
-	// triedUntil is until when a try that was let through is waited for, in nanoseconds
-	// since the epoch.
-	triedUntil atomic.Int64
+	// trialUntil is when the current trial times out, in nanoseconds since the epoch.
+	trialUntil atomic.Int64
 }
 
-// message is one event for the agent's goroutine.
+// message is an event for the agent's goroutine.
 type message func(ctx context.Context, now time.Time)
 
-// New makes an agent that does not run yet.
+// New creates an Agent; Run starts it.
 func New(o Options) *Agent {
 	a := &Agent{
-		options: o,
-		inbox:   mailbox.New[message](inboxLength),
-		tells:   make(chan struct{}, tellsAtOnce),
-		list:    quarantine.New(o.VM),
-		checks:  make(map[life]*check),
+		options:   o,
+		inbox:     mailbox.New[message](inboxCapacity),
+		sendSlots: make(chan struct{}, maxConcurrentSends),
+		list:      quarantine.New(o.VM),
+		checks:    make(map[instance]*check),
 	}
-	a.held.Store(&map[uint64]*held{})
+	a.held.Store(&map[uint64]*heldCall{})
 	return a
 }
 
-// Run handles what it is told until ctx ends.
+// Run processes events until ctx ends.
 func (a *Agent) Run(ctx context.Context) error {
-	ticker := time.NewTicker(stepEvery)
+	ticker := time.NewTicker(stepInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -104,24 +104,24 @@
 			m(ctx, a.options.Now())
 			a.drain(ctx)
 		case <-ticker.C:
-			a.due = a.due || !a.isIdle()
+			a.stepDue = a.stepDue || !a.isIdle()
 		}
-		if a.due {
-			a.due = false
+		if a.stepDue {
+			a.stepDue = false
 			a.step(ctx, a.options.Now())
 		}
 	}
 }
 
-// isIdle says that there is nothing that time changes.
+// isIdle reports whether a step has nothing to do.
 func (a *Agent) isIdle() bool {
 	return a.list.IsEmpty() && len(a.checks) == 0 && len(*a.held.Load()) == 0
 }
 
-// drain handles what has come meanwhile, so that the calls which one crash cuts go
-// into one note.
+// drain processes all pending messages, so that the calls interrupted by one crash are
+// reported in one note.
 func (a *Agent) drain(ctx context.Context) {
-	for range inboxLength {
+	for range inboxCapacity {
 		select {
 		case m := <-a.inbox.Messages():
 			m(ctx, a.options.Now())
@@ -131,75 +131,76 @@
 	}
 }
 
-// tell passes a message to the agent's goroutine. Traffic never waits for it: what
-// does not fit is dropped with a line.
-func (a *Agent) tell(m message) {
+// post sends a message to the agent's goroutine. It never blocks: a message that does
+// not fit into the inbox is dropped and logged.
+func (a *Agent) post(m message) {
 	if !a.inbox.Offer(m) {
 		a.options.Log.Warn("crash_note_dropped")
 	}
 }
 
-// Cut takes that the connection broke off on which an endpoint had a call. firstAt is
-// when its answer began, zero if it did not.
+// Cut reports that the connection broke off on which an endpoint was running a call.
+// firstAt is when the answer began, zero if it had not.
 func (a *Agent) Cut(content uint64, e fleet.Endpoint, firstAt time.Time) {
-	if !quarantine.Suspects(firstAt, a.options.Now()) {
+	if !quarantine.MayHaveCrashed(firstAt, a.options.Now()) {
 		a.EndedWell(content)
 		return
 	}
-	a.tell(func(ctx context.Context, now time.Time) { a.check(ctx, content, e, now) })
+	a.post(func(ctx context.Context, now time.Time) { a.checkEndpoint(ctx, content, e, now) })
 }
 
-// EndedWell takes that an endpoint ran a call and did not crash.
+// EndedWell reports that an endpoint ran a call without crashing.
 func (a *Agent) EndedWell(content uint64) {
 	a.proven.add(content)
 	if (*a.held.Load())[content] == nil {
 		return
 	}
-	a.tell(func(_ context.Context, now time.Time) {
+	a.post(func(_ context.Context, now time.Time) {
 		a.list.EndedWell(content, now)
-		a.due = true
+		a.stepDue = true
 	})
 }
 
-// Admit reports whether endpoints may get a call. One that is held may still, as a trial,
-// once it is this VM's to try it.
+// Admit reports whether a call may be sent to endpoints. A quarantined call may be
+// admitted as a trial if this VM is allowed to try it now.
 func (a *Agent) Admit(content uint64) (refusal *result.Refusal, trial bool) {
 	h := (*a.held.Load())[content]
 	if h == nil {
 		return nil, false
 	}
-	if h.takeTry(a.options.Now()) {
+	if h.startTrial(a.options.Now()) {
 		return nil, true
 	}
 	return result.Refuse(result.Quarantined, "%d endpoints crashed under this call", h.Crashes), false
 }
 
-// takeTry lets one try through when it is this VM's turn.
-func (h *held) takeTry(now time.Time) bool {
-	until := h.triedUntil.Load()
+// startTrial reports whether the call may run as a trial now, and if so starts the
+// trial.
+func (h *heldCall) startTrial(now time.Time) bool {
+	until := h.trialUntil.Load()
 	if h.TryAt.IsZero() || now.Before(h.TryAt) || now.UnixNano() < until {
 		return false
 	}
-	return h.triedUntil.CompareAndSwap(until, now.Add(tryWithin).UnixNano())
+	return h.trialUntil.CompareAndSwap(until, now.Add(trialTimeout).UnixNano())
 }
 
-// MembersChanged takes that other VMs are in reach now: one that has just started is to
-// know what is held before callers come to it.
+// MembersChanged reports that the reachable VMs have changed, so that a new VM learns
+// the quarantined calls before it gets callers.
 func (a *Agent) MembersChanged() {
-	a.tell(func(context.Context, time.Time) { a.due = a.due || !a.isIdle() })
+	a.post(func(context.Context, time.Time) { a.stepDue = a.stepDue || !a.isIdle() })
 }
 
-// Take takes another VM's note.
+// Take processes a note of another VM.
 func (a *Agent) Take(n quarantine.Note) {
-	a.tell(func(_ context.Context, now time.Time) {
+	a.post(func(_ context.Context, now time.Time) {
 		a.list.Take(n, now)
-		a.due = true
+		a.stepDue = true
 	})
 }
 
-// step sends the notes that are due and shows traffic what is held.
+// step sends the notes that are due and publishes the quarantined calls.
 func (a *Agent) step(ctx context.Context, now time.Time) {
-	a.forgetChecks(now)
+	a.dropExpiredChecks(now)
 	a.list.Step(now)
 	vms, parted := a.options.VMs()
 	for _, note := range a.list.Due(vms, parted, now) {
@@ -209,26 +210,27 @@
 }
 
 func (a *Agent) send(ctx context.Context, note quarantine.Outgoing) {
-	a.tells <- struct{}{}
-	trip, cancel := context.WithTimeout(ctx, tellWithin)
-	err := a.options.Tell(trip, note.To.VM, note.Note)
+	a.sendSlots <- struct{}{}
+	sendCtx, cancel := context.WithTimeout(ctx, sendTimeout)
+	err := a.options.Tell(sendCtx, note.To.VM, note.Note)
 	cancel()
-	<-a.tells
+	<-a.sendSlots
 	if err != nil {
 		a.options.Log.Debug("crash_note_failed", "peer", note.To.VM.ID, "reason", err.Error())
 	}
-	// Not dropped: until then the list takes the note as on its way.
+	// Send blocks instead of dropping the message, as the list considers the note in
+	// flight until it arrives.
 	a.inbox.Send(ctx, func(context.Context, time.Time) {
 		a.list.Sent(note, err == nil)
-		// Those that count may have to be told of what came meanwhile.
-		a.due = a.due || (err == nil && len(note.Note.Crashes) > 0)
+		// Crashes that were added while the note was in flight may be due now.
+		a.stepDue = a.stepDue || (err == nil && len(note.Note.Crashes) > 0)
 	})
 }
 
-// publish shows traffic what is held, and logs what has changed.
+// publish updates the quarantined calls for the request path and logs the changes.
 func (a *Agent) publish(list []quarantine.Held) {
 	before := *a.held.Load()
-	after := make(map[uint64]*held, len(list))
+	after := make(map[uint64]*heldCall, len(list))
 	changed := len(list) != len(before)
 	for _, h := range list {
 		known := before[h.Content]
@@ -236,7 +238,7 @@
 			a.options.Log.Warn("call_quarantined", "content", contentText(h.Content), "crashes", h.Crashes)
 		}
 		if known == nil || known.Held != h {
-			known = &held{Held: h}
+			known = &heldCall{Held: h}
 			changed = true
 		}
 		after[h.Content] = known
--- a/quarantine/agent/agent_test.go
+++ b/quarantine/agent/agent_test.go
@@ -17,20 +17,20 @@
 	"github.com/fuchsianotch/fuchsianotch/result"
 )
 
-// noteWay is the way of a note between two VMs of the test.
-const noteWay = 80 * time.Millisecond
+// noteLatency is the time that a note takes between two VMs.
+const noteLatency = 80 * time.Millisecond
 
-// agents are those of a fleet, by VM.
-type agents struct {
+// testFleet is a fleet of agents.
+type testFleet struct {
 	order []quarantine.Peer
 	byVM  map[string]*Agent
 	mu    sync.Mutex
 	held  map[string]int
 }
 
-// startAgents runs agents whose endpoints all crashed.
-func startAgents(ctx context.Context, names ...string) *agents {
-	f := &agents{
+// startFleet starts agents whose endpoints have all crashed.
+func startFleet(ctx context.Context, names ...string) *testFleet {
+	f := &testFleet{
 		byVM: make(map[string]*Agent),
 		held: make(map[string]int),
 	}
@@ -47,7 +47,7 @@
 			Listed: func(fleet.Endpoint) bool { return true },
 			VMs:    func() ([]quarantine.Peer, bool) { return f.order, false },
 			Tell: func(_ context.Context, to fleet.VM, n quarantine.Note) error {
-				time.Sleep(noteWay)
+				time.Sleep(noteLatency)
 				f.byVM[to.ID].Take(n)
 				return nil
 			},
@@ -64,26 +64,26 @@
 	return f
 }
 
-// count is how many calls a VM says that it holds.
-func (f *agents) count(name string) int {
+// count returns the number of quarantined calls that a VM last reported.
+func (f *testFleet) count(name string) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.held[name]
 }
 
-// TestAllVMsHold holds that all VMs refuse a call soon after the third endpoint crashed
-// under it, and that other calls that were there go on.
-func TestAllVMsHold(t *testing.T) {
+// TestAllVMsQuarantineCall checks that all VMs refuse a call soon after the third
+// endpoint crashed while running it, and admit other calls that these endpoints ran.
+func TestAllVMsQuarantineCall(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
 		defer synctest.Wait()
 		defer stop()
-		f := startAgents(ctx, "a1", "a2", "b1", "b2", "c1")
+		f := startFleet(ctx, "a1", "a2", "b1", "b2", "c1")
 		for i, name := range []string{"a1", "b2", "c1"} {
 			e := fleet.Endpoint{ID: name, Incarnation: int64(i)}
 			f.byVM[name].Cut(7, e, time.Time{})
 			f.byVM[name].Cut(uint64(100+i), e, time.Time{})
-			// It answered for long before it broke off, so it was not its fault.
+			// This answer had lasted too long for the call to be the cause.
 			f.byVM[name].Cut(8, e, time.Now().Add(-10*time.Second))
 			time.Sleep(300 * time.Millisecond)
 		}
@@ -100,14 +100,14 @@
 	})
 }
 
-// TestOneTry holds that one try is let through in its turn, that those beside it are
-// not, and that all VMs let the call go once it has ended well.
-func TestOneTry(t *testing.T) {
+// TestOneTrialPerRegion checks that one trial is admitted per region, and that all VMs
+// admit the call again after a trial succeeded.
+func TestOneTrialPerRegion(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
 		defer synctest.Wait()
 		defer stop()
-		f := startAgents(ctx, "a1", "a2", "b1")
+		f := startFleet(ctx, "a1", "a2", "b1")
 		for i := range 3 {
 			f.byVM["a1"].Cut(7, fleet.Endpoint{ID: "e", Incarnation: int64(i)}, time.Time{})
 			time.Sleep(300 * time.Millisecond)
@@ -121,7 +121,7 @@
 				}
 			}
 		}
-		// One in each of the two regions, whose turns are both over.
+		// One trial in each of the two regions, which are both allowed one by now.
 		assert.Equal(t, trials, 2)
 		f.byVM["a2"].EndedWell(7)
 		time.Sleep(time.Second)
@@ -132,8 +132,7 @@
 	})
 }
 
-// BenchmarkAdmit is what each call costs while none is held: two or three of
-// them, 7 ns each and nothing allocated.
+// BenchmarkAdmit measures Admit while no call is quarantined.
 func BenchmarkAdmit(b *testing.B) {
 	a := New(Options{VM: "a"})
 	b.ReportAllocs()
--- a/quarantine/agent/check.go
+++ b/quarantine/agent/check.go
@@ -16,113 +16,115 @@
 )
 
 const (
-	// dialWithin bounds one look at an endpoint: a connection within a region takes a
-	// millisecond or two, and a lost packet is sent again after 0.3 s at the earliest.
-	dialWithin = 400 * time.Millisecond
-	// looks is how often an endpoint that gives no answer at all is looked at, lookEvery
-	// apart: more than a lost packet or two is a cut and no crash.
-	looks     = 3
-	lookEvery = 200 * time.Millisecond
-	// knownFor is how long the outcome of a look stands for all calls that break off:
-	// those of one crash come within some milliseconds, and one that answers may crash
-	// a moment later. A crashed life never comes back.
-	knownFor        = 250 * time.Millisecond
-	crashedKnownFor = 10 * time.Second
+	// dialTimeout covers one retransmission of a lost packet within a region.
+	dialTimeout = 400 * time.Millisecond
+	// maxDials is the number of dial attempts, dialInterval apart, if an endpoint does
+	// not respond at all. More than one or two lost packets indicate a partition, not a
+	// crash.
+	maxDials     = 3
+	dialInterval = 200 * time.Millisecond
+	// resultLifetime is how long the result of a check is valid. It covers the calls
+	// that one crash interrupts, but is short as a reachable endpoint may crash soon
+	// after. A crashed incarnation never comes back.
+	resultLifetime        = 250 * time.Millisecond
+	crashedResultLifetime = 10 * time.Second
 )
 
-// state is what is known of an endpoint of which a connection broke off.
-type state string
+// checkState is the state of an endpoint check.
+type checkState string
 
 const (
-	stateLooking state = "looking"
-	// stateCrashed means that nothing listens any more at its address.
-	stateCrashed state = "crashed"
-	// stateAnswers means that the connection alone was lost.
-	stateAnswers state = "answers"
-	// stateLeft means that it is gone as it was to be.
-	stateLeft state = "left"
-	// stateSilent leaves it open: a cut looks the same.
-	stateSilent state = "silent"
+	stateChecking checkState = "looking"
+	// stateCrashed means that nothing listens at the address any more.
+	stateCrashed checkState = "crashed"
+	// stateAnswers means that only the connection was lost.
+	stateAnswers checkState = "answers"
+	// stateLeft means that the endpoint stopped as planned.
+	stateLeft checkState = "left"
+	// stateSilent means that the endpoint did not respond, because of a crash or a
+	// partition.
+	stateSilent checkState = "silent"
 )
 
-// life is one life of an endpoint, which may start again under its id.
-type life struct {
+// instance is one incarnation of an endpoint.
+type instance struct {
 	endpoint    string
 	incarnation int64
 }
 
-func lifeOf(e fleet.Endpoint) life {
-	return life{
+func instanceOf(e fleet.Endpoint) instance {
+	return instance{
 		endpoint:    e.ID,
 		incarnation: e.Incarnation,
 	}
 }
 
-// hash is how notes name a life.
-func (l life) hash() uint64 {
+// hash identifies the instance in notes.
+func (l instance) hash() uint64 {
 	return xxhash.Sum64String(l.endpoint + " " + strconv.FormatInt(l.incarnation, 10))
 }
 
-// check is one life of an endpoint that is or was looked at.
+// check is the check of one instance.
 type check struct {
-	state state
-	// cuts are the contents of the calls that broke off meanwhile.
-	cuts []uint64
-	// forgetAt is set once the outcome is known.
-	forgetAt time.Time
+	state checkState
+	// contents are the calls interrupted while the check is in progress.
+	contents []uint64
+	// expiresAt is set once the result is known.
+	expiresAt time.Time
 }
 
-// check finds out whether an endpoint crashed that had a call.
-func (a *Agent) check(ctx context.Context, content uint64, e fleet.Endpoint, now time.Time) {
-	of := lifeOf(e)
-	known := a.checks[of]
+// checkEndpoint checks whether the endpoint that ran a call has crashed, unless the
+// result is already known.
+func (a *Agent) checkEndpoint(ctx context.Context, content uint64, e fleet.Endpoint, now time.Time) {
+	target := instanceOf(e)
+	known := a.checks[target]
 	switch {
-	case known == nil || (known.state != stateLooking && !now.Before(known.forgetAt)):
+	case known == nil || (known.state != stateChecking && !now.Before(known.expiresAt)):
 		known = &check{
-			state: stateLooking,
-			cuts:  []uint64{content},
+			state:    stateChecking,
+			contents: []uint64{content},
 		}
-		a.checks[of] = known
-		go a.look(ctx, e)
-	case known.state == stateLooking:
-		known.cuts = append(known.cuts, content)
+		a.checks[target] = known
+		go a.probe(ctx, e)
+	case known.state == stateChecking:
+		known.contents = append(known.contents, content)
 	case known.state == stateCrashed:
-		a.witness(of, []uint64{content}, now)
+		a.recordCrash(target, []uint64{content}, now)
 	}
 }
 
-// witness takes that an endpoint crashed while it had calls.
-func (a *Agent) witness(of life, contents []uint64, now time.Time) {
+// recordCrash records that an endpoint crashed while it was running calls.
+func (a *Agent) recordCrash(crashed instance, contents []uint64, now time.Time) {
 	for _, content := range contents {
 		a.list.Witness(quarantine.Crash{
 			Content: content,
-			Life:    of.hash(),
+			Life:    crashed.hash(),
 			At:      now,
 			Proven:  a.proven.has(content),
 		})
 	}
-	a.due = true
+	a.stepDue = true
 }
 
-// look dials an endpoint, which answers in a millisecond or two if it is there.
-func (a *Agent) look(ctx context.Context, e fleet.Endpoint) {
+// probe dials an endpoint and reports the result to the agent's goroutine.
+func (a *Agent) probe(ctx context.Context, e fleet.Endpoint) {
 	found := stateSilent
-	for i := 0; i < looks && found == stateSilent; i++ {
+	for i := 0; i < maxDials && found == stateSilent; i++ {
 		if i > 0 {
 			now := a.options.Now()
-			worker.SleepUntil(ctx, now, now.Add(lookEvery))
+			worker.SleepUntil(ctx, now, now.Add(dialInterval))
 		}
 		found = a.dial(ctx, e)
 	}
 	if ctx.Err() == nil {
-		a.inbox.Send(ctx, func(_ context.Context, now time.Time) { a.looked(e, found, now) })
+		a.inbox.Send(ctx, func(_ context.Context, now time.Time) { a.finishCheck(e, found, now) })
 	}
 }
 
-func (a *Agent) dial(ctx context.Context, e fleet.Endpoint) state {
-	trip, cancel := context.WithTimeout(ctx, dialWithin)
+func (a *Agent) dial(ctx context.Context, e fleet.Endpoint) checkState {
+	dialCtx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
-	err := a.options.Dial(trip, e.Addr)
+	err := a.options.Dial(dialCtx, e.Addr)
 	switch {
 	case err == nil:
 		return stateAnswers
@@ -133,32 +135,32 @@
 	}
 }
 
-func (a *Agent) looked(e fleet.Endpoint, found state, now time.Time) {
+func (a *Agent) finishCheck(e fleet.Endpoint, found checkState, now time.Time) {
 	if found == stateCrashed && !a.options.Listed(e) {
 		found = stateLeft
 	}
-	of := lifeOf(e)
-	known := a.checks[of]
+	target := instanceOf(e)
+	known := a.checks[target]
 	known.state = found
-	known.forgetAt = now.Add(knownFor)
+	known.expiresAt = now.Add(resultLifetime)
 	if found == stateCrashed {
-		known.forgetAt = now.Add(crashedKnownFor)
+		known.expiresAt = now.Add(crashedResultLifetime)
 	}
-	// Connections alone break off by the dozen where a network loses packets.
+	// Without a crash the level is debug, as packet loss breaks off many connections.
 	level := slog.LevelDebug
 	if found == stateCrashed {
 		level = slog.LevelInfo
-		a.witness(of, known.cuts, now)
+		a.recordCrash(target, known.contents, now)
 	}
-	a.options.Log.Log(context.Background(), level, "endpoint_checked", "endpoint", e.ID, "state", string(found), "calls", len(known.cuts))
-	known.cuts = nil
+	a.options.Log.Log(context.Background(), level, "endpoint_checked", "endpoint", e.ID, "state", string(found), "calls", len(known.contents))
+	known.contents = nil
 }
 
-// forgetChecks drops what is no longer of use.
-func (a *Agent) forgetChecks(now time.Time) {
-	for of, known := range a.checks {
-		if known.state != stateLooking && !now.Before(known.forgetAt) {
-			delete(a.checks, of)
+// dropExpiredChecks removes the checks whose results are no longer valid.
+func (a *Agent) dropExpiredChecks(now time.Time) {
+	for target, known := range a.checks {
+		if known.state != stateChecking && !now.Before(known.expiresAt) {
+			delete(a.checks, target)
 		}
 	}
 }
--- a/quarantine/agent/check_test.go
+++ b/quarantine/agent/check_test.go
@@ -18,14 +18,14 @@
 	"github.com/fuchsianotch/fuchsianotch/quarantine"
 )
 
-// dialer answers each look at an endpoint by the next of its outcomes, the last one for good.
-type dialer struct {
+// fakeDialer returns one outcome per dial; the last one repeats.
+type fakeDialer struct {
 	mu       sync.Mutex
 	outcomes []error
 	looks    int
 }
 
-func (d *dialer) dial(context.Context, string) error {
+func (d *fakeDialer) dial(context.Context, string) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	err := d.outcomes[min(d.looks, len(d.outcomes)-1)]
@@ -33,27 +33,27 @@
 	return err
 }
 
-// TestCheck holds that an endpoint counts as crashed only where nothing listens any
-// more, and that the calls which one crash cuts look at it once.
-func TestCheck(t *testing.T) {
+// TestEndpointCheck checks that an endpoint counts as crashed only if nothing listens
+// at its address, and that the calls interrupted by one crash share one check.
+func TestEndpointCheck(t *testing.T) {
 	timeout := errors.New("i/o timeout")
 	for _, c := range []struct {
 		name     string
 		outcomes []error
-		// leaves says that the endpoint is published as one that leaves.
+		// leaves is set if the endpoint is published as draining.
 		leaves bool
-		want   state
+		want   checkState
 		looks  int
 	}{
 		{name: "nothing listens", outcomes: []error{syscall.ECONNREFUSED}, want: stateCrashed, looks: 1},
 		{name: "it left", outcomes: []error{syscall.ECONNREFUSED}, leaves: true, want: stateLeft, looks: 1},
 		{name: "it answers", outcomes: []error{nil}, want: stateAnswers, looks: 1},
 		{name: "a packet was lost", outcomes: []error{timeout, syscall.ECONNREFUSED}, want: stateCrashed, looks: 2},
-		{name: "cut off", outcomes: []error{timeout}, want: stateSilent, looks: looks},
+		{name: "cut off", outcomes: []error{timeout}, want: stateSilent, looks: maxDials},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				d := &dialer{outcomes: c.outcomes}
+				d := &fakeDialer{outcomes: c.outcomes}
 				var lines bytes.Buffer
 				a := New(Options{
 					VM:     "a",
@@ -70,7 +70,7 @@
 				for content := range uint64(5) {
 					a.Cut(content, e, time.Time{})
 				}
-				time.Sleep(looks * (dialWithin + lookEvery))
+				time.Sleep(maxDials * (dialTimeout + dialInterval))
 				stop()
 				synctest.Wait()
 				assert.Assert(t, strings.Contains(lines.String(), "state="+string(c.want)+" calls=5\n"), lines.String())
--- a/quarantine/held.go
+++ b/quarantine/held.go
@@ -8,19 +8,20 @@
 	"github.com/fuchsianotch/fuchsianotch/entry"
 )
 
-// turnEvery is the time between the turns of two regions to try a call again: what came
-// of one region's try is known to all others within some seconds.
-const turnEvery = 5 * time.Second
+// regionTrialInterval is the delay between the trials of two regions, so that the
+// result of one is known everywhere before the next.
+const regionTrialInterval = 5 * time.Second
 
-// Held is a call that endpoints do not get.
+// Held is a quarantined call.
 type Held struct {
 	Content uint64
 	Crashes int
-	// TryAt is when this VM may let one try of it through, zero if others do.
+	// TryAt is when this VM may admit a trial of the call; zero if other VMs do.
 	TryAt time.Time
 }
 
-// Held returns the calls that are held, in no order. vms are those in reach with this one.
+// Held returns the quarantined calls in no particular order. vms are the reachable VMs,
+// including this one.
 func (l *List) Held(vms []Peer) []Held {
 	var out []Held
 	for content, v := range l.verdicts {
@@ -30,26 +31,25 @@
 		out = append(out, Held{
 			Content: content,
 			Crashes: v.Crashes,
-			TryAt:   l.tryAt(v, vms),
+			TryAt:   l.trialTime(v, vms),
 		})
 	}
 	return out
 }
 
-// tryAt is when this VM may let a try through, as a half-open circuit breaker does: the first by rank of each region may, one
-// region after the other. A call that comes to one region only is tried there some
-// seconds later than one that comes to all.
-func (l *List) tryAt(v *Verdict, vms []Peer) time.Time {
+// trialTime returns when this VM may admit a trial, like a half-open circuit breaker.
+// The highest-ranked VM of each region may, one region after the other.
+func (l *List) trialTime(v *Verdict, vms []Peer) time.Time {
 	key := contentKey(v.Content)
 	regions := make(map[string][]string)
-	own := ""
+	ownRegion := ""
 	for _, p := range vms {
 		regions[p.VM.Region] = append(regions[p.VM.Region], p.VM.ID)
 		if p.VM.ID == l.self {
-			own = p.VM.Region
+			ownRegion = p.VM.Region
 		}
 	}
-	if entry.Owner(key, regions[own]) != l.self {
+	if entry.Owner(key, regions[ownRegion]) != l.self {
 		return time.Time{}
 	}
 	var order []string
@@ -60,5 +60,5 @@
 	slices.SortFunc(order, func(a, b string) int {
 		return cmp.Or(cmp.Compare(entry.Score(h, entry.Hash(b)), entry.Score(h, entry.Hash(a))), cmp.Compare(a, b))
 	})
-	return v.TryAt.Add(time.Duration(slices.Index(order, own)) * turnEvery)
+	return v.TryAt.Add(time.Duration(slices.Index(order, ownRegion)) * regionTrialInterval)
 }
--- a/quarantine/note.go
+++ b/quarantine/note.go
@@ -9,13 +9,13 @@
 	"github.com/fuchsianotch/fuchsianotch/fleet"
 )
 
-// Peer is a VM in reach with its life.
+// Peer is a reachable VM with its incarnation.
 type Peer struct {
 	VM          fleet.VM
 	Incarnation uint64
 }
 
-// Note is what one VM tells another.
+// Note is a message from one VM to another.
 type Note struct {
 	Crashes  []Crash
 	Verdicts []Verdict
@@ -25,35 +25,34 @@
 	return len(n.Crashes) == 0 && len(n.Verdicts) == 0
 }
 
-// Outgoing is a note that is to be sent.
+// Outgoing is a note to be sent.
 type Outgoing struct {
 	To   Peer
 	Note Note
-	// crashes are those of the note as they are kept here.
-	crashes []*witnessed
+	// crashes are the local crashes that the note reports.
+	crashes []*localCrash
 }
 
-// witnessed is a crash that this VM saw.
-type witnessed struct {
+// localCrash is a crash observed by this VM.
+type localCrash struct {
 	Crash
-	// told are the VMs that know it, each with its life.
-	told map[string]uint64
+	// acknowledgedBy holds the incarnation of each VM that received the crash.
+	acknowledgedBy map[string]uint64
 }
 
-// toldVM is what a VM knows of the verdicts.
-type toldVM struct {
-	incarnation uint64
-	versions    map[uint64]uint32
-	// sending is set while a note is on its way.
+// peerState is what another VM is known to have received.
+type peerState struct {
+	incarnation   uint64
+	knownVersions map[uint64]uint32
+	// sending is set while a note is in flight.
 	sending bool
 }
 
-// Due returns the notes to send now, one for each VM at the most. vms are those in
-// reach with this one, parted says that others are out of reach. What nobody took is
-// due again, also for a VM that starts, or comes back from behind a cut: this VM
-// keeps what it saw, and those that rank first for a content keep the verdict.
-func (l *List) Due(vms []Peer, parted bool, now time.Time) []Outgoing {
-	l.parted = parted
+// Due returns the notes to send now, at most one per VM. vms are the reachable VMs,
+// including this one; partitioned is set if others are unreachable. What a VM did not
+// acknowledge is due again, also after it restarted or a partition ended.
+func (l *List) Due(vms []Peer, partitioned bool, now time.Time) []Outgoing {
+	l.partitioned = partitioned
 	notes := make(map[string]*Outgoing, len(vms))
 	noteTo := func(p Peer) *Outgoing {
 		if notes[p.VM.ID] == nil {
@@ -61,29 +60,29 @@
 		}
 		return notes[p.VM.ID]
 	}
-	ranked := &ranking{vms: vms}
-	l.addCrashes(ranked, noteTo, now)
-	l.addVerdicts(ranked, noteTo)
+	owners := &ownerIndex{vms: vms}
+	l.addCrashes(owners, noteTo, now)
+	l.addVerdicts(owners, noteTo)
 	var out []Outgoing
 	for id, next := range notes {
-		if to := l.told[id]; (to != nil && to.sending) || next.Note.isEmpty() {
+		if state := l.peers[id]; (state != nil && state.sending) || next.Note.isEmpty() {
 			continue
 		}
-		l.toldOf(next.To).sending = true
+		l.stateOf(next.To).sending = true
 		out = append(out, *next)
 	}
 	return out
 }
 
-func (l *List) addCrashes(ranked *ranking, noteTo func(Peer) *Outgoing, now time.Time) {
-	for _, w := range l.witnessed {
-		for _, owner := range ranked.owners(w.Content) {
-			if known, ok := w.told[owner.VM.ID]; ok && known == owner.Incarnation {
+func (l *List) addCrashes(owners *ownerIndex, noteTo func(Peer) *Outgoing, now time.Time) {
+	for _, w := range l.localCrashes {
+		for _, owner := range owners.owners(w.Content) {
+			if known, ok := w.acknowledgedBy[owner.VM.ID]; ok && known == owner.Incarnation {
 				continue
 			}
 			if owner.VM.ID == l.self {
-				w.told[l.self] = owner.Incarnation
-				l.count(w.Crash, now)
+				w.acknowledgedBy[l.self] = owner.Incarnation
+				l.recordCrash(w.Crash, now)
 				continue
 			}
 			next := noteTo(owner)
@@ -93,16 +92,16 @@
 	}
 }
 
-// addVerdicts has those that rank first for a content, and the one that decided, tell
-// all others, and each other one tell those that rank first: they may have started anew.
-func (l *List) addVerdicts(ranked *ranking, noteTo func(Peer) *Outgoing) {
+// addVerdicts sends the verdicts decided here or owned by this VM to all others, and
+// the remaining ones to their owners, which may have restarted.
+func (l *List) addVerdicts(owners *ownerIndex, noteTo func(Peer) *Outgoing) {
 	for content, v := range l.verdicts {
-		to := ranked.owners(content)
-		if v.madeHere || slices.ContainsFunc(to, func(p Peer) bool { return p.VM.ID == l.self }) {
-			to = ranked.vms
+		recipients := owners.owners(content)
+		if v.decidedLocally || slices.ContainsFunc(recipients, func(p Peer) bool { return p.VM.ID == l.self }) {
+			recipients = owners.vms
 		}
-		for _, p := range to {
-			if p.VM.ID == l.self || l.toldOf(p).versions[content] >= v.Version {
+		for _, p := range recipients {
+			if p.VM.ID == l.self || l.stateOf(p).knownVersions[content] >= v.Version {
 				continue
 			}
 			next := noteTo(p)
@@ -111,62 +110,64 @@
 	}
 }
 
-// toldOf returns what a VM knows; a new life of it knows nothing.
-func (l *List) toldOf(p Peer) *toldVM {
-	known := l.told[p.VM.ID]
-	if known == nil || known.incarnation != p.Incarnation {
-		known = &toldVM{
-			incarnation: p.Incarnation,
-			versions:    make(map[uint64]uint32),
+// stateOf returns the state of a peer, which is empty for a new incarnation.
+func (l *List) stateOf(p Peer) *peerState {
+	state := l.peers[p.VM.ID]
+	if state == nil || state.incarnation != p.Incarnation {
+		state = &peerState{
+			incarnation:   p.Incarnation,
+			knownVersions: make(map[uint64]uint32),
 		}
-		l.told[p.VM.ID] = known
+		l.peers[p.VM.ID] = state
 	}
-	return known
+	return state
 }
 
-// shards is in how many parts contents are counted. A VM that loses many endpoints at
-// once tells twice as many VMs at the most, whatever the size of the fleet.
+// shardCount is the number of shards of contents. It bounds how many VMs are notified
+// by a VM that loses many endpoints at once: two per shard, whatever the size of the
+// fleet.
 const (
-	shards   = 16
-	shardKey = "crashes-"
+	shardCount     = 16
+	shardKeyPrefix = "crashes-"
 )
 
-// ranking finds the VMs that count, once for each part of the contents: what a VM saw of
-// a large loss is some hundred contents.
-type ranking struct {
-	vms    []Peer
-	ranked [shards][]Peer
+// ownerIndex caches the owners of each shard, since a VM may report crashes of hundreds
+// of contents at once.
+type ownerIndex struct {
+	vms     []Peer
+	byShard [shardCount][]Peer
 }
 
-// owners are the VMs that count the crashes under a content and tell the verdict: the
-// one that ranks first, and the first of another region, so that one is left when a
-// region is lost. Without a word between them all VMs find the same two.
-func (r *ranking) owners(content uint64) []Peer {
-	shard := content % shards
-	if r.ranked[shard] != nil {
-		return r.ranked[shard]
+// owners returns the VMs that count the crashes of a content and distribute its
+// verdict: the highest-ranked VM, and the highest-ranked one of another region, which
+// survives the loss of the first region.
+func (r *ownerIndex) owners(content uint64) []Peer {
+	shard := content % shardCount
+	if r.byShard[shard] != nil {
+		return r.byShard[shard]
 	}
-	key := shardKey + strconv.FormatUint(shard, 10)
-	first := firstOf(key, r.vms, "")
+	key := shardKeyPrefix + strconv.FormatUint(shard, 10)
+	first := highestRanked(key, r.vms, "")
 	if first == nil {
 		return nil
 	}
 	found := []Peer{*first}
-	if second := firstOf(key, r.vms, first.VM.Region); second != nil {
+	if second := highestRanked(key, r.vms, first.VM.Region); second != nil {
 		found = append(found, *second)
 	}
-	r.ranked[shard] = found
+	r.byShard[shard] = found
 	return found
 }
 
-// firstOf returns the VM that ranks first, outside of a region; nil where there is none.
-func firstOf(key string, vms []Peer, outside string) *Peer {
+// highestRanked returns the VM with the highest rendezvous score outside of
+// excludedRegion, or nil if there is none.
+func highestRanked(key string, vms []Peer, excludedRegion string) *Peer {
 	h := entry.Hash(key)
 	var first *Peer
 	var best uint64
 	for i := range vms {
 		vm := vms[i].VM
-		if outside != "" && vm.Region == outside {
+		if excludedRegion != "" && vm.Region == excludedRegion {
 			continue
 		}
 		score := entry.Score(h, entry.Hash(vm.ID))
@@ -181,36 +182,36 @@
 	return strconv.FormatUint(content, 16)
 }
 
-// Sent takes whether a note has arrived.
+// Sent records whether a note was received.
 func (l *List) Sent(next Outgoing, arrived bool) {
-	to := l.toldOf(next.To)
-	to.sending = false
+	state := l.stateOf(next.To)
+	state.sending = false
 	if !arrived {
 		return
 	}
 	for _, w := range next.crashes {
-		w.told[next.To.VM.ID] = next.To.Incarnation
+		w.acknowledgedBy[next.To.VM.ID] = next.To.Incarnation
 	}
 	for _, v := range next.Note.Verdicts {
-		to.versions[v.Content] = max(to.versions[v.Content], v.Version)
+		state.knownVersions[v.Content] = max(state.knownVersions[v.Content], v.Version)
 	}
 }
 
-// Take takes another VM's note. Crashes come to a VM that ranks first for them by the
-// sender's word, and are counted whatever the own one says.
+// Take processes a note of another VM. Crashes are counted even if this VM does not
+// consider itself an owner of their content, as the sender may know other VMs.
 func (l *List) Take(n Note, now time.Time) {
 	for _, c := range n.Crashes {
-		l.count(c, now)
+		l.recordCrash(c, now)
 	}
 	for _, v := range n.Verdicts {
 		known, ok := l.verdicts[v.Content]
 		if ok && known.Version >= v.Version {
 			continue
 		}
-		v.madeHere = false
+		v.decidedLocally = false
 		if v.Cleared {
-			l.forgive(v.Content)
+			l.dropEvidence(v.Content)
 		}
-		l.put(v, now)
+		l.storeVerdict(v, now)
 	}
 }
--- a/quarantine/quarantine.go
+++ b/quarantine/quarantine.go
@@ -1,9 +1,11 @@
-// Package quarantine decides which calls endpoints no longer get, because the endpoints
-// that ran them crashed. A call is known by its content, as a caller's tries have new
-// ids. Each VM tells what it saw to the two VMs that rank first for the content; these
-// count, and tell all others of a call that has crashed enough endpoints. It is pure
-// control state of one goroutine: time comes in as an argument, and notes go out
-// through the caller.
+// Package quarantine decides which calls are no longer sent to endpoints because
+// endpoints that ran them crashed. A call is identified by a hash of its content, as
+// retries by the caller have new ids. Each VM reports the crashes it observes to the
+// two VMs that own the content. These count them and, when enough endpoints have
+// crashed, send a verdict to all VMs.
+//
+// The package is a state machine for one goroutine: time is passed in, and the caller
+// sends the notes.
 package quarantine
 
 import (
@@ -12,129 +14,132 @@
 )
 
 const (
-	// crashesToQuarantine is how many endpoints must have crashed under a call: with
-	// one or two it may only have been there when they failed of something else.
+	// crashesToQuarantine is the number of endpoints that must have crashed while they
+	// ran a call. With fewer, the crashes may have other causes.
 	crashesToQuarantine = 3
-	// crashesWhileParted is the same while a part of the fleet is out of reach, where
-	// the call may crash as many that nobody here hears of.
-	crashesWhileParted = 2
-	// crashKeptFor is how long a crash counts: callers that repeat a call give up or
-	// come back within minutes.
-	crashKeptFor = 30 * time.Minute
-	// provenWithin is the same for a call that has ended well of late, such as one that
-	// many callers send alike: it counts only crashes that came at nearly one time, as
-	// it ended well between others.
-	provenWithin = 5 * time.Second
-	// firstTerm is how long a call is held before one try of it may show that it does
-	// no harm; each try that crashes one more endpoint makes the next wait termGrowth
-	// times longer, so that three tries take over an hour. provenTerm is the first one
-	// for a call that has ended well of late: a call that many send must not be held for
-	// long as some endpoints failed at once.
-	firstTerm  = time.Minute
-	provenTerm = time.Second
-	termGrowth = 8
-	// clearedKeptFor is how long it is told that a call is held no more.
-	clearedKeptFor = time.Minute
-	// heldFor is how long a call is held that nobody tries again.
-	heldFor = 24 * time.Hour
-	// suspectsMost, heldMost and witnessedMost bound the state, at some 100 bytes an entry.
-	// The oldest make way: a crash on a VM cuts some dozen calls.
-	suspectsMost  = 2048
-	heldMost      = 256
-	witnessedMost = 512
+	// crashesWhilePartitioned is the same while other VMs are unreachable, which may
+	// have seen further crashes.
+	crashesWhilePartitioned = 2
+	// crashRetention is how long a crash counts. Callers that repeat a call do so
+	// within minutes.
+	crashRetention = 30 * time.Minute
+	// provenCrashWindow is the same for a call that recently succeeded, such as one
+	// that many callers send. Only crashes at nearly the same time count, since it
+	// succeeded between others.
+	provenCrashWindow = 5 * time.Second
+	// initialHold is how long a call is quarantined before its first trial. Each trial
+	// that crashes another endpoint multiplies the time by holdGrowthFactor.
+	// provenInitialHold applies to a call that recently succeeded, which must not be
+	// blocked for long when several endpoints fail at once for another reason.
+	initialHold       = time.Minute
+	provenInitialHold = time.Second
+	holdGrowthFactor  = 8
+	// clearedRetention is how long the end of a quarantine is distributed.
+	clearedRetention = time.Minute
+	// maxHold bounds the time to the next trial. A verdict expires when it has not
+	// changed for that long.
+	maxHold = 24 * time.Hour
+	// maxSuspects, maxVerdicts and maxLocalCrashes bound the memory in use, at about
+	// 100 bytes an entry. The oldest entries are evicted.
+	maxSuspects     = 2048
+	maxVerdicts     = 256
+	maxLocalCrashes = 512
 )
 
-// beganWellFor is how long an endpoint must have answered a call for its end to be no
-// fault of that: endpoints crash within some 0.1 s of beginning to run what does it.
-const beganWellFor = 2 * time.Second
+// healthyAnswerDuration is how long an endpoint must have been answering a call for a
+// later crash not to be attributed to it. A harmful call crashes its endpoint soon
+// after it starts to run.
+const healthyAnswerDuration = 2 * time.Second
 
-// Suspects reports whether an endpoint may have crashed under a call whose answer began and
-// broke off then; a zero time means that it never began.
-func Suspects(firstAt, brokeAt time.Time) bool {
-	return firstAt.IsZero() || brokeAt.Sub(firstAt) < beganWellFor
+// MayHaveCrashed reports whether a call whose answer began at firstAt and broke off at
+// brokeAt may have crashed its endpoint. A zero firstAt means that the answer never
+// began.
+func MayHaveCrashed(firstAt, brokeAt time.Time) bool {
+	return firstAt.IsZero() || brokeAt.Sub(firstAt) < healthyAnswerDuration
 }
 
-// Crash is an endpoint that crashed while it had a call.
+// Crash is the crash of an endpoint that was running a call.
 type Crash struct {
 	Content uint64
 	// Life is a hash of the endpoint's id and incarnation.
 	Life uint64
 	At   time.Time
-	// Proven says that the call has ended well of late at the VM that saw the crash.
+	// Proven is set if the call recently succeeded on the VM that observed the crash.
 	Proven bool
 }
 
-// Verdict says that a call is held, or no more.
+// Verdict starts or ends the quarantine of a call.
 type Verdict struct {
 	Content uint64
-	// Version rises with each change; a higher one replaces what is known.
+	// Version increases with each change; the highest one is valid.
 	Version uint32
-	// Crashes is how many endpoints crashed under the call, and Failed how many of them
-	// under tries that were let through to see whether it still does.
+	// Crashes is the number of endpoints that crashed while they ran the call, and
+	// Failed the number of them that crashed during trials.
 	Crashes int
 	Failed  int
 	Proven  bool
-	// TryAt is when the next such try may be made.
-	TryAt   time.Time
-	Cleared bool
-	// forgetAt is when the verdict is dropped.
-	forgetAt time.Time
-	// madeHere says that this VM decided it, and so tells it whatever its rank.
-	madeHere bool
+	// TryAt is when the next trial is allowed.
+	TryAt     time.Time
+	Cleared   bool
+	expiresAt time.Time
+	// decidedLocally is set if this VM made the verdict, and therefore distributes it
+	// even if it is not an owner.
+	decidedLocally bool
 }
 
-// List is what one VM knows. It is not safe for concurrent use.
+// List is the quarantine state of one VM. It is not safe for concurrent use.
 type List struct {
 	self string
-	// parted reports whether a part of the fleet is out of reach.
-	parted    bool
-	witnessed []*witnessed
-	suspects  map[uint64]*suspect
-	verdicts  map[uint64]*Verdict
-	// told is what other VMs know of the verdicts, by VM.
-	told map[string]*toldVM
+	// partitioned is set while other VMs are unreachable.
+	partitioned  bool
+	localCrashes []*localCrash
+	suspects     map[uint64]*suspect
+	verdicts     map[uint64]*Verdict
+	// peers holds what other VMs have received, by VM id.
+	peers map[string]*peerState
 }
 
-// suspect is a call under which endpoints crashed, as one that ranks first for it counts.
+// suspect counts the crashes of a call that is not quarantined.
 type suspect struct {
 	crashes []Crash
 	proven  bool
 	lastAt  time.Time
 }
 
-// New makes an empty List of a VM.
+// New creates an empty List for the VM with the id self.
 func New(self string) *List {
 	return &List{
 		self:     self,
 		suspects: make(map[uint64]*suspect),
 		verdicts: make(map[uint64]*Verdict),
-		told:     make(map[string]*toldVM),
+		peers:    make(map[string]*peerState),
 	}
 }
 
-// Witness takes a crash that this VM saw, for those that rank first for the content.
+// Witness adds a crash that this VM observed, to be reported to the owners of the
+// content.
 func (l *List) Witness(c Crash) {
-	if len(l.witnessed) >= witnessedMost {
-		l.witnessed = slices.Delete(l.witnessed, 0, 1)
+	if len(l.localCrashes) >= maxLocalCrashes {
+		l.localCrashes = slices.Delete(l.localCrashes, 0, 1)
 	}
-	l.witnessed = append(l.witnessed, &witnessed{
-		Crash: c,
-		told:  make(map[string]uint64),
+	l.localCrashes = append(l.localCrashes, &localCrash{
+		Crash:          c,
+		acknowledgedBy: make(map[string]uint64),
 	})
 }
 
-// IsEmpty says that there is nothing to tell and nothing held.
+// IsEmpty reports whether there is nothing to send and no call in quarantine.
 func (l *List) IsEmpty() bool {
-	return len(l.witnessed) == 0 && len(l.suspects) == 0 && len(l.verdicts) == 0
+	return len(l.localCrashes) == 0 && len(l.suspects) == 0 && len(l.verdicts) == 0
 }
 
-// count takes a crash where this VM ranks first for the content.
-func (l *List) count(c Crash, now time.Time) {
-	if now.Sub(c.At) > crashKeptFor {
+// recordCrash counts a crash as an owner of its content.
+func (l *List) recordCrash(c Crash, now time.Time) {
+	if now.Sub(c.At) > crashRetention {
 		return
 	}
 	if v, ok := l.verdicts[c.Content]; ok && !v.Cleared {
-		l.countHeld(v, c, now)
+		l.recordTrialCrash(v, c, now)
 		return
 	}
 	s := l.suspect(c.Content)
@@ -144,99 +149,99 @@
 	s.crashes = append(s.crashes, c)
 	s.proven = s.proven || c.Proven
 	s.lastAt = now
-	s.forget(now)
-	if len(s.crashes) < l.needed() {
+	s.dropExpired(now)
+	if len(s.crashes) < l.crashThreshold() {
 		return
 	}
-	l.decide(Verdict{
+	l.setVerdict(Verdict{
 		Content: c.Content,
 		Crashes: len(s.crashes),
 		Proven:  s.proven,
-		TryAt:   now.Add(term(s.proven, 0)),
+		TryAt:   now.Add(holdDuration(s.proven, 0)),
 	}, now)
 	delete(l.suspects, c.Content)
 }
 
-// needed is how many crashes make a call one that is held.
-func (l *List) needed() int {
-	if l.parted {
-		return crashesWhileParted
+// crashThreshold is the number of crashes at which a call is quarantined.
+func (l *List) crashThreshold() int {
+	if l.partitioned {
+		return crashesWhilePartitioned
 	}
 	return crashesToQuarantine
 }
 
-// countHeld takes a crash under a call that is held. Those of tries that were under way
-// as the verdict came change nothing.
-func (l *List) countHeld(v *Verdict, c Crash, now time.Time) {
+// recordTrialCrash counts a crash under a quarantined call. Crashes before the next
+// trial is due come from calls that were already running and change nothing.
+func (l *List) recordTrialCrash(v *Verdict, c Crash, now time.Time) {
 	if c.At.Before(v.TryAt) {
 		return
 	}
 	next := *v
 	next.Crashes++
 	next.Failed++
-	next.TryAt = now.Add(term(v.Proven, next.Failed))
-	l.decide(next, now)
+	next.TryAt = now.Add(holdDuration(v.Proven, next.Failed))
+	l.setVerdict(next, now)
 }
 
-// term is how long a call is held of which so many tries crashed endpoints.
-func term(proven bool, failed int) time.Duration {
-	held := firstTerm
+// holdDuration is the time to the next trial after the given number of failed ones.
+func holdDuration(proven bool, failedTrials int) time.Duration {
+	hold := initialHold
 	if proven {
-		held = provenTerm
+		hold = provenInitialHold
 	}
-	for range failed {
-		held = min(held*termGrowth, heldFor)
+	for range failedTrials {
+		hold = min(hold*holdGrowthFactor, maxHold)
 	}
-	return held
+	return hold
 }
 
-// decide makes a verdict, as a newer version of what is known.
-func (l *List) decide(v Verdict, now time.Time) {
+// setVerdict stores a verdict as a new version.
+func (l *List) setVerdict(v Verdict, now time.Time) {
 	if known, ok := l.verdicts[v.Content]; ok {
 		v.Version = known.Version
 	}
 	v.Version++
-	v.madeHere = true
-	l.put(v, now)
+	v.decidedLocally = true
+	l.storeVerdict(v, now)
 }
 
-func (l *List) put(v Verdict, now time.Time) {
-	v.forgetAt = now.Add(heldFor)
+func (l *List) storeVerdict(v Verdict, now time.Time) {
+	v.expiresAt = now.Add(maxHold)
 	if v.Cleared {
-		v.forgetAt = now.Add(clearedKeptFor)
+		v.expiresAt = now.Add(clearedRetention)
 	}
-	if _, known := l.verdicts[v.Content]; !known && len(l.verdicts) >= heldMost {
+	if _, known := l.verdicts[v.Content]; !known && len(l.verdicts) >= maxVerdicts {
 		l.dropOldestVerdict()
 	}
 	l.verdicts[v.Content] = &v
 }
 
-// EndedWell takes that a call that is held has ended well: it does no harm.
+// EndedWell ends the quarantine of a call that has succeeded.
 func (l *List) EndedWell(content uint64, now time.Time) {
-	l.forgive(content)
+	l.dropEvidence(content)
 	v, ok := l.verdicts[content]
 	if !ok || v.Cleared {
 		return
 	}
-	l.decide(Verdict{
+	l.setVerdict(Verdict{
 		Content: content,
 		Cleared: true,
 	}, now)
 }
 
-// forgive drops what counts against a content. What this VM saw goes too: it would be
-// told again to one that ranks first later.
-func (l *List) forgive(content uint64) {
+// dropEvidence removes the crashes of a content, including those observed here, which
+// would otherwise be reported again to a new owner.
+func (l *List) dropEvidence(content uint64) {
 	delete(l.suspects, content)
-	l.witnessed = slices.DeleteFunc(l.witnessed, func(w *witnessed) bool { return w.Content == content })
+	l.localCrashes = slices.DeleteFunc(l.localCrashes, func(w *localCrash) bool { return w.Content == content })
 }
 
-// suspect returns the entry of a content, and makes room for it.
+// suspect returns the entry of a content, and creates it if necessary.
 func (l *List) suspect(content uint64) *suspect {
 	if s, ok := l.suspects[content]; ok {
 		return s
 	}
-	if len(l.suspects) >= suspectsMost {
+	if len(l.suspects) >= maxSuspects {
 		l.dropOldestSuspect()
 	}
 	s := &suspect{}
@@ -259,34 +264,34 @@
 	var oldest uint64
 	var at time.Time
 	for content, v := range l.verdicts {
-		if at.IsZero() || v.forgetAt.Before(at) {
-			oldest, at = content, v.forgetAt
+		if at.IsZero() || v.expiresAt.Before(at) {
+			oldest, at = content, v.expiresAt
 		}
 	}
 	delete(l.verdicts, oldest)
 }
 
-// forget drops the crashes that count no more.
-func (s *suspect) forget(now time.Time) {
-	kept := crashKeptFor
+// dropExpired removes the crashes that no longer count.
+func (s *suspect) dropExpired(now time.Time) {
+	retention := crashRetention
 	if s.proven {
-		kept = provenWithin
+		retention = provenCrashWindow
 	}
-	s.crashes = slices.DeleteFunc(s.crashes, func(c Crash) bool { return now.Sub(c.At) > kept })
+	s.crashes = slices.DeleteFunc(s.crashes, func(c Crash) bool { return now.Sub(c.At) > retention })
 }
 
-// Step forgets what is over.
+// Step removes expired entries.
 func (l *List) Step(now time.Time) {
 	for content, s := range l.suspects {
-		s.forget(now)
+		s.dropExpired(now)
 		if len(s.crashes) == 0 {
 			delete(l.suspects, content)
 		}
 	}
 	for content, v := range l.verdicts {
-		if !now.Before(v.forgetAt) {
+		if !now.Before(v.expiresAt) {
 			delete(l.verdicts, content)
 		}
 	}
-	l.witnessed = slices.DeleteFunc(l.witnessed, func(w *witnessed) bool { return now.Sub(w.At) > crashKeptFor })
+	l.localCrashes = slices.DeleteFunc(l.localCrashes, func(w *localCrash) bool { return now.Sub(w.At) > crashRetention })
 }
--- a/quarantine/quarantine_test.go
+++ b/quarantine/quarantine_test.go
@@ -15,25 +15,26 @@
 	"github.com/fuchsianotch/fuchsianotch/fleet"
 )
 
-// lists is a fleet of lists with virtual time. A VM's region is its name without digits.
-type lists struct {
-	now   time.Time
-	order []string
-	vms   map[string]*List
-	lives map[string]uint64
-	// down are VMs that are not there, apart those that only reach one another.
-	down  map[string]bool
-	apart map[string]bool
+// simulation is a fleet of Lists with virtual time. A VM's region is its name without
+// digits.
+type simulation struct {
+	now          time.Time
+	order        []string
+	lists        map[string]*List
+	incarnations map[string]uint64
+	// down are VMs that do not run; isolated are VMs that reach only each other.
+	down     map[string]bool
+	isolated map[string]bool
 }
 
-func newLists(names ...string) *lists {
-	l := &lists{
-		now:   time.Unix(1e9, 0),
-		order: names,
-		vms:   make(map[string]*List),
-		lives: make(map[string]uint64),
-		down:  make(map[string]bool),
-		apart: make(map[string]bool),
+func newSimulation(names ...string) *simulation {
+	l := &simulation{
+		now:          time.Unix(1e9, 0),
+		order:        names,
+		lists:        make(map[string]*List),
+		incarnations: make(map[string]uint64),
+		down:         make(map[string]bool),
+		isolated:     make(map[string]bool),
 	}
 	for _, name := range names {
 		l.start(name)
@@ -41,29 +42,29 @@
 	return l
 }
 
-func (l *lists) start(name string) {
-	l.vms[name] = New(name)
-	l.lives[name]++
+func (l *simulation) start(name string) {
+	l.lists[name] = New(name)
+	l.incarnations[name]++
 	l.down[name] = false
 }
 
-// inReach returns the VMs that one reaches, with itself.
-func (l *lists) inReach(name string) (vms []Peer, parted bool) {
+// reachable returns the VMs that a VM can reach, including itself.
+func (l *simulation) reachable(name string) (vms []Peer, partitioned bool) {
 	for _, other := range l.order {
-		if l.down[other] || l.apart[other] != l.apart[name] {
-			parted = true
+		if l.down[other] || l.isolated[other] != l.isolated[name] {
+			partitioned = true
 			continue
 		}
 		vms = append(vms, Peer{
 			VM:          fleet.VM{ID: other, Region: strings.TrimRight(other, "0123456789")},
-			Incarnation: l.lives[other],
+			Incarnation: l.incarnations[other],
 		})
 	}
-	return vms, parted
+	return vms, partitioned
 }
 
-// deliver sends all notes that are due until there are none, and counts them.
-func (l *lists) deliver() int {
+// deliver delivers notes until none is due and returns their number.
+func (l *simulation) deliver() int {
 	count := 0
 	for sent := true; sent; {
 		sent = false
@@ -71,10 +72,10 @@
 			if l.down[name] {
 				continue
 			}
-			vms, parted := l.inReach(name)
-			for _, note := range l.vms[name].Due(vms, parted, l.now) {
-				l.vms[note.To.VM.ID].Take(note.Note, l.now)
-				l.vms[name].Sent(note, true)
+			vms, parted := l.reachable(name)
+			for _, note := range l.lists[name].Due(vms, parted, l.now) {
+				l.lists[note.To.VM.ID].Take(note.Note, l.now)
+				l.lists[name].Sent(note, true)
 				count++
 				sent = true
 			}
@@ -83,22 +84,22 @@
 	return count
 }
 
-func (l *lists) held(name string) string {
-	vms, _ := l.inReach(name)
+func (l *simulation) held(name string) string {
+	vms, _ := l.reachable(name)
 	var out []string
-	for _, h := range l.vms[name].Held(vms) {
+	for _, h := range l.lists[name].Held(vms) {
 		out = append(out, fmt.Sprintf("%d:%d", h.Content, h.Crashes))
 	}
 	slices.Sort(out)
 	return strings.Join(out, " ")
 }
 
-// tries tells which VMs may let a try through, and when.
-func (l *lists) tries(content uint64) string {
+// trials returns which VMs may admit a trial, and when.
+func (l *simulation) trials(content uint64) string {
 	var out []string
 	for _, name := range l.order {
-		vms, _ := l.inReach(name)
-		for _, h := range l.vms[name].Held(vms) {
+		vms, _ := l.reachable(name)
+		for _, h := range l.lists[name].Held(vms) {
 			if h.Content == content && !h.TryAt.IsZero() && !l.down[name] {
 				out = append(out, fmt.Sprintf("%s:%s", name, h.TryAt.Sub(l.now).Round(time.Second)))
 			}
@@ -107,20 +108,20 @@
 	return strings.Join(out, " ")
 }
 
-func (l *lists) do(t *testing.T, name string, words []string) string {
+func (l *simulation) do(t *testing.T, name string, words []string) string {
 	t.Helper()
 	switch name {
 	case "vms":
-		*l = *newLists(words...)
+		*l = *newSimulation(words...)
 	case "crash":
-		l.vms[words[0]].Witness(Crash{
+		l.lists[words[0]].Witness(Crash{
 			Content: number(t, words[1]),
 			Life:    number(t, words[2]),
 			At:      l.now,
 			Proven:  len(words) > 3,
 		})
 	case "ended_well":
-		l.vms[words[0]].EndedWell(number(t, words[1]), l.now)
+		l.lists[words[0]].EndedWell(number(t, words[1]), l.now)
 	case "deliver":
 		l.deliver()
 	case "notes":
@@ -129,7 +130,7 @@
 		d, err := time.ParseDuration(words[0])
 		assert.NilError(t, err)
 		l.now = l.now.Add(d)
-		for _, list := range l.vms {
+		for _, list := range l.lists {
 			list.Step(l.now)
 		}
 	case "stop":
@@ -138,18 +139,18 @@
 		l.start(words[0])
 	case "cut":
 		for _, vm := range words {
-			l.apart[vm] = true
+			l.isolated[vm] = true
 		}
 	case "heal":
-		clear(l.apart)
+		clear(l.isolated)
 	case "held":
 		return l.held(words[0])
 	case "tries":
-		return l.tries(number(t, words[0]))
+		return l.trials(number(t, words[0]))
 	case "owners":
-		vms, _ := l.inReach(l.order[0])
+		vms, _ := l.reachable(l.order[0])
 		var out []string
-		ranked := &ranking{vms: vms}
+		ranked := &ownerIndex{vms: vms}
 		for _, p := range ranked.owners(number(t, words[0])) {
 			out = append(out, p.VM.ID)
 		}
@@ -167,125 +168,125 @@
 	return n
 }
 
-// TestScripts plays crashes among VMs that start, stop and are cut off.
+// TestScripts runs the scripts in testdata: crashes on VMs that start, stop and are
+// partitioned.
 func TestScripts(t *testing.T) {
 	datatest.Scripts(t, "testdata/*.txtar", func() datatest.Do {
-		l := newLists()
-		return l.do
+		sim := newSimulation()
+		return sim.do
 	})
 }
 
-// TestAllAgree holds that VMs in reach of one another hold the same calls once all
-// notes have arrived, however crashes, cuts and starts fall, and that nothing is held
-// under which fewer endpoints crashed than it takes.
+// TestAllAgree checks that all VMs quarantine the same calls after random crashes,
+// partitions and restarts, and no call under which too few endpoints crashed.
 func TestAllAgree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		l := newLists("a1", "a2", "b1", "b2", "c1")
-		lives := make(map[uint64]map[uint64]bool)
+		sim := newSimulation("a1", "a2", "b1", "b2", "c1")
+		endpoints := make(map[uint64]map[uint64]bool)
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
-			vm := rapid.SampledFrom(l.order).Draw(t, "vm")
+			vm := rapid.SampledFrom(sim.order).Draw(t, "vm")
 			switch rapid.IntRange(0, 9).Draw(t, "what") {
 			case 0:
-				l.start(vm)
+				sim.start(vm)
 			case 1:
-				l.apart[vm] = true
+				sim.isolated[vm] = true
 			case 2:
-				clear(l.apart)
+				clear(sim.isolated)
 			case 3:
-				l.deliver()
+				sim.deliver()
 			case 4:
-				l.now = l.now.Add(time.Duration(rapid.IntRange(0, 90).Draw(t, "seconds")) * time.Second)
+				sim.now = sim.now.Add(time.Duration(rapid.IntRange(0, 90).Draw(t, "seconds")) * time.Second)
 			default:
 				content := rapid.Uint64Range(1, 3).Draw(t, "content")
-				life := rapid.Uint64Range(1, 8).Draw(t, "life")
-				l.vms[vm].Witness(Crash{Content: content, Life: life, At: l.now})
-				if lives[content] == nil {
-					lives[content] = make(map[uint64]bool)
+				endpoint := rapid.Uint64Range(1, 8).Draw(t, "life")
+				sim.lists[vm].Witness(Crash{Content: content, Life: endpoint, At: sim.now})
+				if endpoints[content] == nil {
+					endpoints[content] = make(map[uint64]bool)
 				}
-				lives[content][life] = true
+				endpoints[content][endpoint] = true
 			}
 		}
-		clear(l.apart)
-		l.deliver()
-		for _, name := range l.order {
-			assert.Equal(t, contents(l, name), contents(l, l.order[0]))
+		clear(sim.isolated)
+		sim.deliver()
+		for _, name := range sim.order {
+			assert.Equal(t, heldContents(sim, name), heldContents(sim, sim.order[0]))
 		}
-		for _, h := range l.vms[l.order[0]].Held(nil) {
-			assert.Assert(t, len(lives[h.Content]) >= crashesWhileParted)
+		for _, h := range sim.lists[sim.order[0]].Held(nil) {
+			assert.Assert(t, len(endpoints[h.Content]) >= crashesWhilePartitioned)
 		}
 	})
 }
 
-func contents(l *lists, name string) string {
+func heldContents(sim *simulation, name string) string {
 	var out []string
-	for _, h := range l.vms[name].Held(nil) {
+	for _, h := range sim.lists[name].Held(nil) {
 		out = append(out, strconv.FormatUint(h.Content, 10))
 	}
 	slices.Sort(out)
 	return strings.Join(out, " ")
 }
 
-// TestBounded holds that the state does not grow with the calls that were cut.
-func TestBounded(t *testing.T) {
-	l := newLists("a1")
-	for content := range uint64(4 * suspectsMost) {
-		for life := range 1 + content%4 {
-			l.vms["a1"].Witness(Crash{Content: content, Life: content*10 + life, At: l.now})
+// TestStateIsBounded checks that memory use does not grow with the number of crashed
+// calls.
+func TestStateIsBounded(t *testing.T) {
+	sim := newSimulation("a1")
+	for content := range uint64(4 * maxSuspects) {
+		for endpoint := range 1 + content%4 {
+			sim.lists["a1"].Witness(Crash{Content: content, Life: content*10 + endpoint, At: sim.now})
 		}
-		l.deliver()
-		l.now = l.now.Add(time.Millisecond)
+		sim.deliver()
+		sim.now = sim.now.Add(time.Millisecond)
 	}
-	list := l.vms["a1"]
-	assert.Assert(t, len(list.witnessed) <= witnessedMost)
-	assert.Assert(t, len(list.suspects) <= suspectsMost)
-	assert.Assert(t, len(list.verdicts) <= heldMost)
-	l.now = l.now.Add(heldFor)
-	list.Step(l.now)
-	assert.Equal(t, len(list.witnessed)+len(list.suspects)+len(list.verdicts), 0)
+	list := sim.lists["a1"]
+	assert.Assert(t, len(list.localCrashes) <= maxLocalCrashes)
+	assert.Assert(t, len(list.suspects) <= maxSuspects)
+	assert.Assert(t, len(list.verdicts) <= maxVerdicts)
+	sim.now = sim.now.Add(maxHold)
+	list.Step(sim.now)
+	assert.Equal(t, len(list.localCrashes)+len(list.suspects)+len(list.verdicts), 0)
 }
 
-// TestSuspects holds which ends of an answer may be the fault of its call.
-func TestSuspects(t *testing.T) {
+// TestMayHaveCrashed checks which broken-off answers may be due to the call.
+func TestMayHaveCrashed(t *testing.T) {
 	now := time.Unix(1e9, 0)
-	assert.Assert(t, Suspects(time.Time{}, now))
-	assert.Assert(t, Suspects(now.Add(-beganWellFor/2), now))
-	assert.Assert(t, !Suspects(now.Add(-2*beganWellFor), now))
+	assert.Assert(t, MayHaveCrashed(time.Time{}, now))
+	assert.Assert(t, MayHaveCrashed(now.Add(-healthyAnswerDuration/2), now))
+	assert.Assert(t, !MayHaveCrashed(now.Add(-2*healthyAnswerDuration), now))
 }
 
-// TestNotesOfManyCrashes loses many endpoints of a fleet of 300 VMs at once: each VM
-// that had 60 calls there writes to 32 others at the most, where it would be over 100
-// if each content were counted elsewhere, and no call is held.
-func TestNotesOfManyCrashes(t *testing.T) {
+// TestCrashNotesPerVM checks that a VM which loses many endpoints at once notifies at
+// most two VMs per shard, and that no call is quarantined for it.
+func TestCrashNotesPerVM(t *testing.T) {
 	var names []string
 	for i := range 300 {
 		names = append(names, fmt.Sprintf("%c%d", 'a'+i%3, i))
 	}
-	l := newLists(names...)
+	sim := newSimulation(names...)
 	for i := range uint64(60) {
-		l.vms["a0"].Witness(Crash{Content: i * 0x9e3779b97f4a7c15, Life: i % 24, At: l.now})
+		sim.lists["a0"].Witness(Crash{Content: i * 0x9e3779b97f4a7c15, Life: i % 24, At: sim.now})
 	}
-	vms, parted := l.inReach("a0")
-	notes := l.vms["a0"].Due(vms, parted, l.now)
-	assert.Assert(t, len(notes) <= 2*shards, len(notes))
-	l.deliver()
-	assert.Equal(t, l.held("b1"), "")
+	vms, partitioned := sim.reachable("a0")
+	notes := sim.lists["a0"].Due(vms, partitioned, sim.now)
+	assert.Assert(t, len(notes) <= 2*shardCount, len(notes))
+	sim.deliver()
+	assert.Equal(t, sim.held("b1"), "")
 }
 
-// BenchmarkDue is one look for what is to be told in a fleet of 300 VMs while two calls
-// are held and all know it: 28 µs, once a second.
+// BenchmarkDue measures Due in a fleet of 300 VMs that have all received the verdicts
+// on two quarantined calls.
 func BenchmarkDue(b *testing.B) {
 	var names []string
 	for i := range 300 {
 		names = append(names, fmt.Sprintf("%c%d", 'a'+i%3, i))
 	}
-	l := newLists(names...)
+	sim := newSimulation(names...)
 	for i := range uint64(6) {
-		l.vms["a0"].Witness(Crash{Content: i % 2, Life: i, At: l.now})
+		sim.lists["a0"].Witness(Crash{Content: i % 2, Life: i, At: sim.now})
 	}
-	l.deliver()
-	vms, parted := l.inReach("a0")
+	sim.deliver()
+	vms, partitioned := sim.reachable("a0")
 	b.ReportAllocs()
 	for b.Loop() {
-		l.vms["a0"].Due(vms, parted, l.now)
+		sim.lists["a0"].Due(vms, partitioned, sim.now)
 	}
 }
