--- a/admission/call_queue.go
+++ b/admission/call_queue.go
@@ -20,31 +20,31 @@
 }
 
 // insert adds a call behind those with the same latest start.
-func (l *callQueue) insert(e queuedCall) {
-	index, _ := slices.BinarySearchFunc(l.calls, e, func(other, e queuedCall) int {
+func (q *callQueue) insert(e queuedCall) {
+	index, _ := slices.BinarySearchFunc(q.calls, e, func(other, e queuedCall) int {
 		if other.latestStart.After(e.latestStart) {
 			return 1
 		}
 		return -1
 	})
-	l.calls = slices.Insert(l.calls, index, e)
+	q.calls = slices.Insert(q.calls, index, e)
 }
 
 // index returns the position of a call, or -1.
-func (l *callQueue) index(id uint64) int {
-	return slices.IndexFunc(l.calls, func(e queuedCall) bool { return e.id == id })
+func (q *callQueue) index(id uint64) int {
+	return slices.IndexFunc(q.calls, func(e queuedCall) bool { return e.id == id })
 }
 
-func (l *callQueue) remove(id uint64) bool {
-	index := l.index(id)
+func (q *callQueue) remove(id uint64) bool {
+	index := q.index(id)
 	if index >= 0 {
-		l.removeAt(index)
+		q.removeAt(index)
 	}
 	return index >= 0
 }
 
-func (l *callQueue) removeAt(index int) queuedCall {
-	removed := l.calls[index]
-	l.calls = slices.Delete(l.calls, index, index+1)
+func (q *callQueue) removeAt(index int) queuedCall {
+	removed := q.calls[index]
+	q.calls = slices.Delete(q.calls, index, index+1)
 	return removed
 }
--- a/admission/decision_test.go
+++ b/admission/decision_test.go
@@ -100,11 +100,11 @@
 	}.benchmark)
 }
 
-func (s workload) benchmark(b *testing.B) {
+func (w workload) benchmark(b *testing.B) {
 	for b.Loop() {
 		all := map[string][]float64{}
 		for seed := range uint64(seeds) {
-			for name, value := range s.run(seed + 1) {
+			for name, value := range w.run(seed + 1) {
 				all[name] = append(all[name], value)
 			}
 		}
@@ -136,99 +136,99 @@
 	usefulSlotSeconds float64
 }
 
-func (s workload) run(seed uint64) map[string]float64 {
-	r := &simulation{
-		workload:       s,
+func (w workload) run(seed uint64) map[string]float64 {
+	s := &simulation{
+		workload:       w,
 		clock:          enginetest.NewClock(),
 		random:         rand.New(rand.NewPCG(seed, 2)),
 		refusalLatency: enginetest.NewLatencies(),
 	}
-	r.measureFrom = r.clock.Now().Add(warmUp)
-	for p := range r.firstTokenLatency {
-		r.firstTokenLatency[p] = enginetest.NewLatencies()
+	s.measureFrom = s.clock.Now().Add(warmUp)
+	for p := range s.firstTokenLatency {
+		s.firstTokenLatency[p] = enginetest.NewLatencies()
 	}
-	r.start()
-	end := r.clock.Now().Add(runDuration)
+	s.start()
+	end := s.clock.Now().Add(runDuration)
 	for p, c := range classes {
-		if s.urgentOnly && call.Priority(p) != call.PriorityUrgent {
+		if w.urgentOnly && call.Priority(p) != call.PriorityUrgent {
 			continue
 		}
-		rate := s.load * c.share * engineCount * engineSlots / c.slotSeconds
-		if s.reportBurst && call.Priority(p) == call.PriorityReport {
-			r.clock.Every(time.Minute, func() {
-				r.clock.Poisson(r.random, rate*6, r.clock.Now().Add(10*time.Second), func() { r.arrive(call.PriorityReport) })
+		rate := w.load * c.share * engineCount * engineSlots / c.slotSeconds
+		if w.reportBurst && call.Priority(p) == call.PriorityReport {
+			s.clock.Every(time.Minute, func() {
+				s.clock.Poisson(s.random, rate*6, s.clock.Now().Add(10*time.Second), func() { s.arrive(call.PriorityReport) })
 			})
 			continue
 		}
-		r.clock.Poisson(r.random, rate, end, func() { r.arrive(call.Priority(p)) })
+		s.clock.Poisson(s.random, rate, end, func() { s.arrive(call.Priority(p)) })
 	}
-	r.clock.Run(end)
+	s.clock.Run(end)
 	measured := (runDuration - warmUp).Seconds()
-	share := func(p call.Priority) float64 { return 100 * r.inTime[p] / max(r.arrived[p], 1) }
+	share := func(p call.Priority) float64 { return 100 * s.inTime[p] / max(s.arrived[p], 1) }
 	return map[string]float64{
-		"urgent_p99_ms": r.firstTokenLatency[call.PriorityUrgent].Milliseconds(99),
-		"chat_p99_ms":   r.firstTokenLatency[call.PriorityChat].Milliseconds(99),
-		"urgent_pct":    share(call.PriorityUrgent), "urgent_late": 100 * r.late[0] / max(r.arrived[0], 1), "chat_late": 100 * r.late[1] / max(r.arrived[1], 1),
+		"urgent_p99_ms": s.firstTokenLatency[call.PriorityUrgent].Milliseconds(99),
+		"chat_p99_ms":   s.firstTokenLatency[call.PriorityChat].Milliseconds(99),
+		"urgent_pct":    share(call.PriorityUrgent), "urgent_late": 100 * s.late[0] / max(s.arrived[0], 1), "chat_late": 100 * s.late[1] / max(s.arrived[1], 1),
 		"chat_pct":       share(call.PriorityChat),
 		"report_pct":     share(call.PriorityReport),
-		"late_pct":       100 * (r.late[0] + r.late[1] + r.late[2]) / (r.arrived[0] + r.arrived[1] + r.arrived[2]),
-		"goodput":        r.usefulSlotSeconds / measured / (engineCount * engineSlots),
-		"refusal_p99_ms": r.refusalLatency.Milliseconds(99),
+		"late_pct":       100 * (s.late[0] + s.late[1] + s.late[2]) / (s.arrived[0] + s.arrived[1] + s.arrived[2]),
+		"goodput":        s.usefulSlotSeconds / measured / (engineCount * engineSlots),
+		"refusal_p99_ms": s.refusalLatency.Milliseconds(99),
 	}
 }
 
-func (r *simulation) start() {
+func (s *simulation) start() {
 	for i := range engineCount {
-		r.engines = append(r.engines, &enginetest.Engine{
-			Clock:    r.clock,
+		s.engines = append(s.engines, &enginetest.Engine{
+			Clock:    s.clock,
 			Slots:    engineSlots,
 			Speed:    100,
 			Prefill:  8000,
 			Prefixes: 40,
 		})
-		r.endpoints = append(r.endpoints, fleet.Endpoint{
+		s.endpoints = append(s.endpoints, fleet.Endpoint{
 			ID:    fmt.Sprintf("endpoint-%d", i),
 			Slots: engineSlots,
 			State: fleet.StateLive,
 		})
-		r.clock.After(time.Duration(r.random.IntN(1000))*time.Millisecond, func() {
-			r.clock.Every(time.Second, func() { r.reportLoad(i) })
+		s.clock.After(time.Duration(s.random.IntN(1000))*time.Millisecond, func() {
+			s.clock.Every(time.Second, func() { s.reportLoad(i) })
 		})
 	}
 	for range vmCount {
-		p := routing.New(routing.Options{Rand: r.random.Uint64})
+		p := routing.New(routing.Options{Rand: s.random.Uint64})
 		p.SetVMs(vmCount)
-		p.SetEndpoints(r.endpoints, r.clock.Now())
+		p.SetEndpoints(s.endpoints, s.clock.Now())
 		q := New(Options{
-			Policy: r.policy,
-			Now:    r.clock.Now,
+			Policy: s.policy,
+			Now:    s.clock.Now,
 		}, p)
-		q.schedule = r.clock.After
-		r.pools = append(r.pools, p)
-		r.queues = append(r.queues, q)
+		q.schedule = s.clock.After
+		s.pools = append(s.pools, p)
+		s.queues = append(s.queues, q)
 	}
 }
 
-func (r *simulation) reportLoad(i int) {
-	l := r.engines[i].Load()
-	r.clock.After(loadReportDelay, func() {
-		for vm, p := range r.pools {
-			p.Report(r.endpoints[i].ID, l, r.clock.Now())
-			r.queues[vm].Poke(r.clock.Now())
+func (s *simulation) reportLoad(i int) {
+	l := s.engines[i].Load()
+	s.clock.After(loadReportDelay, func() {
+		for vm, p := range s.pools {
+			p.Report(s.endpoints[i].ID, l, s.clock.Now())
+			s.queues[vm].Poke(s.clock.Now())
 		}
 	})
 }
 
 // arrive delivers a call to the primary or, in 30% of the cases, the secondary VM of
 // its prefix.
-func (r *simulation) arrive(p call.Priority) {
+func (s *simulation) arrive(p call.Priority) {
 	c := classes[p]
-	prefix := uint64(r.random.IntN(40)) + 1
+	prefix := uint64(s.random.IntN(40)) + 1
 	vm := int(prefix) % vmCount
-	if r.random.IntN(10) < 3 {
+	if s.random.IntN(10) < 3 {
 		vm = (vm + 1) % vmCount
 	}
-	now := r.clock.Now()
+	now := s.clock.Now()
 	request := Request{
 		Priority:     p,
 		WholeBy:      now.Add(c.completeWithin),
@@ -239,71 +239,71 @@
 	if c.firstTokenWithin > 0 {
 		request.FirstBy = now.Add(c.firstTokenWithin)
 	}
-	if now.After(r.measureFrom) {
-		r.arrived[p]++
+	if now.After(s.measureFrom) {
+		s.arrived[p]++
 	}
-	tokens := c.minTokens + r.random.IntN(c.extraTokens)
-	if r.policy == policyNone {
-		choice, _ := r.pools[vm].Choose(request.routingRequest(), now)
-		r.send(vm, request, prefix, tokens, Slot{Choice: choice}, now)
+	tokens := c.minTokens + s.random.IntN(c.extraTokens)
+	if s.policy == policyNone {
+		choice, _ := s.pools[vm].Choose(request.routingRequest(), now)
+		s.send(vm, request, prefix, tokens, Slot{Choice: choice}, now)
 		return
 	}
-	r.queues[vm].enqueue(waiter{
+	s.queues[vm].enqueue(waiter{
 		request: request,
 		answer: func(a answer) {
 			if a.refusal == nil {
-				r.send(vm, request, prefix, tokens, a.slot, now)
-			} else if now.After(r.measureFrom) {
-				r.refusalLatency.Add(r.clock.Now().Sub(now))
+				s.send(vm, request, prefix, tokens, a.slot, now)
+			} else if now.After(s.measureFrom) {
+				s.refusalLatency.Add(s.clock.Now().Sub(now))
 			}
 		},
 	}, now)
 }
 
-func (r *simulation) send(vm int, request Request, prefix uint64, tokens int, slot Slot, arrivedAt time.Time) {
+func (s *simulation) send(vm int, request Request, prefix uint64, tokens int, slot Slot, arrivedAt time.Time) {
 	p := request.Priority
 	var firstAt time.Time
-	i := slices.IndexFunc(r.endpoints, func(e fleet.Endpoint) bool { return e.ID == slot.Choice.Endpoint.ID })
-	r.engines[i].Send(enginetest.Job{
+	i := slices.IndexFunc(s.endpoints, func(e fleet.Endpoint) bool { return e.ID == slot.Choice.Endpoint.ID })
+	s.engines[i].Send(enginetest.Job{
 		Prefix:       prefix,
 		PrefixTokens: classes[p].prefixTokens,
 		PromptTokens: request.PromptTokens,
 		Tokens:       tokens,
 		Priority:     p,
 		First: func() {
-			firstAt = r.clock.Now()
-			if arrivedAt.After(r.measureFrom) {
-				r.firstTokenLatency[p].Add(firstAt.Sub(arrivedAt))
+			firstAt = s.clock.Now()
+			if arrivedAt.After(s.measureFrom) {
+				s.firstTokenLatency[p].Add(firstAt.Sub(arrivedAt))
 			}
 		},
 		End: func(u call.Usage) {
-			now := r.clock.Now()
-			r.recordResult(request, firstAt, now, arrivedAt, tokens)
+			now := s.clock.Now()
+			s.recordResult(request, firstAt, now, arrivedAt, tokens)
 			o := routing.Outcome{
 				Code:    result.Done,
 				Usage:   u,
 				Sent:    true,
 				FirstAt: firstAt,
 			}
-			if r.policy == policyNone {
-				r.pools[vm].Done(slot.Choice, o, now)
+			if s.policy == policyNone {
+				s.pools[vm].Done(slot.Choice, o, now)
 				return
 			}
-			r.queues[vm].Release(slot, o, now)
+			s.queues[vm].Release(slot, o, now)
 		},
 	})
 }
 
-func (r *simulation) recordResult(request Request, firstAt, endAt, arrivedAt time.Time, tokens int) {
-	if !arrivedAt.After(r.measureFrom) {
+func (s *simulation) recordResult(request Request, firstAt, endAt, arrivedAt time.Time, tokens int) {
+	if !arrivedAt.After(s.measureFrom) {
 		return
 	}
 	p := request.Priority
 	if endAt.After(request.WholeBy) || (!request.FirstBy.IsZero() && firstAt.After(request.FirstBy)) {
-		r.late[p]++
+		s.late[p]++
 		return
 	}
-	r.inTime[p]++
+	s.inTime[p]++
 	c := classes[p]
-	r.usefulSlotSeconds += c.slotSeconds * float64(tokens) / (float64(c.minTokens) + float64(c.extraTokens)/2)
+	s.usefulSlotSeconds += c.slotSeconds * float64(tokens) / (float64(c.minTokens) + float64(c.extraTokens)/2)
 }
--- a/placement/late.go
+++ b/placement/late.go
@@ -68,9 +68,9 @@
 }
 
 // decayed returns the value of the average at the given time.
-func (g missRate) decayed(now time.Time) float64 {
-	if g.value == 0 {
+func (r missRate) decayed(now time.Time) float64 {
+	if r.value == 0 {
 		return 0
 	}
-	return g.value * math.Exp2(-float64(now.Sub(g.updatedAt))/float64(missRateHalfLife))
+	return r.value * math.Exp2(-float64(now.Sub(r.updatedAt))/float64(missRateHalfLife))
 }
--- a/placement/overload_test.go
+++ b/placement/overload_test.go
@@ -74,96 +74,96 @@
 }
 
 func (row overloadRow) run(t *testing.T) {
-	w := &overloadSim{
+	s := &overloadSim{
 		row:     row,
 		clock:   enginetest.NewClock(),
 		random:  rand.New(rand.NewPCG(3, 1)),
 		engines: make(map[string]*enginetest.Reader),
 		sent:    placement.NewSent(),
 	}
-	w.start()
-	end := w.clock.Now().Add(runDuration)
-	w.clock.Poisson(w.random, row.Load*engineCount*prefillPerSecond/meanPromptTokens, end, w.sendCall)
-	w.clock.Run(end.Add(time.Minute))
-	part := float64(w.onTime) / float64(w.calls)
-	t.Logf("on time: %.3f of %d calls", part, w.calls)
+	s.start()
+	end := s.clock.Now().Add(runDuration)
+	s.clock.Poisson(s.random, row.Load*engineCount*prefillPerSecond/meanPromptTokens, end, s.sendCall)
+	s.clock.Run(end.Add(time.Minute))
+	part := float64(s.onTime) / float64(s.calls)
+	t.Logf("on time: %.3f of %d calls", part, s.calls)
 	assert.Assert(t, part >= row.Least && part <= row.Most, "%.3f", part)
 }
 
-func (w *overloadSim) start() {
+func (s *overloadSim) start() {
 	var ids []string
 	for i := range engineCount {
 		id := string(rune('a' + i))
-		w.engines[id] = &enginetest.Reader{
-			Clock:     w.clock,
+		s.engines[id] = &enginetest.Reader{
+			Clock:     s.clock,
 			PerSecond: prefillPerSecond,
 		}
 		ids = append(ids, id)
 	}
-	w.pools = enginetest.Pools(2, ids, w.random, w.clock.Now())
-	w.clock.Every(loadReportInterval, w.reportLoad)
-	w.clock.Every(backlogShareInterval, w.shareBacklogs)
+	s.pools = enginetest.Pools(2, ids, s.random, s.clock.Now())
+	s.clock.Every(loadReportInterval, s.reportLoad)
+	s.clock.Every(backlogShareInterval, s.shareBacklogs)
 }
 
 // reportLoad sends the serving region's expected latency to the sending region.
-func (w *overloadSim) reportLoad() {
-	now := w.clock.Now()
-	expected, _ := w.pools[0].Expect(routing.Request{PromptTokens: loadReportPromptTokens}, now)
-	supply := w.pools[0].Supply(now)
-	w.reportedLoad = placement.Load{
+func (s *overloadSim) reportLoad() {
+	now := s.clock.Now()
+	expected, _ := s.pools[0].Expect(routing.Request{PromptTokens: loadReportPromptTokens}, now)
+	supply := s.pools[0].Supply(now)
+	s.reportedLoad = placement.Load{
 		Region:    "far",
 		Endpoints: supply.Endpoints,
 		First:     expected.First,
 		Way:       roundTrip,
 	}
-	w.reportedPrefillRate = supply.PrefillPerSecond
-	w.reportedAt = now
+	s.reportedPrefillRate = supply.PrefillPerSecond
+	s.reportedAt = now
 }
 
-func (w *overloadSim) shareBacklogs() {
-	now := w.clock.Now()
-	for i, from := range w.pools {
+func (s *overloadSim) shareBacklogs() {
+	now := s.clock.Now()
+	for i, from := range s.pools {
 		list, _ := from.Unread()
-		w.pools[1-i].TakeUnread(string(rune('0'+i)), list, now, now)
+		s.pools[1-i].TakeUnread(string(rune('0'+i)), list, now, now)
 	}
 }
 
 // sendCall sends a call to a random VM of the serving region.
-func (w *overloadSim) sendCall() {
-	w.nextPrefixID++
-	w.calls++
-	tokens := 100 + int(w.random.ExpFloat64()*(meanPromptTokens-100))
-	deadline := w.clock.Now().Add(firstTokenObjective)
-	senderExpectsLate := w.senderExpectsLate(tokens, deadline)
-	w.sent.Add("far", "s", float64(tokens), w.clock.Now())
-	w.clock.After(roundTrip/2, func() { w.receiveCall(tokens, deadline, senderExpectsLate) })
+func (s *overloadSim) sendCall() {
+	s.nextPrefixID++
+	s.calls++
+	tokens := 100 + int(s.random.ExpFloat64()*(meanPromptTokens-100))
+	deadline := s.clock.Now().Add(firstTokenObjective)
+	senderExpectsLate := s.senderExpectsLate(tokens, deadline)
+	s.sent.Add("far", "s", float64(tokens), s.clock.Now())
+	s.clock.After(roundTrip/2, func() { s.receiveCall(tokens, deadline, senderExpectsLate) })
 }
 
-func (w *overloadSim) senderExpectsLate(tokens int, deadline time.Time) bool {
-	if w.reportedAt.IsZero() {
+func (s *overloadSim) senderExpectsLate(tokens int, deadline time.Time) bool {
+	if s.reportedAt.IsZero() {
 		return false
 	}
-	load := w.reportedLoad
-	extraTokens := float64(tokens-loadReportPromptTokens) + w.sent.Since("far", "s", w.reportedAt, 1)/float64(load.Endpoints)
-	load.First += time.Duration(extraTokens / w.reportedPrefillRate * float64(time.Second))
-	return placement.Yields(load, deadline, w.clock.Now())
+	load := s.reportedLoad
+	extraTokens := float64(tokens-loadReportPromptTokens) + s.sent.Since("far", "s", s.reportedAt, 1)/float64(load.Endpoints)
+	load.First += time.Duration(extraTokens / s.reportedPrefillRate * float64(time.Second))
+	return placement.Yields(load, deadline, s.clock.Now())
 }
 
-func (w *overloadSim) receiveCall(tokens int, deadline time.Time, senderExpectsLate bool) {
-	now := w.clock.Now()
-	pool := w.pools[w.random.IntN(len(w.pools))]
-	parts := []call.PromptPart{{ID: w.nextPrefixID, Tokens: 1}, {ID: w.nextPrefixID, Tokens: tokens - 1}}
+func (s *overloadSim) receiveCall(tokens int, deadline time.Time, senderExpectsLate bool) {
+	now := s.clock.Now()
+	pool := s.pools[s.random.IntN(len(s.pools))]
+	parts := []call.PromptPart{{ID: s.nextPrefixID, Tokens: 1}, {ID: s.nextPrefixID, Tokens: tokens - 1}}
 	request := routing.Request{
 		Prefixes:     routing.Prefixes("", parts),
 		PromptTokens: tokens,
 		MaxTokens:    20,
 	}
 	localDeadline := deadline.Add(roundTrip / 2)
-	if w.row.Counted {
+	if s.row.Counted {
 		localDeadline = deadline.Add(-roundTrip / 2)
 	}
 	routed := call.Routed{Late: senderExpectsLate}
-	if w.row.Decides == "server" {
+	if s.row.Decides == "server" {
 		expected, _ := pool.Expect(request, now)
 		routed.Late = placement.Yields(placement.Load{First: expected.First}, localDeadline, now)
 	}
@@ -172,27 +172,27 @@
 	if !ok {
 		return
 	}
-	w.prefill(pool, choice, request, deadline)
+	s.prefill(pool, choice, request, deadline)
 }
 
-func (w *overloadSim) prefill(pool *routing.Pool, choice routing.Choice, request routing.Request, deadline time.Time) {
-	engine := w.engines[choice.Endpoint.ID]
+func (s *overloadSim) prefill(pool *routing.Pool, choice routing.Choice, request routing.Request, deadline time.Time) {
+	engine := s.engines[choice.Endpoint.ID]
 	prompt := &enginetest.Prompt{
 		Tokens: float64(request.PromptTokens),
 		Turn:   request.Turn,
 	}
 	prompt.Read = func() {
-		now := w.clock.Now()
+		now := s.clock.Now()
 		pool.Began(choice, now)
 		pool.Done(choice, routing.Outcome{Code: result.Done, Sent: true, FirstAt: now}, now)
 		if !now.Add(roundTrip / 2).After(deadline) {
-			w.onTime++
+			s.onTime++
 		}
 	}
 	engine.Send(prompt)
-	w.clock.After(callerTimeout-roundTrip, func() {
+	s.clock.After(callerTimeout-roundTrip, func() {
 		if engine.Drop(prompt) {
-			pool.Done(choice, routing.Outcome{Code: result.EndpointTimeout, Sent: true, Canceled: true}, w.clock.Now())
+			pool.Done(choice, routing.Outcome{Code: result.EndpointTimeout, Sent: true, Canceled: true}, s.clock.Now())
 		}
 	})
 }
--- a/quarantine/agent/check.go
+++ b/quarantine/agent/check.go
@@ -60,8 +60,8 @@
 }
 
 // hash identifies the instance in notes.
-func (l instance) hash() uint64 {
-	return xxhash.Sum64String(l.endpoint + " " + strconv.FormatInt(l.incarnation, 10))
+func (i instance) hash() uint64 {
+	return xxhash.Sum64String(i.endpoint + " " + strconv.FormatInt(i.incarnation, 10))
 }
 
 // check is the check of one instance.
--- a/quarantine/agent/check_test.go
+++ b/quarantine/agent/check_test.go
@@ -46,10 +46,10 @@
 		looks  int
 	}{
 		{name: "nothing listens", outcomes: []error{syscall.ECONNREFUSED}, want: stateCrashed, looks: 1},
-		{name: "it left", outcomes: []error{syscall.ECONNREFUSED}, leaves: true, want: stateLeft, looks: 1},
-		{name: "it answers", outcomes: []error{nil}, want: stateAnswers, looks: 1},
-		{name: "a packet was lost", outcomes: []error{timeout, syscall.ECONNREFUSED}, want: stateCrashed, looks: 2},
-		{name: "cut off", outcomes: []error{timeout}, want: stateSilent, looks: maxDials},
+		{name: "endpoint stopped as planned", outcomes: []error{syscall.ECONNREFUSED}, leaves: true, want: stateLeft, looks: 1},
+		{name: "endpoint answers", outcomes: []error{nil}, want: stateAnswers, looks: 1},
+		{name: "one packet lost", outcomes: []error{timeout, syscall.ECONNREFUSED}, want: stateCrashed, looks: 2},
+		{name: "partitioned", outcomes: []error{timeout}, want: stateSilent, looks: maxDials},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
--- a/quarantine/quarantine_test.go
+++ b/quarantine/quarantine_test.go
@@ -28,7 +28,7 @@
 }
 
 func newSimulation(names ...string) *simulation {
-	l := &simulation{
+	s := &simulation{
 		now:          time.Unix(1e9, 0),
 		order:        names,
 		lists:        make(map[string]*List),
@@ -37,45 +37,45 @@
 		isolated:     make(map[string]bool),
 	}
 	for _, name := range names {
-		l.start(name)
+		s.start(name)
 	}
-	return l
+	return s
 }
 
-func (l *simulation) start(name string) {
-	l.lists[name] = New(name)
-	l.incarnations[name]++
-	l.down[name] = false
+func (s *simulation) start(name string) {
+	s.lists[name] = New(name)
+	s.incarnations[name]++
+	s.down[name] = false
 }
 
 // reachable returns the VMs that a VM can reach, including itself.
-func (l *simulation) reachable(name string) (vms []Peer, partitioned bool) {
-	for _, other := range l.order {
-		if l.down[other] || l.isolated[other] != l.isolated[name] {
+func (s *simulation) reachable(name string) (vms []Peer, partitioned bool) {
+	for _, other := range s.order {
+		if s.down[other] || s.isolated[other] != s.isolated[name] {
 			partitioned = true
 			continue
 		}
 		vms = append(vms, Peer{
 			VM:          fleet.VM{ID: other, Region: strings.TrimRight(other, "0123456789")},
-			Incarnation: l.incarnations[other],
+			Incarnation: s.incarnations[other],
 		})
 	}
 	return vms, partitioned
 }
 
 // deliver delivers notes until none is due and returns their number.
-func (l *simulation) deliver() int {
+func (s *simulation) deliver() int {
 	count := 0
 	for sent := true; sent; {
 		sent = false
-		for _, name := range l.order {
-			if l.down[name] {
+		for _, name := range s.order {
+			if s.down[name] {
 				continue
 			}
-			vms, parted := l.reachable(name)
-			for _, note := range l.lists[name].Due(vms, parted, l.now) {
-				l.lists[note.To.VM.ID].Take(note.Note, l.now)
-				l.lists[name].Sent(note, true)
+			vms, parted := s.reachable(name)
+			for _, note := range s.lists[name].Due(vms, parted, s.now) {
+				s.lists[note.To.VM.ID].Take(note.Note, s.now)
+				s.lists[name].Sent(note, true)
 				count++
 				sent = true
 			}
@@ -84,10 +84,10 @@
 	return count
 }
 
-func (l *simulation) held(name string) string {
-	vms, _ := l.reachable(name)
+func (s *simulation) held(name string) string {
+	vms, _ := s.reachable(name)
 	var out []string
-	for _, h := range l.lists[name].Held(vms) {
+	for _, h := range s.lists[name].Held(vms) {
 		out = append(out, fmt.Sprintf("%d:%d", h.Content, h.Crashes))
 	}
 	slices.Sort(out)
@@ -95,60 +95,60 @@
 }
 
 // trials returns which VMs may admit a trial, and when.
-func (l *simulation) trials(content uint64) string {
+func (s *simulation) trials(content uint64) string {
 	var out []string
-	for _, name := range l.order {
-		vms, _ := l.reachable(name)
-		for _, h := range l.lists[name].Held(vms) {
-			if h.Content == content && !h.TryAt.IsZero() && !l.down[name] {
-				out = append(out, fmt.Sprintf("%s:%s", name, h.TryAt.Sub(l.now).Round(time.Second)))
+	for _, name := range s.order {
+		vms, _ := s.reachable(name)
+		for _, h := range s.lists[name].Held(vms) {
+			if h.Content == content && !h.TryAt.IsZero() && !s.down[name] {
+				out = append(out, fmt.Sprintf("%s:%s", name, h.TryAt.Sub(s.now).Round(time.Second)))
 			}
 		}
 	}
 	return strings.Join(out, " ")
 }
 
-func (l *simulation) do(t *testing.T, name string, words []string) string {
+func (s *simulation) do(t *testing.T, name string, words []string) string {
 	t.Helper()
 	switch name {
 	case "vms":
-		*l = *newSimulation(words...)
+		*s = *newSimulation(words...)
 	case "crash":
-		l.lists[words[0]].Witness(Crash{
+		s.lists[words[0]].Witness(Crash{
 			Content: number(t, words[1]),
 			Life:    number(t, words[2]),
-			At:      l.now,
+			At:      s.now,
 			Proven:  len(words) > 3,
 		})
 	case "ended_well":
-		l.lists[words[0]].EndedWell(number(t, words[1]), l.now)
+		s.lists[words[0]].EndedWell(number(t, words[1]), s.now)
 	case "deliver":
-		l.deliver()
+		s.deliver()
 	case "notes":
-		return strconv.Itoa(l.deliver())
+		return strconv.Itoa(s.deliver())
 	case "after":
 		d, err := time.ParseDuration(words[0])
 		assert.NilError(t, err)
-		l.now = l.now.Add(d)
-		for _, list := range l.lists {
-			list.Step(l.now)
+		s.now = s.now.Add(d)
+		for _, list := range s.lists {
+			list.Step(s.now)
 		}
 	case "stop":
-		l.down[words[0]] = true
+		s.down[words[0]] = true
 	case "start":
-		l.start(words[0])
+		s.start(words[0])
 	case "cut":
 		for _, vm := range words {
-			l.isolated[vm] = true
+			s.isolated[vm] = true
 		}
 	case "heal":
-		clear(l.isolated)
+		clear(s.isolated)
 	case "held":
-		return l.held(words[0])
+		return s.held(words[0])
 	case "tries":
-		return l.trials(number(t, words[0]))
+		return s.trials(number(t, words[0]))
 	case "owners":
-		vms, _ := l.reachable(l.order[0])
+		vms, _ := s.reachable(s.order[0])
 		var out []string
 		ranked := &ownerIndex{vms: vms}
 		for _, p := range ranked.owners(number(t, words[0])) {
--- a/throttle/keeper.go
+++ b/throttle/keeper.go
@@ -121,15 +121,15 @@
 }
 
 // next returns the next retry time between earliest and latest.
-func (t *retrySchedule) next(earliest time.Time, spacing time.Duration, latest time.Time) time.Time {
-	at := t.last.Add(spacing)
+func (s *retrySchedule) next(earliest time.Time, spacing time.Duration, latest time.Time) time.Time {
+	at := s.last.Add(spacing)
 	if at.Before(earliest) {
 		at = earliest
 	}
 	if at.After(latest) {
 		at = latest
 	}
-	t.last = at
+	s.last = at
 	if at.Before(earliest) {
 		return earliest
 	}
--- a/throttle/simulation_test.go
+++ b/throttle/simulation_test.go
@@ -82,29 +82,29 @@
 
 var origin = time.Unix(1e9, 0)
 
-func newSimulation(s scenario, chosen strategy, seed uint64) *simulation {
-	w := &simulation{
-		scenario: s,
+func newSimulation(c scenario, chosen strategy, seed uint64) *simulation {
+	s := &simulation{
+		scenario: c,
 		strategy: chosen,
 		rand:     rand.New(rand.NewPCG(seed, 1)),
 		now:      origin,
 		sent:     make(map[string][]time.Time),
 	}
-	for i := range s.VMs {
+	for i := range c.VMs {
 		v := &simulatedVM{
 			VM: fleet.VM{
 				ID: fmt.Sprintf("vm-%d", i),
 			},
 			index: i,
 		}
-		w.vms = append(w.vms, v)
-		w.start(v, origin.Add(-time.Minute))
+		s.vms = append(s.vms, v)
+		s.start(v, origin.Add(-time.Minute))
 	}
-	return w
+	return s
 }
 
 // start starts a VM, which knows all limits from its first exchange.
-func (w *simulation) start(v *simulatedVM, at time.Time) {
+func (s *simulation) start(v *simulatedVM, at time.Time) {
 	v.startedAt = at
 	v.regionUntil = at
 	v.buckets = make(map[string]*tokenBucket)
@@ -112,12 +112,12 @@
 		VM:        v.ID,
 		StartedAt: at,
 	})
-	for i := range w.Endpoints {
+	for i := range s.Endpoints {
 		v.throttle.Learn(Limit{
 			Endpoint:  endpointName(i),
 			Version:   1,
 			Active:    true,
-			PerSecond: w.PerSecond,
+			PerSecond: s.PerSecond,
 		}, at)
 	}
 }
@@ -127,8 +127,8 @@
 func simTime(s float64) time.Time { return origin.Add(time.Duration(s * float64(time.Second))) }
 
 // reaches reports whether two VMs are on the same side of a partition.
-func (w *simulation) reaches(a, b *simulatedVM, at time.Time) bool {
-	parted := w.Halves > 0 && !at.Before(simTime(w.Halves))
+func (s *simulation) reaches(a, b *simulatedVM, at time.Time) bool {
+	parted := s.Halves > 0 && !at.Before(simTime(s.Halves))
 	return a == b || !parted || a.index%2 == b.index%2
 }
 
@@ -136,20 +136,20 @@
 const regionInterval = 50 * time.Millisecond
 
 // regionOf returns the VM's view of the others.
-func (w *simulation) regionOf(v *simulatedVM) Region {
-	if !w.now.Before(v.regionUntil) {
-		v.region = w.observeRegion(v)
-		v.regionUntil = w.now.Add(regionInterval)
+func (s *simulation) regionOf(v *simulatedVM) Region {
+	if !s.now.Before(v.regionUntil) {
+		v.region = s.observeRegion(v)
+		v.regionUntil = s.now.Add(regionInterval)
 		v.senders = make(map[string][]fleet.VM)
 	}
 	return v.region
 }
 
-func (w *simulation) observeRegion(v *simulatedVM) Region {
+func (s *simulation) observeRegion(v *simulatedVM) Region {
 	var r Region
-	for _, other := range w.vms {
-		known := other == v || w.now.Sub(v.startedAt) >= membershipDelay
-		if known && w.reaches(v, other, w.now.Add(-partitionNoticeDelay)) {
+	for _, other := range s.vms {
+		known := other == v || s.now.Sub(v.startedAt) >= membershipDelay
+		if known && s.reaches(v, other, s.now.Add(-partitionNoticeDelay)) {
 			r.Near = append(r.Near, other.VM)
 		}
 	}
@@ -160,86 +160,86 @@
 // timeStep is the resolution of the simulated time.
 const timeStep = 10 * time.Millisecond
 
-func (w *simulation) run() {
-	killed, rolled := w.Killed > 0, 0
+func (s *simulation) run() {
+	killed, rolled := s.Killed > 0, 0
 	dueCalls := 0.0
-	for ; w.now.Before(simTime(w.Length)); w.now = w.now.Add(timeStep) {
-		if killed && !w.now.Before(simTime(w.Killed)) {
+	for ; s.now.Before(simTime(s.Length)); s.now = s.now.Add(timeStep) {
+		if killed && !s.now.Before(simTime(s.Killed)) {
 			killed = false
-			for _, v := range w.vms {
-				w.start(v, w.now.Add(time.Second))
+			for _, v := range s.vms {
+				s.start(v, s.now.Add(time.Second))
 			}
 		}
-		if next := simTime(w.Rolled * float64(rolled+1)); w.Rolled > 0 && !w.now.Before(next) {
-			w.start(w.vms[rolled%len(w.vms)], w.now)
+		if next := simTime(s.Rolled * float64(rolled+1)); s.Rolled > 0 && !s.now.Before(next) {
+			s.start(s.vms[rolled%len(s.vms)], s.now)
 			rolled++
 		}
-		if w.now.Before(simTime(w.From)) {
+		if s.now.Before(simTime(s.From)) {
 			continue
 		}
-		for dueCalls += w.Calls * timeStep.Seconds(); dueCalls >= 1; dueCalls-- {
-			w.simulateCall()
+		for dueCalls += s.Calls * timeStep.Seconds(); dueCalls >= 1; dueCalls-- {
+			s.simulateCall()
 		}
 	}
 }
 
 // simulateCall delivers a call to a VM, which tries the endpoints in random order.
-func (w *simulation) simulateCall() {
-	v := w.vms[0]
-	if !w.OneVM {
-		v = w.vms[w.rand.IntN(len(w.vms))]
+func (s *simulation) simulateCall() {
+	v := s.vms[0]
+	if !s.OneVM {
+		v = s.vms[s.rand.IntN(len(s.vms))]
 	}
-	if w.now.Before(v.startedAt) {
+	if s.now.Before(v.startedAt) {
 		return
 	}
-	r := w.regionOf(v)
-	for _, i := range w.rand.Perm(w.Endpoints) {
+	r := s.regionOf(v)
+	for _, i := range s.rand.Perm(s.Endpoints) {
 		id := endpointName(i)
-		if w.mayTake(v, id, r) {
-			w.sent[id] = append(w.sent[id], w.now)
+		if s.mayTake(v, id, r) {
+			s.sent[id] = append(s.sent[id], s.now)
 			return
 		}
 	}
 }
 
-func (w *simulation) mayTake(v *simulatedVM, endpointID string, r Region) bool {
-	switch w.strategy {
+func (s *simulation) mayTake(v *simulatedVM, endpointID string, r Region) bool {
+	switch s.strategy {
 	case strategyKeeper:
-		return w.askKeeper(v, endpointID, r)
+		return s.askKeeper(v, endpointID, r)
 	case strategyEven:
-		return v.takeToken(endpointID, w.PerSecond/float64(max(len(r.Near), 1)), w.now)
+		return v.takeToken(endpointID, s.PerSecond/float64(max(len(r.Near), 1)), s.now)
 	case strategyRanked:
-		senders := w.senders(v, endpointID, r)
+		senders := s.senders(v, endpointID, r)
 		isSender := slices.ContainsFunc(senders, func(vm fleet.VM) bool { return vm.ID == v.ID })
-		return isSender && v.takeToken(endpointID, w.PerSecond/float64(len(senders)), w.now)
+		return isSender && v.takeToken(endpointID, s.PerSecond/float64(len(senders)), s.now)
 	default:
-		return v.takeToken(endpointID, w.PerSecond, w.now)
+		return v.takeToken(endpointID, s.PerSecond, s.now)
 	}
 }
 
 // senders are the highest-ranked VMs, which alone send to an endpoint. The bound allows
 // for the first request of each.
-func (w *simulation) senders(v *simulatedVM, endpointID string, r Region) []fleet.VM {
+func (s *simulation) senders(v *simulatedVM, endpointID string, r Region) []fleet.VM {
 	if v.senders[endpointID] == nil {
 		ranked := entry.Rank(endpointID, r.Near)
-		v.senders[endpointID] = ranked[:min(len(ranked), int(w.PerSecond)+2)]
+		v.senders[endpointID] = ranked[:min(len(ranked), int(s.PerSecond)+2)]
 	}
 	return v.senders[endpointID]
 }
 
 // askKeeper asks for a permit as the gateway does.
-func (w *simulation) askKeeper(v *simulatedVM, endpointID string, r Region) bool {
-	verdict := v.throttle.Take(fleet.Endpoint{ID: endpointID}, r, w.now)
+func (s *simulation) askKeeper(v *simulatedVM, endpointID string, r Region) bool {
+	verdict := v.throttle.Take(fleet.Endpoint{ID: endpointID}, r, s.now)
 	if verdict.Keeper == nil {
 		return verdict.Permit != nil
 	}
-	w.keeperRequests++
-	keeper := w.vms[slices.IndexFunc(w.vms, func(o *simulatedVM) bool { return o.ID == verdict.Keeper.ID })]
-	if !w.reaches(v, keeper, w.now) || w.now.Before(keeper.startedAt) {
-		return v.throttle.Unanswered(verdict, w.now).Permit != nil
+	s.keeperRequests++
+	keeper := s.vms[slices.IndexFunc(s.vms, func(o *simulatedVM) bool { return o.ID == verdict.Keeper.ID })]
+	if !s.reaches(v, keeper, s.now) || s.now.Before(keeper.startedAt) {
+		return v.throttle.Unanswered(verdict, s.now).Permit != nil
 	}
-	a := keeper.throttle.Ask(verdict.Limit, w.regionOf(keeper), w.now)
-	return v.throttle.Decided(verdict, a, w.now).Permit != nil
+	a := keeper.throttle.Ask(verdict.Limit, s.regionOf(keeper), s.now)
+	return v.throttle.Decided(verdict, a, s.now).Permit != nil
 }
 
 func (v *simulatedVM) takeToken(id string, rate float64, now time.Time) bool {
@@ -255,10 +255,10 @@
 }
 
 // maxBoundShare is the largest share of its bound that any endpoint received.
-func (w *simulation) maxShare() float64 {
-	bound := boundFactor*w.PerSecond*boundWindow.Seconds() + boundExtra
+func (s *simulation) maxShare() float64 {
+	bound := boundFactor*s.PerSecond*boundWindow.Seconds() + boundExtra
 	maxShare := 0.0
-	for _, times := range w.sent {
+	for _, times := range s.sent {
 		first := 0
 		for i, at := range times {
 			for at.Sub(times[first]) >= boundWindow {
@@ -274,11 +274,11 @@
 
 // utilization is the number of requests sent as a share of what the limits allow, or of
 // the calls if these are fewer.
-func (w *simulation) utilization() float64 {
+func (s *simulation) utilization() float64 {
 	count := 0
-	for _, times := range w.sent {
+	for _, times := range s.sent {
 		count += len(times)
 	}
-	duration := w.Length - w.From
-	return float64(count) / (min(float64(w.Endpoints)*w.PerSecond, w.Calls) * duration)
+	duration := s.Length - s.From
+	return float64(count) / (min(float64(s.Endpoints)*s.PerSecond, s.Calls) * duration)
 }
--- a/throttle/throttle.go
+++ b/throttle/throttle.go
@@ -143,13 +143,13 @@
 }
 
 // applyDecision records the keeper's decision and turns it into a Verdict.
-func (l *limitedEndpoint) applyDecision(granted bool, nextAt, askedAt, now time.Time) Verdict {
+func (e *limitedEndpoint) applyDecision(granted bool, nextAt, askedAt, now time.Time) Verdict {
 	if nextAt.After(now) {
-		l.closedUntil = nextAt
+		e.closedUntil = nextAt
 	}
 	if !granted {
 		return Verdict{
-			OpensAt: l.closedUntil,
+			OpensAt: e.closedUntil,
 		}
 	}
 	return Verdict{
--- a/throttle/throttle_test.go
+++ b/throttle/throttle_test.go
@@ -98,22 +98,22 @@
 	free := throttle.Take(e, alone, now).Permit
 	assert.Assert(t, free != nil)
 	throttle.Answered(e, fleet.Rate{Named: true, PerSecond: 1}, now, now)
-	assert.Assert(t, throttle.Sending(e, free, now) != nil, "the limit was named since")
+	assert.Assert(t, throttle.Sending(e, free, now) != nil, "the limit was named after the permit was granted")
 
 	assert.Equal(t, throttle.Take(e, alone, now).OpensAt, now.Add(time.Second))
 	now = now.Add(time.Second)
 	permit := throttle.Take(e, alone, now).Permit
 	assert.Assert(t, throttle.Sending(e, permit, now) == nil)
-	assert.Assert(t, throttle.Sending(e, permit, now) != nil, "it is sent once more")
+	assert.Assert(t, throttle.Sending(e, permit, now) != nil, "the permit was already used")
 	assert.Assert(t, throttle.Take(e, alone, now).Permit == nil)
 
 	now = now.Add(time.Second)
 	late := throttle.Take(e, alone, now).Permit
-	assert.Assert(t, throttle.Sending(e, late, now.Add(permitLifetime+time.Millisecond)) != nil, "it has waited too long")
+	assert.Assert(t, throttle.Sending(e, late, now.Add(permitLifetime+time.Millisecond)) != nil, "the permit has expired")
 
 	next := e
 	next.Incarnation = 1
-	assert.Assert(t, throttle.Take(next, alone, now).Permit != nil, "another life has no limit")
+	assert.Assert(t, throttle.Take(next, alone, now).Permit != nil, "the next incarnation has no limit")
 	assert.Assert(t, throttle.Sending(next, free, now) == nil)
 }
 
