--- a/admission/forecast.go
+++ b/admission/forecast.go
@@ -130,8 +130,8 @@
 
 // maxReportSlots is the number of slots that reports of this VM may hold.
 func (s *State) maxReportSlots(supply routing.Supply, now time.Time) float64 {
-	usable := float64(supply.Own) + supply.Free
-	share := usable * s.reportShare
+	usableSlots := float64(supply.Own) + supply.Free
+	share := usableSlots * s.reportShare
 	if s.policy == PolicyPriority {
 		return max(share, 1)
 	}
@@ -140,7 +140,7 @@
 		busy := s.demand.busySlots(q, now)
 		higherPriority += busy + math.Sqrt(busy)
 	}
-	return max(min(share, usable-higherPriority), 1)
+	return max(min(share, usableSlots-higherPriority), 1)
 }
 
 // callsAhead is the number of calls that a new call of the priority would wait behind.
@@ -194,8 +194,8 @@
 	r := e.request
 	r.FirstBy = time.Time{}
 	lastStart := latestStart(r, supply)
-	patience := min(e.latestStart.Sub(e.arrivedAt), lastStart.Sub(e.arrivedAt)/2)
-	if retryAt.Add(patience).After(lastStart) {
+	minTimeLeft := min(e.latestStart.Sub(e.arrivedAt), lastStart.Sub(e.arrivedAt)/2)
+	if retryAt.Add(minTimeLeft).After(lastStart) {
 		return moment.Later(retryAt, r.WholeBy)
 	}
 	s.lastRetryAt[p] = retryAt
--- a/admission/state.go
+++ b/admission/state.go
@@ -183,7 +183,7 @@
 // refuseLate refuses a call that cannot meet its deadline.
 func (s *State) refuseLate(e queuedCall, supply routing.Supply, now time.Time) {
 	code := result.DeadlineUnmeetable
-	if passed(e.request.FirstBy, now) || passed(e.request.WholeBy, now) {
+	if isPast(e.request.FirstBy, now) || isPast(e.request.WholeBy, now) {
 		code = result.DeadlinePassed
 	}
 	s.refuse(e.id, code, s.retryTime(e, supply, now))
@@ -192,12 +192,12 @@
 // retryTime returns when a call with as much time as e had on arrival could be
 // admitted; zero if never.
 func (s *State) retryTime(e queuedCall, supply routing.Supply, now time.Time) time.Time {
-	patience := e.latestStart.Sub(e.arrivedAt)
-	if patience <= 0 {
+	timeToStart := e.latestStart.Sub(e.arrivedAt)
+	if timeToStart <= 0 {
 		return time.Time{}
 	}
 	wait := s.expectedWait(s.callsAhead(e.request.Priority), e.request.Priority, supply, now)
-	retryAt := now.Add(max(wait-patience, supply.Hold/time.Duration(max(supply.Slots, 1))))
+	retryAt := now.Add(max(wait-timeToStart, supply.Hold/time.Duration(max(supply.Slots, 1))))
 	return s.scheduleRetry(e, retryAt, supply, now)
 }
 
@@ -240,7 +240,7 @@
 	}
 }
 
-// nextPriority returns the highest priority whose first call may start now.
+// nextPriority returns the priority whose first call starts next, if any may start now.
 func (s *State) nextPriority(supply routing.Supply, now time.Time) (call.Priority, bool) {
 	if s.policy == PolicyFIFO {
 		return s.oldestPriority(supply)
@@ -310,6 +310,6 @@
 	}
 }
 
-func passed(deadline, now time.Time) bool {
+func isPast(deadline, now time.Time) bool {
 	return !deadline.IsZero() && !now.Before(deadline)
 }
