--- a/throttle/simulation_test.go
+++ b/throttle/simulation_test.go
@@ -16,7 +16,7 @@
 const (
 	// strategyKeeper is the one implemented by Throttle.
 	strategyKeeper strategy = "keeper"
-	// strategyEven gives each VM an equal share, strategyRanked only to as many VMs by
+	// strategyEven gives each VM an equal share, strategyRanked one to as many VMs by
 	// rank as the bound allows.
 	strategyEven   strategy = "even"
 	strategyRanked strategy = "ranked"
