--- a/roster/digest.go
+++ b/roster/digest.go
@@ -9,47 +9,46 @@
 )
 
 const (
-	// digestBuckets is into how many groups the members are put by their ids: of 300
-	// members a change of one makes two VMs tell each other some five rumors.
+	// digestBuckets is the number of groups that members are hashed into by ID. With
+	// 300 members a change of one makes two VMs exchange about five rumors.
 	digestBuckets = 64
-	// recentFor is how long a rumor is told unasked, which is as long as three exchanges
-	// take, and recentMost how many of them at once, of some 100 bytes each. The rest is
-	// told to VMs that ask for it by their digest.
-	recentFor  = 1500 * time.Millisecond
-	recentMost = 16
+	// recentPeriod is how long a new rumor is pushed to others, about three exchanges.
+	// maxRecentRumors limits how many, of about 100 bytes each, are pushed at once.
+	// Others are sent only when the digests differ.
+	recentPeriod    = 1500 * time.Millisecond
+	maxRecentRumors = 16
 )
 
-// Digest covers the rumors that a VM holds, by bucket, so that another one sees where
-// it holds others. It travels as 256 bytes. Were all rumors told wherever two VMs differ in
-// one, it would be 24 KB of 295 members in nearly each message, as each member asks the same
-// other one only every 50 s.
+// Digest has a checksum of the held rumors for each bucket, 256 bytes in all. Comparing
+// two digests limits an exchange to the rumors of buckets that differ.
 type Digest [digestBuckets]uint32
 
-// sums are the sums of the rumors' digests by bucket, which do not depend on their order.
-type sums [digestBuckets]uint64
+// bucketSums holds the sum of the rumors' hashes for each bucket, which is independent
+// of their order.
+type bucketSums [digestBuckets]uint64
 
-func (s *sums) add(r Rumor) {
-	s[bucketOf(r.VM.ID)] += r.digest()
+func (s *bucketSums) add(r Rumor) {
+	s[bucketOf(r.VM.ID)] += r.hash()
 }
 
-func (s *sums) remove(r Rumor) {
-	s[bucketOf(r.VM.ID)] -= r.digest()
+func (s *bucketSums) remove(r Rumor) {
+	s[bucketOf(r.VM.ID)] -= r.hash()
 }
 
 func bucketOf(id string) int {
 	return int(xxhash.Sum64String(id) % digestBuckets)
 }
 
-// Digest gives that of all rumors held, the own one included.
+// Digest returns the digest of all rumors held, including the own one.
 func (r *Roster) Digest() Digest {
 	var d Digest
-	for i, sum := range r.sums {
+	for i, sum := range r.bucketSums {
 		d[i] = uint32(sum ^ sum>>32)
 	}
 	return d
 }
 
-// Differing returns the rumors that another VM may lack, by its digest.
+// Differing returns the rumors in buckets that differ from another VM's digest.
 func (r *Roster) Differing(theirs Digest) []Rumor {
 	own := r.Digest()
 	var out []Rumor
@@ -68,19 +67,19 @@
 	return out
 }
 
-// Recent returns the rumors that this VM took last, to be told unasked.
+// Recent returns the latest rumors, to be pushed with the next message.
 func (r *Roster) Recent(now time.Time) []Rumor {
 	var recent []*member
 	for _, m := range r.members {
-		if now.Sub(m.tookAt) < recentFor {
+		if now.Sub(m.updatedAt) < recentPeriod {
 			recent = append(recent, m)
 		}
 	}
 	slices.SortFunc(recent, func(a, b *member) int {
-		return cmp.Or(b.tookAt.Compare(a.tookAt), cmp.Compare(a.VM.ID, b.VM.ID))
+		return cmp.Or(b.updatedAt.Compare(a.updatedAt), cmp.Compare(a.VM.ID, b.VM.ID))
 	})
 	var out []Rumor
-	for _, m := range recent[:min(len(recent), recentMost)] {
+	for _, m := range recent[:min(len(recent), maxRecentRumors)] {
 		out = append(out, m.Rumor)
 	}
 	return out
--- a/roster/digest_test.go
+++ b/roster/digest_test.go
@@ -10,8 +10,8 @@
 	"github.com/fuchsianotch/fuchsianotch/fleet"
 )
 
-// TestDigestsAgree holds that two VMs hold the same of all others once each has
-// asked the other, whatever they held before.
+// TestDigestsAgree checks that two VMs hold the same rumors after an exchange in each
+// direction.
 func TestDigestsAgree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1e9, 0)
@@ -22,10 +22,10 @@
 				r.Heard(rumor, nil, now)
 			}
 		}
-		now = now.Add(recentFor)
+		now = now.Add(recentPeriod)
 		for range 2 {
-			asks(a, b, now)
-			asks(b, a, now)
+			exchangeRumors(a, b, now)
+			exchangeRumors(b, a, now)
 		}
 		assert.Equal(t, a.Digest(), b.Digest())
 		for id, m := range a.members {
@@ -36,8 +36,8 @@
 	})
 }
 
-// asks lets one VM ask another one, as processes do.
-func asks(from, to *Roster, now time.Time) {
+// exchangeRumors performs one exchange between two VMs.
+func exchangeRumors(from, to *Roster, now time.Time) {
 	digest := from.Digest()
 	to.Heard(from.Self(), from.Recent(now), now)
 	from.Heard(to.Self(), to.Differing(digest), now)
@@ -52,16 +52,16 @@
 	})
 }
 
-// TestDigestIsSmall counts the rumors that two VMs of a large fleet tell each other:
-// none where they hold the same, and few where one member changed.
+// TestDigestIsSmall checks that VMs of a large fleet exchange no rumors if they hold
+// the same ones, and few if one member has changed.
 func TestDigestIsSmall(t *testing.T) {
 	now := time.Unix(1e9, 0)
 	a, b := newMember("a"), newMember("b")
 	rumors := fleetRumors()
 	a.Heard(b.Self(), rumors, now)
 	b.Heard(a.Self(), rumors, now)
-	assert.Equal(t, len(a.Recent(now)), recentMost)
-	now = now.Add(recentFor)
+	assert.Equal(t, len(a.Recent(now)), maxRecentRumors)
+	now = now.Add(recentPeriod)
 	assert.Equal(t, len(a.Recent(now)), 0)
 	assert.Equal(t, len(b.Differing(a.Digest())), 0)
 	changed := rumors[7]
--- a/roster/shown_test.go
+++ b/roster/member_index_test.go
@@ -11,9 +11,9 @@
 	"github.com/fuchsianotch/fuchsianotch/fleet"
 )
 
-// TestShown holds after any events that a picture shows what is known now, and that
-// the digest is that of all rumors held.
-func TestShown(t *testing.T) {
+// TestMemberIndex checks after random events that the cached member index and the incremental
+// digest equal recomputed ones.
+func TestMemberIndex(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1e9, 0)
 		r := newRoster(func() uint64 { return 0 })
@@ -35,7 +35,7 @@
 				r.Step(now)
 			}
 			got, digest := r.Picture(), r.Digest()
-			r.resum()
+			r.recomputeSums()
 			want := r.Picture()
 			assert.Equal(t, digest, r.Digest())
 			assert.DeepEqual(t, got.Members, want.Members)
@@ -45,13 +45,13 @@
 	})
 }
 
-// resum covers the own rumor and all others anew, as the changes since must have done.
-func (r *Roster) resum() {
-	r.shownStale = true
-	r.sums = sums{}
-	r.sums.add(r.self)
+// recomputeSums recomputes the sums and invalidates the member index.
+func (r *Roster) recomputeSums() {
+	r.memberIndexStale = true
+	r.bucketSums = bucketSums{}
+	r.bucketSums.add(r.self)
 	for _, m := range r.members {
-		r.sums.add(m.Rumor)
+		r.bucketSums.add(m.Rumor)
 	}
 }
 
@@ -64,7 +64,7 @@
 	})
 }
 
-// drawRumor is a rumor of a member, which is ready in each second version of itself.
+// drawRumor draws a rumor about a member, ready in every second version.
 func drawRumor(t *rapid.T, id string) Rumor {
 	version := rapid.Uint32Range(1, 3).Draw(t, "version")
 	return Rumor{
@@ -97,9 +97,8 @@
 	return out
 }
 
-// BenchmarkHeard takes a message with all rumors of a fleet that a VM which has just
-// started does not know: 0.93 ms with all rumors covered anew for
-// each, 0.08 ms without.
+// BenchmarkHeard processes a message with a whole fleet's rumors on a VM that has just
+// started.
 func BenchmarkHeard(b *testing.B) {
 	rumors := fleetRumors()
 	now := time.Unix(1e9, 0)
@@ -109,8 +108,7 @@
 	}
 }
 
-// BenchmarkPicture makes a picture after a message that changed nothing: 83 µs and
-// 80 KB with the members put together each time, 0.13 µs and 208 bytes since they are kept.
+// BenchmarkPicture creates a Picture after a message that changes nothing.
 func BenchmarkPicture(b *testing.B) {
 	rumors := fleetRumors()
 	now := time.Unix(1e9, 0)
--- a/roster/wake_test.go
+++ b/roster/pause_test.go
@@ -7,9 +7,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestWake holds that after a pause of the process its picture is not current
-// until somebody answers what was asked since, or it has waited long enough.
-func TestWake(t *testing.T) {
+// TestPause checks that after a pause of the process a Picture isn't current until an
+// endpoint probed since has answered or the wait has ended.
+func TestPause(t *testing.T) {
 	start := time.Unix(1e9, 0)
 	at := start.Add
 	r := New(Options{
@@ -34,8 +34,8 @@
 	r.Step(again)
 	r.Step(again.Add(testEvery))
 	assert.Assert(t, !r.Picture().Current(again.Add(testEvery)))
-	for i := range wakeIntervals {
+	for i := range maxResumeIntervals {
 		r.Step(again.Add(time.Duration(i+1) * testEvery))
 	}
-	assert.Assert(t, r.Picture().Current(again.Add(wakeIntervals*testEvery)))
+	assert.Assert(t, r.Picture().Current(again.Add(maxResumeIntervals*testEvery)))
 }
--- a/roster/picture.go
+++ b/roster/picture.go
@@ -10,98 +10,98 @@
 	"github.com/fuchsianotch/fuchsianotch/fleet"
 )
 
-// Member is one VM as a picture shows it.
+// Member is a VM as shown by a Picture.
 type Member struct {
 	VM          fleet.VM
 	Incarnation uint64
-	// Reachable is false for suspected members too.
+	// Reachable is also false for suspected members.
 	Reachable  bool
 	Ready      bool
 	TurnedAway bool
 }
 
-// Picture is what traffic reads. It never changes.
+// Picture is an immutable snapshot of the roster that request handlers read.
 type Picture struct {
 	Self fleet.VM
-	// Members holds all but the dead ones, this VM included, by id.
+	// Members holds all members that aren't dead, including this VM, sorted by ID.
 	Members []Member
-	// Generation tells two pictures with other members apart.
+	// Generation changes whenever Members does.
 	Generation uint64
 	// Most is the largest number of VMs known at once.
 	Most int
-	// SteppedAt is when the roster last went on, Waking is set after a pause of the
-	// process until there is news.
+	// SteppedAt is the time of the roster's last Step. Waking is set after a pause of
+	// the process until the endpoints have been probed again.
 	SteppedAt time.Time
 	Waking    bool
-	// longestStep is the longest time between two steps of a process that runs.
-	longestStep time.Duration
-	// reached are the VMs in reach, and taking those of them that take calls, by region.
+	// maxStepGap is the longest time between Steps that isn't treated as a pause.
+	maxStepGap time.Duration
+	// reached holds the reachable VMs by region, and taking those of them that take
+	// calls.
 	reached map[string][]fleet.VM
 	taking  map[string][]fleet.VM
 }
 
-// shown are the members as traffic sees them. It never changes, so that pictures
-// share it for as long as the members are the same.
-type shown struct {
+// memberIndex holds the members shown by Pictures. It is immutable, so Pictures share
+// it until a member changes.
+type memberIndex struct {
 	generation uint64
 	members    []Member
 	reached    map[string][]fleet.VM
 	taking     map[string][]fleet.VM
 }
 
-// Reached returns the VMs of a region that are in reach. It must not be changed.
+// Reached returns a region's reachable VMs. The result must not be modified.
 func (p *Picture) Reached(region string) []fleet.VM {
 	return p.reached[region]
 }
 
-// Taking returns the VMs of a region that are in reach and take calls. It must not
-// be changed.
+// Taking returns a region's reachable VMs that take calls. The result must not be
+// modified.
 func (p *Picture) Taking(region string) []fleet.VM {
 	return p.taking[region]
 }
 
-// TakingRegions returns the regions that have such VMs, by name.
+// TakingRegions returns the sorted names of the regions with VMs that take calls.
 func (p *Picture) TakingRegions() []string {
 	return slices.Sorted(maps.Keys(p.taking))
 }
 
-// Current reports whether what this VM believes is from now, and not from before a
-// pause of its process: endpoints may have become cold meanwhile, and calls that
-// have waited would all go there at once.
+// Current reports whether this VM's knowledge dates from after the last pause of its
+// process. If not, delayed calls could all be sent to endpoints that have gone cold
+// meanwhile.
 func (p *Picture) Current(now time.Time) bool {
-	return !p.Waking && (p.SteppedAt.IsZero() || now.Sub(p.SteppedAt) <= p.longestStep)
+	return !p.Waking && (p.SteppedAt.IsZero() || now.Sub(p.SteppedAt) <= p.maxStepGap)
 }
 
-// Picture returns the picture of now.
+// Picture returns a snapshot of the current state.
 func (r *Roster) Picture() *Picture {
-	if r.shown == nil || r.shownStale {
-		r.show()
+	if r.memberIndex == nil || r.memberIndexStale {
+		r.rebuildMemberIndex()
 	}
 	return &Picture{
-		Self:        r.self.VM,
-		Members:     r.shown.members,
-		Generation:  r.shown.generation,
-		Most:        r.most,
-		SteppedAt:   r.steppedAt,
-		Waking:      r.waking,
-		longestStep: r.longestStep(),
-		reached:     r.shown.reached,
-		taking:      r.shown.taking,
+		Self:       r.self.VM,
+		Members:    r.memberIndex.members,
+		Generation: r.memberIndex.generation,
+		Most:       r.maxKnown,
+		SteppedAt:  r.advancedAt,
+		Waking:     r.resuming,
+		maxStepGap: r.maxStepGap(),
+		reached:    r.memberIndex.reached,
+		taking:     r.memberIndex.taking,
 	}
 }
 
-// show puts together what pictures show. A VM takes in some ten messages a second,
-// most of which change nothing: a picture of 295 members costs microseconds then
-// (BenchmarkPicture).
-func (r *Roster) show() {
-	next := &shown{
+// rebuildMemberIndex rebuilds the index after a change. Most messages change nothing,
+// and their Pictures reuse the previous index.
+func (r *Roster) rebuildMemberIndex() {
+	next := &memberIndex{
 		generation: 1,
 		members:    make([]Member, 0, len(r.members)+1),
 		reached:    make(map[string][]fleet.VM),
 		taking:     make(map[string][]fleet.VM),
 	}
-	if r.shown != nil {
-		next.generation = r.shown.generation + 1
+	if r.memberIndex != nil {
+		next.generation = r.memberIndex.generation + 1
 	}
 	next.members = append(next.members, Member{
 		VM:          r.self.VM,
@@ -132,12 +132,12 @@
 			next.taking[m.VM.Region] = append(next.taking[m.VM.Region], m.VM)
 		}
 	}
-	r.shown = next
-	r.shownStale = false
+	r.memberIndex = next
+	r.memberIndexStale = false
 }
 
-// StoreAway reports whether a VM of the own region cannot read the store: nobody
-// there may then hear of changes.
+// StoreAway reports whether a VM of the own region fails to read the store. The region
+// may then miss changes.
 func (p *Picture) StoreAway() bool {
 	return slices.ContainsFunc(p.Members, func(m Member) bool {
 		isSelf := m.VM.ID == p.Self.ID
@@ -145,12 +145,12 @@
 	})
 }
 
-// readersRank is what the VMs of a region are ranked for.
+// readersRank is the key by which a region's VMs are ranked as readers of the store.
 const readersRank = "readers"
 
-// Reads reports whether this VM is among so many of its region that follow the
-// store: by rank among those reached that the store does not turn away. A VM that
-// is turned away tries on, in case all are.
+// Reads reports whether this VM is among the given number of readers that follow the
+// store for its region: the highest-ranked reachable VMs that can read it. A VM that
+// fails to read it keeps trying, in case all others fail too.
 func (p *Picture) Reads(readers int) bool {
 	var vms []fleet.VM
 	for _, m := range p.Members {
--- a/roster/picture_test.go
+++ b/roster/picture_test.go
@@ -9,9 +9,9 @@
 	"github.com/fuchsianotch/fuchsianotch/fleet"
 )
 
-// readers counts the VMs of a region that read the store, each by its own
-// picture of the same members.
-func readers(members []Member) int {
+// countReaders counts the VMs of a region that read the store, each judging by its own
+// Picture.
+func countReaders(members []Member) int {
 	count := 0
 	for _, m := range members {
 		p := &Picture{Self: m.VM, Members: members}
@@ -22,8 +22,8 @@
 	return count
 }
 
-// TestReads holds that two of a region read, however many there are, that others
-// take over from those lost, and that nobody stops reading when all are turned away.
+// TestReads checks that a region of any size has two readers, that others replace
+// failed ones, and that all keep reading if the store turns all of them away.
 func TestReads(t *testing.T) {
 	for _, vms := range []int{1, 2, 3, 40} {
 		members := make([]Member, 0, vms)
@@ -33,7 +33,7 @@
 				Reachable: true,
 			})
 		}
-		assert.Equal(t, readers(members), min(vms, 2))
+		assert.Equal(t, countReaders(members), min(vms, 2))
 		if vms < 3 {
 			continue
 		}
@@ -44,13 +44,13 @@
 			}
 		}
 		members[first].TurnedAway = true
-		// The one that is turned away tries on, and another one takes its place.
-		assert.Assert(t, readers(members) >= 2)
+		// The VM that is turned away keeps trying, and another one replaces it.
+		assert.Assert(t, countReaders(members) >= 2)
 		others := append([]Member{}, members[:first]...)
-		assert.Equal(t, readers(append(others, members[first+1:]...)), 2)
+		assert.Equal(t, countReaders(append(others, members[first+1:]...)), 2)
 		for i := range members {
 			members[i].TurnedAway = true
 		}
-		assert.Equal(t, readers(members), vms)
+		assert.Equal(t, countReaders(members), vms)
 	}
 }
--- a/roster/roster.go
+++ b/roster/roster.go
@@ -1,8 +1,8 @@
-// Package roster is the membership of a fleet that no list names: VMs find
-// each other from a few seeds and exchange rumors. A VM that does not answer
-// is suspected, and counts as dead unless it refutes that in time. It is pure
-// control state of one goroutine: time comes in as an argument, and messages
-// go out through the caller.
+// Package roster implements gossip membership for a fleet without a central list: VMs
+// find each other through a few seeds and exchange rumors. A VM that doesn't answer is
+// suspected, and considered dead unless it refutes the suspicion in time. Roster is
+// owned by one goroutine and does no I/O: callers pass in the time and send the
+// messages.
 package roster
 
 import (
@@ -15,70 +15,71 @@
 	"github.com/fuchsianotch/fuchsianotch/fleet"
 )
 
-// State of a member. A higher one wins over a lower one of the same version.
+// State is the state of a member. For the same version, a higher state overrides a
+// lower one.
 type State uint8
 
-// The states.
+// Member states in ascending precedence.
 const (
 	StateAlive State = iota + 1
 	StateSuspect
 	StateDead
-	// StateLeft is a member's own word that it stops.
+	// StateLeft is announced by a member that stops.
 	StateLeft
 )
 
 const (
-	// missesToSuspect are the exchanges in a row that a member must miss: one
-	// may be lost with its connection.
+	// missesToSuspect is the number of exchanges in a row after which a member is
+	// suspected. A single one may be lost with its connection.
 	missesToSuspect = 2
-	// wakeIntervals is how long, in intervals, after a pause of the process this VM
-	// waits for news at the most.
-	wakeIntervals = 3
-	// hurry divides the interval to a member whose state is in doubt.
-	hurry = 2
-	// suspectIntervals is how long a suspicion lasts, in intervals: time for the
-	// rumor to reach the suspect, and for its answer to come back, over a slow link.
+	// maxResumeIntervals is how long, in intervals, a VM at most waits for fresh probe
+	// results after a pause of its process.
+	maxResumeIntervals = 3
+	// doubtfulIntervalDivisor shortens the interval to a member whose state is
+	// uncertain.
+	doubtfulIntervalDivisor = 2
+	// suspectIntervals is how long a suspicion lasts, in intervals: enough for the
+	// rumor to reach the suspect and for its refutation to return over a slow link.
 	suspectIntervals = 3
-	// buriedIntervals is how long a dead member is remembered, and now and then
-	// asked, so that two parts of a split fleet find each other again.
-	buriedIntervals = 240
-	// deadEvery is how often, in intervals, a dead member is asked.
-	deadEvery = 4
-	// startHurry is how many times more often than usual a VM exchanges after its
-	// start, for as many rounds as startRounds at the most: 2.5 s by the usual interval
-	// of 0.5 s.
-	startHurry  = 5
-	startRounds = 25
-	// farEvery is how often, in intervals, a member of each other region is asked:
-	// bytes between regions are dear, and a region's load changes in seconds.
-	farEvery = 2
-	// farAskers is how many members of a region ask each other region in a round, on
-	// average: what they hear travels within the region, and bytes between regions
-	// must not grow with the members. With two, regions of 30 that were cut off were
-	// at times still named after 8 s (8 of 20 plays), with three they were not.
-	farAskers = 3
-	// farInDoubt is how many members of a region each member asks at the most in a
-	// round while some there are in doubt, and askedForDoubt how many for each of
-	// those: the death of one is no reason to ask all.
-	farInDoubt    = 4
-	askedForDoubt = 2
+	// deadRetentionIntervals is how long, in intervals, a dead member is remembered and
+	// still contacted at times, so that the parts of a split fleet rejoin.
+	deadRetentionIntervals = 240
+	// deadExchangeIntervals is the number of intervals between exchanges with dead
+	// members.
+	deadExchangeIntervals = 4
+	// startIntervalDivisor shortens the interval after a start, for at most
+	// maxStartRounds rounds.
+	startIntervalDivisor = 5
+	maxStartRounds       = 25
+	// remoteExchangeIntervals is the number of intervals between exchanges with other
+	// regions. Traffic between regions is expensive, so it is lower than within one.
+	remoteExchangeIntervals = 2
+	// remoteExchangersPerRegion is how many members of a region, on average, contact
+	// each other region in a round. It keeps the traffic between regions independent of
+	// the fleet's size. With fewer, regions that are cut off are detected late.
+	remoteExchangersPerRegion = 3
+	// maxTargetsPerRemoteRegion limits how many members of a region are contacted in a
+	// round while some there are doubtful. Each doubtful one adds
+	// targetsPerDoubtfulMember.
+	maxTargetsPerRemoteRegion = 4
+	targetsPerDoubtfulMember  = 2
 )
 
-// Rumor is what is known of one member. The member itself raises Version with
-// each change of its own.
+// Rumor is what is known about one member. The member increments Version with each
+// change.
 type Rumor struct {
 	VM          fleet.VM
 	Incarnation uint64
 	Version     uint32
 	State       State
-	// Ready says that the member takes calls.
+	// Ready reports whether the member takes calls.
 	Ready bool
-	// TurnedAway says that the member cannot read the store.
+	// TurnedAway reports whether the member fails to read the store.
 	TurnedAway bool
 }
 
-// newer reports whether r replaces what is held.
-func (r Rumor) newer(held Rumor) bool {
+// supersedes reports whether r replaces the rumor held.
+func (r Rumor) supersedes(held Rumor) bool {
 	return cmp.Or(
 		cmp.Compare(r.Incarnation, held.Incarnation),
 		cmp.Compare(r.Version, held.Version),
@@ -86,58 +87,59 @@
 	) > 0
 }
 
-// Options set up a Roster.
+// Options configures a Roster.
 type Options struct {
 	Self        fleet.VM
 	Incarnation uint64
-	// Seeds are peer addresses to begin with; the own one is passed over.
+	// Seeds are the peer addresses of the first contacts. The own address is ignored.
 	Seeds []string
-	// Every is the interval between two exchanges.
+	// Every is the interval between exchanges.
 	Every time.Duration
-	// Regions are all regions that may have members; none means that it is not known.
+	// Regions are all regions that may have members. Empty means that they are unknown.
 	Regions []string
-	// Rand spreads the exchanges.
+	// Rand returns random bits for the selection of targets.
 	Rand func() uint64
 }
 
-// Roster is what one VM knows of the members. It is not safe for concurrent use.
+// Roster is one VM's knowledge of the members. It is not safe for concurrent use.
 type Roster struct {
-	self    Rumor
-	seeds   []string
-	every   time.Duration
-	regions []string
-	rand    func() uint64
-	members map[string]*member
-	sums    sums
-	// order is a shuffled round of the members of the own region.
-	order []string
-	next  time.Time
-	round uint64
-	// steppedAt tells a pause of the whole process.
-	steppedAt time.Time
-	// wokeAt is when a pause of the process ended, waking is set from then on until
-	// there is news.
-	wokeAt time.Time
-	waking bool
-	// most is the largest number of VMs that were known at once.
-	most int
-	// shown is what the last picture showed; shownStale is set once that has changed.
-	shown      *shown
-	shownStale bool
+	self           Rumor
+	seeds          []string
+	gossipInterval time.Duration
+	regions        []string
+	rand           func() uint64
+	members        map[string]*member
+	bucketSums     bucketSums
+	// localRound holds the members of the own region still to contact, in random order.
+	localRound  []string
+	nextRoundAt time.Time
+	round       uint64
+	// advancedAt is the time of the last Step, used to detect a pause of the process.
+	advancedAt time.Time
+	// resumedAt is when the last pause of the process ended. resuming is set from then
+	// until the endpoints have been probed again.
+	resumedAt time.Time
+	resuming  bool
+	// maxKnown is the largest number of VMs known at once.
+	maxKnown int
+	// memberIndex is shared by Pictures. memberIndexStale is set once members have
+	// changed.
+	memberIndex      *memberIndex
+	memberIndexStale bool
 }
 
-// member is a rumor with what this VM saw itself.
+// member is a rumor with this VM's own observations.
 type member struct {
 	Rumor
-	misses    int
-	suspectAt time.Time
-	deadAt    time.Time
-	askAt     time.Time
-	// tookAt is when the rumor was taken, or made here.
-	tookAt time.Time
+	misses         int
+	suspectAt      time.Time
+	deadAt         time.Time
+	nextExchangeAt time.Time
+	// updatedAt is when the rumor was received or created.
+	updatedAt time.Time
 }
 
-// New makes a Roster that knows itself only.
+// New returns a Roster that knows only itself.
 func New(o Options) *Roster {
 	r := &Roster{
 		self: Rumor{
@@ -146,14 +148,14 @@
 			Version:     1,
 			State:       StateAlive,
 		},
-		every:   o.Every,
-		regions: o.Regions,
-		rand:    o.Rand,
-		members: make(map[string]*member),
-		most:    1,
+		gossipInterval: o.Every,
+		regions:        o.Regions,
+		rand:           o.Rand,
+		members:        make(map[string]*member),
+		maxKnown:       1,
 	}
 	r.SetSeeds(o.Seeds)
-	r.sums.add(r.self)
+	r.bucketSums.add(r.self)
 	return r
 }
 
@@ -164,81 +166,81 @@
 	})
 }
 
-// SetReady takes whether this VM takes calls.
+// SetReady sets whether this VM takes calls.
 func (r *Roster) SetReady(ready bool) {
 	if r.self.Ready == ready {
 		return
 	}
-	r.changeSelf(func(self *Rumor) {
+	r.updateSelf(func(self *Rumor) {
 		self.Ready = ready
 		self.Version++
 	})
 }
 
-// SetTurnedAway takes whether this VM cannot read the store.
+// SetTurnedAway sets whether this VM fails to read the store.
 func (r *Roster) SetTurnedAway(away bool) {
 	if r.self.TurnedAway == away {
 		return
 	}
-	r.changeSelf(func(self *Rumor) {
+	r.updateSelf(func(self *Rumor) {
 		self.TurnedAway = away
 		self.Version++
 	})
 }
 
-// Leave marks this VM as stopping, for good.
+// Leave marks this VM as stopping, permanently.
 func (r *Roster) Leave() {
-	r.changeSelf(func(self *Rumor) {
+	r.updateSelf(func(self *Rumor) {
 		self.State = StateLeft
 		self.Ready = false
 		self.Version++
 	})
 }
 
-// Target is whom to exchange rumors with.
+// Target is a VM to exchange rumors with.
 type Target struct {
-	// VM has no id where only a seed's address is known.
+	// VM has no ID if only a seed's address is known.
 	VM fleet.VM
 }
 
-// Step moves the state to now and gives the targets that are due.
+// Step advances the state to now and returns the targets that are due.
 func (r *Roster) Step(now time.Time) []Target {
-	r.wake(now)
-	r.settle(now)
+	r.detectPause(now)
+	r.expireMembers(now)
 	var due []Target
 	for _, m := range r.members {
-		if m.doubtful() && !now.Before(m.askAt) {
-			m.askAt = now.Add(r.every / hurry)
+		if m.doubtful() && !now.Before(m.nextExchangeAt) {
+			m.nextExchangeAt = now.Add(r.gossipInterval / doubtfulIntervalDivisor)
 			due = append(due, r.target(m))
 		}
 	}
-	if now.Before(r.next) {
+	if now.Before(r.nextRoundAt) {
 		return due
 	}
-	r.next = now.Add(r.interval())
+	r.nextRoundAt = now.Add(r.nextInterval())
 	r.round++
-	due = append(due, r.near()...)
-	due = append(due, r.far()...)
-	if r.round%deadEvery == 0 {
-		due = append(due, r.dead()...)
+	due = append(due, r.localTargets()...)
+	due = append(due, r.remoteTargets()...)
+	if r.round%deadExchangeIntervals == 0 {
+		due = append(due, r.deadTargets()...)
 	}
 	return append(due, r.seedTargets()...)
 }
 
-// interval is the time until the next exchange: shorter after a start until a
-// member of each region is known. After the loss of the whole fleet the first
-// exchanges go to VMs that are not there yet and hang until their time is over,
-// and a VM that knows no member elsewhere can send nothing there.
-func (r *Roster) interval() time.Duration {
+// nextInterval returns the time until the next round. It is shorter after a start,
+// until a member of each region is known: after a full outage the first exchanges go to
+// VMs that are still down and only time out.
+func (r *Roster) nextInterval() time.Duration {
 	if r.starting() {
-		return r.every / startHurry
+		return r.gossipInterval / startIntervalDivisor
 	}
-	return r.every
+	return r.gossipInterval
 }
 
-// starting reports whether this VM has just begun and has yet to find regions.
+// starting reports whether this VM has just started and still lacks members of some
+// region.
 func (r *Roster) starting() bool {
-	if r.round >= startRounds {
+	if r.round >= maxStartRounds {
 		return false
 	}
 	found := map[string]bool{
@@ -252,12 +254,12 @@
 	return slices.ContainsFunc(r.regions, func(region string) bool { return !found[region] })
 }
 
-// Next is when Step is due again.
+// Next returns when Step must be called again.
 func (r *Roster) Next(now time.Time) time.Time {
-	next := r.next
+	next := r.nextRoundAt
 	for _, m := range r.members {
-		if m.doubtful() && m.askAt.Before(next) {
-			next = m.askAt
+		if m.doubtful() && m.nextExchangeAt.Before(next) {
+			next = m.nextExchangeAt
 		}
 	}
 	if next.Before(now) {
@@ -266,22 +268,23 @@
 	return next
 }
 
-// doubtful members are asked more often until they answer or count as dead.
+// doubtful reports whether the member is suspected or has missed an exchange. It is
+// then contacted more often until it answers or is considered dead.
 func (m *member) doubtful() bool {
 	return m.State == StateSuspect || (m.State == StateAlive && m.misses > 0)
 }
 
-// wake forgets suspicions after a pause of the whole process: what looked like
-// the others' silence was its own.
-func (r *Roster) wake(now time.Time) {
-	pause := now.Sub(r.steppedAt)
-	if now.Sub(r.wokeAt) >= wakeIntervals*r.every {
-		r.waking = false
+// detectPause restarts suspicions after a pause of the process, during which this VM
+// itself missed the others' answers.
+func (r *Roster) detectPause(now time.Time) {
+	pause := now.Sub(r.advancedAt)
+	if now.Sub(r.resumedAt) >= maxResumeIntervals*r.gossipInterval {
+		r.resuming = false
 	}
-	if !r.steppedAt.IsZero() && pause > r.longestStep() {
-		r.wokeAt = now
-		r.waking = true
-		r.shownStale = true
+	if !r.advancedAt.IsZero() && pause > r.maxStepGap() {
+		r.resumedAt = now
+		r.resuming = true
+		r.memberIndexStale = true
 		for _, m := range r.members {
 			m.misses = 0
 			if m.State == StateSuspect {
@@ -289,36 +292,38 @@
 			}
 		}
 	}
-	r.steppedAt = now
+	r.advancedAt = now
 }
 
-// longestStep is the longest time between two steps of a process that runs.
-func (r *Roster) longestStep() time.Duration {
-	return suspectIntervals * r.every
+// maxStepGap is the longest time between Steps that isn't treated as a pause.
+func (r *Roster) maxStepGap() time.Duration {
+	return suspectIntervals * r.gossipInterval
 }
 
-// Waking reports whether the process has paused and there was no news since.
+// Waking reports whether the process has paused and the endpoints haven't been probed
+// since.
 func (r *Roster) Waking() bool {
-	return r.waking
+	return r.resuming
 }
 
-// News records that the endpoints were asked anew at a moment: what this VM
-// believes of them is then not from before a pause.
+// News records that the endpoints were probed at askedAt. A probe after a pause ends
+// it.
 func (r *Roster) News(askedAt time.Time) {
-	if !askedAt.Before(r.wokeAt) {
-		r.waking = false
+	if !askedAt.Before(r.resumedAt) {
+		r.resuming = false
 	}
 }
 
-// settle turns suspicions whose time is over into deaths, and forgets old ones.
-func (r *Roster) settle(now time.Time) {
+// expireMembers marks members dead whose suspicion has lasted too long, and removes
+// those that have been dead for long.
+func (r *Roster) expireMembers(now time.Time) {
 	for id, m := range r.members {
 		switch {
-		case m.State == StateSuspect && !now.Before(m.suspectAt.Add(suspectIntervals*r.every)):
+		case m.State == StateSuspect && !now.Before(m.suspectAt.Add(suspectIntervals*r.gossipInterval)):
 			m.deadAt = now
-			r.judge(m, StateDead, now)
-		case m.State >= StateDead && !now.Before(m.deadAt.Add(buriedIntervals*r.every)):
-			r.sums.remove(m.Rumor)
+			r.setState(m, StateDead, now)
+		case m.State >= StateDead && !now.Before(m.deadAt.Add(deadRetentionIntervals*r.gossipInterval)):
+			r.bucketSums.remove(m.Rumor)
 			delete(r.members, id)
 		}
 	}
@@ -330,39 +335,38 @@
 	}
 }
 
-// Self is this VM's own rumor.
+// Self returns this VM's own rumor.
 func (r *Roster) Self() Rumor {
 	return r.self
 }
 
-// changeSelf replaces the own rumor.
-func (r *Roster) changeSelf(change func(self *Rumor)) {
-	r.sums.remove(r.self)
+// updateSelf changes the own rumor.
+func (r *Roster) updateSelf(change func(self *Rumor)) {
+	r.bucketSums.remove(r.self)
 	change(&r.self)
-	r.sums.add(r.self)
-	r.shownStale = true
+	r.bucketSums.add(r.self)
+	r.memberIndexStale = true
 }
 
-// replace takes another rumor of a member. The sums change by the one rumor: covering
-// all anew for each rumor of a message made one of 295 unknown members cost 295 times
-// as much as it has rumors (BenchmarkHeard).
-func (r *Roster) replace(m *member, rumor Rumor, now time.Time) {
-	r.sums.remove(m.Rumor)
+// updateMember replaces a member's rumor. It updates the sums incrementally, since
+// recomputing them for each rumor of a message would take quadratic time.
+func (r *Roster) updateMember(m *member, rumor Rumor, now time.Time) {
+	r.bucketSums.remove(m.Rumor)
 	m.Rumor = rumor
-	m.tookAt = now
-	r.sums.add(rumor)
-	r.shownStale = true
+	m.updatedAt = now
+	r.bucketSums.add(rumor)
+	r.memberIndexStale = true
 }
 
-// judge changes the state of a member by what this VM itself saw.
-func (r *Roster) judge(m *member, state State, now time.Time) {
+// setState changes a member's state after this VM's own observation.
+func (r *Roster) setState(m *member, state State, now time.Time) {
 	rumor := m.Rumor
 	rumor.State = state
-	r.replace(m, rumor, now)
+	r.updateMember(m, rumor, now)
 }
 
-// digest does not depend on the order of members, as sums of it are taken.
-func (r Rumor) digest() uint64 {
+// hash returns a hash that can be summed in any order of members.
+func (r Rumor) hash() uint64 {
 	h := xxhash.Sum64String(r.VM.ID)
 	for _, part := range []uint64{r.Incarnation, uint64(r.Version), uint64(r.State)} {
 		h = (h ^ part) * 0x9e3779b97f4a7c15
--- a/roster/roster_test.go
+++ b/roster/roster_test.go
@@ -17,24 +17,24 @@
 const (
 	testEvery = 500 * time.Millisecond
 	testTick  = 25 * time.Millisecond
-	// testWay is the time that one exchange takes between regions.
-	testWay = 160 * time.Millisecond
+	// testRemoteRoundTrip is the duration of one exchange between regions.
+	testRemoteRoundTrip = 160 * time.Millisecond
 )
 
-// world is a fleet in virtual time. Messages are delivered unless a VM is down,
-// frozen or cut off.
-type world struct {
-	t     *testing.T
-	now   time.Time
-	rand  *rand.Rand
-	vms   map[string]*testVM
-	order []string
-	cuts  map[[2]string]bool
-	lives uint64
-	queue []delivery
-	seeds []string
-	// far counts the exchanges that were begun with another region.
-	far int
+// simulation runs a fleet in virtual time. Messages are delivered unless a VM is down,
+// frozen or disconnected.
+type simulation struct {
+	t               *testing.T
+	now             time.Time
+	rand            *rand.Rand
+	vms             map[string]*testVM
+	ids             []string
+	cuts            map[[2]string]bool
+	lastIncarnation uint64
+	queue           []delivery
+	seeds           []string
+	// remoteExchanges counts the exchanges started with another region.
+	remoteExchanges int
 }
 
 type testVM struct {
@@ -49,8 +49,8 @@
 	do func()
 }
 
-func newWorld(t *testing.T, regions, perRegion, seed int) *world {
-	w := &world{
+func newSimulation(t *testing.T, regions, perRegion, seed int) *simulation {
+	w := &simulation{
 		t:    t,
 		now:  time.Unix(1e9, 0),
 		rand: rand.New(rand.NewPCG(uint64(seed), 1)),
@@ -61,21 +61,21 @@
 		for i := range perRegion {
 			id := fmt.Sprintf("r%d-%d", r, i)
 			w.vms[id] = &testVM{vm: fleet.VM{ID: id, Region: fmt.Sprintf("r%d", r), PeerAddr: "addr-" + id}}
-			w.order = append(w.order, id)
+			w.ids = append(w.ids, id)
 		}
 		w.seeds = append(w.seeds, fmt.Sprintf("addr-r%d-0", r))
 	}
 	return w
 }
 
-func (w *world) start(id string) {
-	w.lives++
+func (w *simulation) start(id string) {
+	w.lastIncarnation++
 	v := w.vms[id]
 	v.up = true
 	v.frozen = false
 	v.roster = New(Options{
 		Self:        v.vm,
-		Incarnation: w.lives,
+		Incarnation: w.lastIncarnation,
 		Seeds:       w.seeds,
 		Every:       testEvery,
 		Rand:        w.rand.Uint64,
@@ -83,14 +83,14 @@
 	v.roster.SetReady(true)
 }
 
-func (w *world) run(d time.Duration) {
+func (w *simulation) run(d time.Duration) {
 	for end := w.now.Add(d); w.now.Before(end); w.now = w.now.Add(testTick) {
 		for len(w.queue) > 0 && !w.queue[0].at.After(w.now) {
 			next := w.queue[0]
 			w.queue = w.queue[1:]
 			next.do()
 		}
-		for _, id := range w.order {
+		for _, id := range w.ids {
 			if v := w.vms[id]; v.up && !v.frozen {
 				for _, target := range v.roster.Step(w.now) {
 					w.exchange(v, target)
@@ -100,55 +100,55 @@
 	}
 }
 
-func (w *world) later(d time.Duration, do func()) {
+func (w *simulation) schedule(d time.Duration, do func()) {
 	w.queue = append(w.queue, delivery{at: w.now.Add(d), do: do})
 	slices.SortStableFunc(w.queue, func(a, b delivery) int { return a.at.Compare(b.at) })
 }
 
-// exchange sends a message and its answer, as the processes do.
-func (w *world) exchange(from *testVM, target Target) {
-	life := from.roster
+// exchange sends a message and its reply.
+func (w *simulation) exchange(from *testVM, target Target) {
+	sender := from.roster
 	var to *testVM
 	for _, v := range w.vms {
 		if v.vm.PeerAddr == target.VM.PeerAddr {
 			to = v
 		}
 	}
-	way := time.Millisecond
+	latency := time.Millisecond
 	if from.vm.Region != to.vm.Region {
-		w.far++
-		way = testWay / 2
+		w.remoteExchanges++
+		latency = testRemoteRoundTrip / 2
 	}
-	if !to.up && !w.cut(from, to) {
-		w.later(2*way, func() { life.Refused(target.VM.ID, w.now) })
+	if !to.up && !w.isCut(from, to) {
+		w.schedule(2*latency, func() { sender.Refused(target.VM.ID, w.now) })
 		return
 	}
-	if !to.up || to.frozen || w.cut(from, to) {
-		w.later(time.Second, func() { life.Missed(target.VM.ID, w.now) })
+	if !to.up || to.frozen || w.isCut(from, to) {
+		w.schedule(time.Second, func() { sender.Missed(target.VM.ID, w.now) })
 		return
 	}
-	self, digest, recent := life.Self(), life.Digest(), life.Recent(w.now)
-	w.later(way, func() {
+	self, digest, recent := sender.Self(), sender.Digest(), sender.Recent(w.now)
+	w.schedule(latency, func() {
 		if !to.up {
 			return
 		}
 		to.roster.Heard(self, recent, w.now)
 		answer, answered := to.roster.Self(), to.roster.Differing(digest)
-		w.later(way, func() {
-			if from.roster == life {
-				life.Heard(answer, answered, w.now)
+		w.schedule(latency, func() {
+			if from.roster == sender {
+				sender.Heard(answer, answered, w.now)
 			}
 		})
 	})
 }
 
-func (w *world) cut(a, b *testVM) bool {
+func (w *simulation) isCut(a, b *testVM) bool {
 	return w.cuts[[2]string{a.vm.Region, b.vm.Region}] || w.cuts[[2]string{b.vm.Region, a.vm.Region}] ||
 		w.cuts[[2]string{a.vm.ID, ""}] || w.cuts[[2]string{b.vm.ID, ""}]
 }
 
-// reached returns the ids that a VM would send others to.
-func (w *world) reached(id string) string {
+// reachableIDs returns the IDs of the VMs that a VM may route calls to.
+func (w *simulation) reachableIDs(id string) string {
 	var out []string
 	for _, m := range w.vms[id].roster.Picture().Members {
 		if m.Reachable && m.Ready {
@@ -163,36 +163,37 @@
 	Regions   int
 	PerRegion int `json:"per_region"`
 	Steps     []string
-	// Want returns what a VM reaches: "VM: ids", or "all" for every VM.
+	// Want lists the reachable VMs as "VM: ids", where the IDs may be "all".
 	Want []string
 }
 
-// TestScenarios plays failures in fleets of several sizes, with several seeds each.
+// TestScenarios runs failures in fleets of several sizes, each with several random
+// seeds.
 func TestScenarios(t *testing.T) {
 	for _, c := range datatest.Read[[]rosterCase](t, "testdata/scenarios.json") {
 		for seed := range 5 {
 			t.Run(fmt.Sprintf("%s/%d", c.Name, seed), func(t *testing.T) {
-				w := newWorld(t, c.Regions, c.PerRegion, seed)
+				w := newSimulation(t, c.Regions, c.PerRegion, seed)
 				for _, step := range c.Steps {
 					w.do(step)
 				}
 				for _, want := range c.Want {
 					id, ids, _ := strings.Cut(want, ": ")
 					if ids == "all" {
-						ids = strings.Join(slices.Sorted(slices.Values(w.order)), " ")
+						ids = strings.Join(slices.Sorted(slices.Values(w.ids)), " ")
 					}
-					assert.Equal(t, w.reached(id), ids)
+					assert.Equal(t, w.reachableIDs(id), ids)
 				}
 			})
 		}
 	}
 }
 
-func (w *world) do(step string) {
+func (w *simulation) do(step string) {
 	words := strings.Fields(step)
 	ids := words[1:]
 	if len(ids) == 1 && ids[0] == "all" {
-		ids = w.order
+		ids = w.ids
 	}
 	switch words[0] {
 	case "start":
@@ -210,9 +211,9 @@
 	case "leave":
 		w.vms[words[1]].roster.Leave()
 	case "cut":
-		w.cuts[pair(words)] = true
+		w.cuts[cutKey(words)] = true
 	case "heal":
-		delete(w.cuts, pair(words))
+		delete(w.cuts, cutKey(words))
 	case "run":
 		d, err := time.ParseDuration(words[1])
 		assert.NilError(w.t, err)
@@ -222,43 +223,43 @@
 	}
 }
 
-func pair(words []string) [2]string {
+func cutKey(words []string) [2]string {
 	if len(words) == 2 {
 		return [2]string{words[1], ""}
 	}
 	return [2]string{words[1], words[2]}
 }
 
-// TestFarExchanges holds that the exchanges of a region with another one do not
-// grow with its VMs while nobody is in doubt.
-func TestFarExchanges(t *testing.T) {
+// TestRemoteExchanges checks that the exchanges between two healthy regions don't grow
+// with the number of VMs.
+func TestRemoteExchanges(t *testing.T) {
 	const seconds = 20
 	for _, perRegion := range []int{3, 30, 100} {
-		w := newWorld(t, 2, perRegion, 1)
-		for _, id := range w.order {
+		w := newSimulation(t, 2, perRegion, 1)
+		for _, id := range w.ids {
 			w.start(id)
 		}
 		w.run(10 * time.Second)
-		w.far = 0
+		w.remoteExchanges = 0
 		w.run(seconds * time.Second)
-		begun := float64(w.far) / seconds
-		assert.Assert(t, begun > farAskers && begun < 3*farAskers, "%d VMs a region: %.1f a second", perRegion, begun)
+		begun := float64(w.remoteExchanges) / seconds
+		assert.Assert(t, begun > remoteExchangersPerRegion && begun < 3*remoteExchangersPerRegion, "%d VMs per region: %.1f exchanges per second", perRegion, begun)
 	}
 }
 
-// TestOlderClock holds that a life whose clock is behind that of the life
-// before it is still taken for the newer one.
-func TestOlderClock(t *testing.T) {
-	w := newWorld(t, 1, 2, 1)
-	w.lives = 100
+// TestClockSetBack checks that a restarted VM rejoins even if its clock has been set
+// back, so that its incarnation is lower than before.
+func TestClockSetBack(t *testing.T) {
+	w := newSimulation(t, 1, 2, 1)
+	w.lastIncarnation = 100
 	w.start("r0-0")
 	w.start("r0-1")
 	w.run(2 * time.Second)
 	w.vms["r0-1"].up = false
 	w.run(5 * time.Second)
-	w.lives = 50
+	w.lastIncarnation = 50
 	w.start("r0-1")
 	w.run(3 * time.Second)
-	assert.Equal(t, w.reached("r0-0"), "r0-0 r0-1")
-	assert.Equal(t, w.reached("r0-1"), "r0-0 r0-1")
+	assert.Equal(t, w.reachableIDs("r0-0"), "r0-0 r0-1")
+	assert.Equal(t, w.reachableIDs("r0-1"), "r0-0 r0-1")
 }
--- a/roster/start_test.go
+++ b/roster/start_test.go
@@ -10,12 +10,12 @@
 	"github.com/fuchsianotch/fuchsianotch/fleet"
 )
 
-// TestStart starts a VM of region a whose seeds of regions b and c answer after a
-// while, and counts the rounds of exchanges in its first four seconds.
+// TestStart checks the number of rounds in the first four seconds of a VM in region a,
+// while the seeds of regions b and c start to answer after a delay.
 func TestStart(t *testing.T) {
 	for _, c := range datatest.Read[[]struct {
 		Name string
-		// Found is after how many milliseconds each region's seed answers.
+		// Found is the delay in milliseconds after which each region's seed answers.
 		Found map[string]int64
 		Least int
 		Most  int
@@ -39,10 +39,10 @@
 					if now.Sub(start) < time.Duration(ms)*time.Millisecond {
 						continue
 					}
-					hear(r, region, now)
+					hearSeed(r, region, now)
 				}
 				if now.Equal(r.Next(now)) {
-					t.Fatal("no time passes")
+					t.Fatal("Next did not advance")
 				}
 			}
 			assert.Assert(t, rounds >= c.Least && rounds <= c.Most, "%d", rounds)
@@ -50,8 +50,8 @@
 	}
 }
 
-// hear takes a message of a region's seed.
-func hear(r *Roster, region string, now time.Time) {
+// hearSeed delivers a message from a region's seed.
+func hearSeed(r *Roster, region string, now time.Time) {
 	from := Rumor{
 		VM:          fleet.VM{ID: region + "1", Region: region, PeerAddr: region + ":1"},
 		Incarnation: 1,
--- a/roster/target.go
+++ b/roster/target.go
@@ -7,39 +7,39 @@
 	"github.com/fuchsianotch/fuchsianotch/fleet"
 )
 
-// near returns the next member of the own region in a shuffled round, so that
-// each is asked by somebody within about one interval, however many there are.
-func (r *Roster) near() []Target {
+// localTargets returns the next member of the own region. Members are visited in random
+// order, once a round, so each is contacted by some VM about once an interval.
+func (r *Roster) localTargets() []Target {
 	for range 2 {
-		for len(r.order) > 0 {
-			id := r.order[0]
-			r.order = r.order[1:]
+		for len(r.localRound) > 0 {
+			id := r.localRound[0]
+			r.localRound = r.localRound[1:]
 			if m, ok := r.members[id]; ok && m.State < StateDead {
 				return []Target{r.target(m)}
 			}
 		}
 		for id, m := range r.members {
 			if m.VM.Region == r.self.VM.Region && m.State < StateDead {
-				r.order = append(r.order, id)
+				r.localRound = append(r.localRound, id)
 			}
 		}
-		slices.Sort(r.order)
-		r.shuffle()
+		slices.Sort(r.localRound)
+		r.shuffleLocalRound()
 	}
 	return nil
 }
 
-func (r *Roster) shuffle() {
-	for i := len(r.order) - 1; i > 0; i-- {
+func (r *Roster) shuffleLocalRound() {
+	for i := len(r.localRound) - 1; i > 0; i-- {
 		j := int(r.rand() % uint64(i+1))
-		r.order[i], r.order[j] = r.order[j], r.order[i]
+		r.localRound[i], r.localRound[j] = r.localRound[j], r.localRound[i]
 	}
 }
 
-// Spread returns a few random members of the own region, to be told of something new.
+// Spread returns up to count random members of the own region, to receive a new rumor.
 func (r *Roster) Spread(count int) []Target {
 	var near []*member
-	for _, m := range r.sorted() {
+	for _, m := range r.sortedMembers() {
 		if m.VM.Region == r.self.VM.Region && m.State == StateAlive {
 			near = append(near, m)
 		}
@@ -53,29 +53,29 @@
 	return out
 }
 
-// far returns random living members of the other regions: one of each that this
-// member is drawn to ask in this round, and several of one where members are in
-// doubt, as a region is lost as a whole more often than one VM of it. Those in
-// doubt are asked anyway.
-func (r *Roster) far() []Target {
-	asks := r.round%farEvery == 0 && r.rand()%uint64(r.countNear()) < farAskers
+// remoteTargets returns random alive members of other regions: one of each region if
+// this VM is drawn to contact them in this round, and several of a region with doubtful
+// members, since regions fail as a whole more often than single VMs do. The doubtful
+// members themselves are contacted by Step.
+func (r *Roster) remoteTargets() []Target {
+	asks := r.round%remoteExchangeIntervals == 0 && r.rand()%uint64(r.countLocalAlive()) < remoteExchangersPerRegion
 	var out []Target
-	for _, region := range r.farRegions() {
-		count := min(askedForDoubt*region.doubtful, farInDoubt)
+	for _, region := range r.remoteRegions() {
+		count := min(targetsPerDoubtfulMember*region.doubtful, maxTargetsPerRemoteRegion)
 		if asks {
 			count = max(count, 1)
 		}
-		for range min(count, len(region.well)) {
-			i := int(r.rand() % uint64(len(region.well)))
-			out = append(out, r.target(region.well[i]))
-			region.well = slices.Delete(region.well, i, i+1)
+		for range min(count, len(region.healthy)) {
+			i := int(r.rand() % uint64(len(region.healthy)))
+			out = append(out, r.target(region.healthy[i]))
+			region.healthy = slices.Delete(region.healthy, i, i+1)
 		}
 	}
 	return out
 }
 
-// countNear counts the living members of the own region, this one included.
-func (r *Roster) countNear() int {
+// countLocalAlive counts the alive members of the own region, including this one.
+func (r *Roster) countLocalAlive() int {
 	count := 1
 	for _, m := range r.members {
 		if m.VM.Region == r.self.VM.Region && m.State == StateAlive {
@@ -85,39 +85,40 @@
 	return count
 }
 
-// farRegion is what is known of the members of another region.
-type farRegion struct {
-	// well are those that live and are not in doubt, doubtful counts the others.
-	well     []*member
+// remoteRegion groups the members of another region.
+type remoteRegion struct {
+	// healthy holds the members that are alive and not doubtful. doubtful counts the
+	// others.
+	healthy  []*member
 	doubtful int
 }
 
-func (r *Roster) farRegions() []*farRegion {
-	var out []*farRegion
-	byName := make(map[string]*farRegion)
-	for _, m := range r.sorted() {
+func (r *Roster) remoteRegions() []*remoteRegion {
+	var out []*remoteRegion
+	byName := make(map[string]*remoteRegion)
+	for _, m := range r.sortedMembers() {
 		if m.VM.Region == r.self.VM.Region || m.State >= StateDead {
 			continue
 		}
 		region := byName[m.VM.Region]
 		if region == nil {
-			region = &farRegion{}
+			region = &remoteRegion{}
 			byName[m.VM.Region] = region
 			out = append(out, region)
 		}
 		if m.doubtful() {
 			region.doubtful++
 		} else {
-			region.well = append(region.well, m)
+			region.healthy = append(region.healthy, m)
 		}
 	}
 	return out
 }
 
-// dead returns one random member that counts as dead.
-func (r *Roster) dead() []Target {
+// deadTargets returns one random dead member.
+func (r *Roster) deadTargets() []Target {
 	var list []*member
-	for _, m := range r.sorted() {
+	for _, m := range r.sortedMembers() {
 		if m.State == StateDead {
 			list = append(list, m)
 		}
@@ -128,7 +129,7 @@
 	return []Target{r.target(list[r.rand()%uint64(len(list))])}
 }
 
-func (r *Roster) sorted() []*member {
+func (r *Roster) sortedMembers() []*member {
 	list := make([]*member, 0, len(r.members))
 	for _, m := range r.members {
 		list = append(list, m)
@@ -137,7 +138,7 @@
 	return list
 }
 
-// seedTargets returns the seeds at which no living member is known.
+// seedTargets returns the seeds at which no alive member is known.
 func (r *Roster) seedTargets() []Target {
 	known := make(map[string]bool)
 	for _, m := range r.members {
@@ -147,8 +148,8 @@
 	}
 	var out []Target
 	for _, seed := range r.seeds {
-		// Now and then is enough once others are known.
-		if known[seed] || (len(known) > 0 && r.round%deadEvery != 0 && !r.starting()) {
+		// Once other members are known, seeds are contacted less often.
+		if known[seed] || (len(known) > 0 && r.round%deadExchangeIntervals != 0 && !r.starting()) {
 			continue
 		}
 		out = append(out, Target{
