--- a/fleet/census_test.go
+++ b/fleet/census_test.go
@@ -7,17 +7,17 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestCensus holds that VMs which are gone count for some minutes, and that a VM which has
-// just started does not take itself for the only one.
+// TestCensus checks that departed VMs count for some minutes, and that a VM that has
+// just started doesn't assume that it is the only one.
 func TestCensus(t *testing.T) {
 	start := time.Unix(1e9, 0)
 	c := Census{
 		StartedAt: start,
 	}
 	at := start.Add
-	assert.Equal(t, c.VMs(at(0)), startVMs)
+	assert.Equal(t, c.VMs(at(0)), minVMsAtStart)
 	c.Learn(1, 1, at(0))
-	assert.Equal(t, c.Part(at(time.Second)), 1.0/startVMs)
+	assert.Equal(t, c.Part(at(time.Second)), 1.0/minVMsAtStart)
 	assert.Equal(t, c.Part(at(StartsFor)), 1.0)
 	c.Learn(4, 5, at(2*time.Second))
 	assert.Equal(t, c.VMs(at(2*time.Second)), 5)
@@ -25,6 +25,6 @@
 	c.Learn(2, 2, at(3*time.Second))
 	assert.Equal(t, c.Part(at(3*time.Second)), 0.4)
 	assert.Equal(t, c.SteadyFor(at(5*time.Second)), 2*time.Second)
-	c.Learn(2, 2, at(3*time.Second+rememberedFor))
-	assert.Equal(t, c.Part(at(3*time.Second+rememberedFor)), 1.0)
+	c.Learn(2, 2, at(3*time.Second+departedRetention))
+	assert.Equal(t, c.Part(at(3*time.Second+departedRetention)), 1.0)
 }
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -1,60 +1,61 @@
-// Package fleet holds the plain data that describes where the system runs:
-// the entry VMs, the endpoints behind them, and the list the platform publishes.
+// Package fleet defines the gateway VMs, the endpoints behind them, and the platform's
+// list of both.
 package fleet
 
 import "cmp"
 
-// State reports whether a VM or an endpoint takes new work.
+// State says whether a VM or an endpoint takes new work.
 type State string
 
-// The states that the platform's list shows.
+// States in the platform's list.
 const (
 	StateLive    State = "live"
 	StateLeaving State = "leaving"
 )
 
-// VM is one entry VM as the platform lists it.
+// VM is a gateway VM in the platform's list.
 type VM struct {
-	// ID is unique in the fleet and is reused when the VM is replaced under the same address.
+	// ID is unique in the fleet. A VM that is replaced under the same address keeps it.
 	ID         string `json:"vm"`
 	Region     string `json:"region"`
 	DataCentre string `json:"data_centre"`
-	// CallerAddr, PeerAddr and OperatorAddr are "ip:port" of the three fronts.
+	// CallerAddr, PeerAddr and OperatorAddr are the "ip:port" of the three listeners.
 	CallerAddr   string `json:"caller_addr"`
 	PeerAddr     string `json:"peer_addr"`
 	OperatorAddr string `json:"operator_addr"`
 	State        State  `json:"state"`
 }
 
-// Endpoint is one replica of a model, or of a plain service, as the platform lists it.
+// Endpoint is a replica of a model or plain service in the platform's list.
 type Endpoint struct {
 	ID         string `json:"endpoint"`
 	Region     string `json:"region"`
 	DataCentre string `json:"data_centre"`
-	// Addr is "ip:port" of its HTTP server.
+	// Addr is the "ip:port" of its HTTP server.
 	Addr string `json:"addr"`
-	// Model or Service is set, never both.
+	// Exactly one of Model and Service is set.
 	Model   string `json:"model,omitempty"`
 	Service string `json:"service,omitempty"`
-	// Slots is how many requests the engine batches at once; zero means unknown.
+	// Slots is the engine's maximum batch size in requests. Zero means unknown.
 	Slots int `json:"slots,omitempty"`
-	// ChecksFence reports whether the endpoint refuses an order with an old fencing number.
+	// ChecksFence reports whether the endpoint refuses orders with an outdated fencing
+	// number.
 	ChecksFence bool  `json:"checks_fence,omitempty"`
 	State       State `json:"state"`
-	// Incarnation is when this life of the endpoint began, by its own clock in
-	// milliseconds since the epoch; zero means that it does not say. An endpoint that
-	// starts again under its id has a higher one and knows nothing of before.
+	// Incarnation is the endpoint's start time by its own clock, in milliseconds since
+	// the epoch. Zero means unknown. An endpoint that restarts under its ID has a
+	// higher one and has lost its state.
 	Incarnation int64 `json:"incarnation,omitempty"`
 }
 
-// Serves names what the endpoint serves: its model or its service.
+// Serves returns the model or service that the endpoint serves.
 func (e Endpoint) Serves() string {
 	return cmp.Or(e.Model, e.Service)
 }
 
-// List is the platform's list of VMs and endpoints. It lags behind the truth.
+// List is the platform's list of VMs and endpoints. It may be outdated.
 type List struct {
-	// Revision rises with every change the platform makes to the list.
+	// Revision increases with every change of the list.
 	Revision  uint64     `json:"revision"`
 	VMs       []VM       `json:"vms"`
 	Endpoints []Endpoint `json:"endpoints"`
--- a/fleet/rate.go
+++ b/fleet/rate.go
@@ -1,12 +1,12 @@
 package fleet
 
-// Rate is what an endpoint says, with an answer, of the requests that it takes from all
-// VMs together.
+// Rate is the request rate that an endpoint accepts from all VMs together, as stated in
+// an answer.
 type Rate struct {
-	// Named says that there is a limit, and Unreadable that what stood in its place was
-	// none. Neither is set where the answer names no limit.
+	// Named reports that the answer states a limit, and Unreadable that it states an
+	// invalid one. Neither is set if the answer states no limit.
 	Named      bool
 	Unreadable bool
-	// PerSecond is how many requests a second the endpoint takes, zero or more.
+	// PerSecond is the number of requests per second, zero or more.
 	PerSecond float64
 }
