--- a/configuration/bench_test.go
+++ b/configuration/bench_test.go
@@ -12,13 +12,14 @@
 	"github.com/fuchsianotch/fuchsianotch/fleet"
 )
 
-// sizes are today's number of workspaces, ten times and a hundred times it.
+// sizes are numbers of workspaces: today's, and about ten and a hundred times as many.
 var sizes = []int{100, 1_500, 15_000}
 
 const contractsPerBucket = 60
 
-// published returns the bucket documents of so many workspaces at one revision.
-func published(count, buckets int, revision uint64) []Document {
+// bucketDocuments returns the bucket documents for a number of workspaces. Their
+// revisions start at the given one.
+func bucketDocuments(count, buckets int, revision uint64) []Document {
 	texts := make([][]string, buckets)
 	for i := range count {
 		name := fmt.Sprintf("workspace-%d", i)
@@ -40,7 +41,7 @@
 	return max(count/contractsPerBucket, 1)
 }
 
-// BenchmarkApply takes one changed bucket in force and makes the snapshot.
+// BenchmarkApply accepts one changed bucket and creates the Snapshot.
 func BenchmarkApply(b *testing.B) {
 	for _, count := range sizes {
 		for _, buckets := range []int{1, 16, bucketsFor(count)} {
@@ -48,7 +49,7 @@
 				continue
 			}
 			b.Run(fmt.Sprintf("workspaces=%d/buckets=%d", count, buckets), func(b *testing.B) {
-				docs := published(count, buckets, 1)
+				docs := bucketDocuments(count, buckets, 1)
 				s := New(Options{})
 				s.Offer(docs)
 				b.SetBytes(int64(len(docs[0].Value)))
@@ -57,7 +58,7 @@
 					d := docs[i%len(docs)]
 					d.Revision = uint64(len(docs) + i + 1)
 					if !s.Offer([]Document{d})[0].Changed {
-						b.Fatal("not taken")
+						b.Fatal("document not accepted")
 					}
 					s.Snapshot()
 				}
@@ -66,12 +67,12 @@
 	}
 }
 
-// BenchmarkPublish is BenchmarkApply with documents judged ahead: what the
-// control goroutine itself spends.
+// BenchmarkPublish is BenchmarkApply with validated documents: the cost to the
+// goroutine that owns the Store.
 func BenchmarkPublish(b *testing.B) {
 	for _, count := range sizes {
 		b.Run(fmt.Sprintf("workspaces=%d", count), func(b *testing.B) {
-			docs := Judge(published(count, bucketsFor(count), 1))
+			docs := Judge(bucketDocuments(count, bucketsFor(count), 1))
 			s := New(Options{})
 			s.Offer(docs)
 			b.ReportAllocs()
@@ -85,8 +86,8 @@
 	}
 }
 
-// BenchmarkPublishFlat is what BenchmarkPublish would cost with one map of all
-// contracts in each snapshot.
+// BenchmarkPublishFlat is the baseline for BenchmarkPublish: one map of all contracts,
+// copied for each Snapshot.
 func BenchmarkPublishFlat(b *testing.B) {
 	for _, count := range sizes {
 		b.Run(fmt.Sprintf("workspaces=%d", count), func(b *testing.B) {
@@ -105,13 +106,13 @@
 	}
 }
 
-// BenchmarkRebucket takes one document of a new number of buckets while the old
-// number's documents are still needed.
+// BenchmarkRebucket accepts one document of a new number of buckets while documents of
+// the old number are still in force.
 func BenchmarkRebucket(b *testing.B) {
 	buckets := bucketsFor(15_000)
 	s := New(Options{})
-	s.Offer(published(15_000, buckets, 1))
-	docs := Judge(published(15_000, 2*buckets, 1000))
+	s.Offer(bucketDocuments(15_000, buckets, 1))
+	docs := Judge(bucketDocuments(15_000, 2*buckets, 1000))
 	s.Offer(docs[:len(docs)/2+1])
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
@@ -126,7 +127,7 @@
 	for _, count := range sizes {
 		b.Run(fmt.Sprintf("workspaces=%d", count), func(b *testing.B) {
 			s := New(Options{})
-			s.Offer(published(count, bucketsFor(count), 1))
+			s.Offer(bucketDocuments(count, bucketsFor(count), 1))
 			snapshot := s.Snapshot()
 			names := make([]string, count)
 			for i := range names {
@@ -142,14 +143,14 @@
 	}
 }
 
-// BenchmarkMemory reports what the store holds, and the time from no documents
-// to a whole snapshot.
+// BenchmarkMemory reports the heap used by a Store, and the time from an empty Store to
+// a complete Snapshot.
 func BenchmarkMemory(b *testing.B) {
 	for _, count := range sizes {
 		b.Run(fmt.Sprintf("workspaces=%d", count), func(b *testing.B) {
-			docs := published(count, bucketsFor(count), 1)
+			docs := bucketDocuments(count, bucketsFor(count), 1)
 			var s *Store
-			before := heap()
+			before := heapBytes()
 			for b.Loop() {
 				s = New(Options{
 					Now: time.Now,
@@ -160,7 +161,7 @@
 				})
 				s.Snapshot()
 			}
-			b.ReportMetric(float64(heap()-before)/float64(count), "heap-bytes/workspace")
+			b.ReportMetric(float64(heapBytes()-before)/float64(count), "heap-bytes/workspace")
 			raw := 0
 			for _, d := range docs {
 				raw += len(d.Value)
@@ -172,7 +173,7 @@
 	}
 }
 
-func heap() uint64 {
+func heapBytes() uint64 {
 	runtime.GC()
 	runtime.GC()
 	var m runtime.MemStats
--- a/configuration/configuration.go
+++ b/configuration/configuration.go
@@ -1,9 +1,9 @@
-// Package configuration holds the published documents that one VM knows: those
-// in force, those refused, and the platform's list. It decides by revision and
-// by the one validator alone, so that every VM that saw the same documents, in
-// any order and from any source, has the same ones in force.
+// Package configuration holds the published documents known to one VM (accepted and
+// refused ones) and the platform's list. What is in force depends only on revisions and
+// validation, so VMs that received the same documents agree, whatever the order and the
+// source.
 //
-// All of it is control state of one goroutine; traffic reads Snapshots.
+// A Store is owned by one goroutine. Request handlers read its Snapshots.
 package configuration
 
 import (
@@ -15,81 +15,80 @@
 	"github.com/fuchsianotch/fuchsianotch/result"
 )
 
-// Document is one published value as it passes between VMs.
+// Document is a published value as exchanged between VMs.
 type Document struct {
 	Key      string
 	Revision uint64
 	Value    []byte
-	// Refused tells that the sender's validator refused it. The receiver judges
-	// again; the mark lets an operator compare builds.
+	// Refused reports that the sender's validator refused the document. The receiver
+	// validates again; operators use the flag to compare builds.
 	Refused bool
 
-	// judged is set by Judge.
-	judged *judgement
+	// validation is set by Judge.
+	validation *validation
 }
 
-// judgement is the validator's verdict on one document.
-type judgement struct {
+// validation is the validator's result for one document.
+type validation struct {
 	doc     *contract.Document
 	refusal *result.Refusal
 }
 
-// Judge runs the validator on documents ahead of Offer, in the goroutine of the
-// one who read them. The validator is by far the dearest part of taking a
-// document in, and this keeps it from the control goroutine.
+// Judge validates documents ahead of Offer. Validation is the most expensive part of
+// accepting a document, and Judge keeps it off the goroutine that owns the Store.
 func Judge(docs []Document) []Document {
 	out := slices.Clone(docs)
 	for i := range out {
-		out[i].judged = judge(contract.Parse, out[i])
+		out[i].validation = validate(contract.Parse, out[i])
 	}
 	return out
 }
 
-func judge(parse func(string, []byte) (*contract.Document, *result.Refusal), d Document) *judgement {
+func validate(parse func(string, []byte) (*contract.Document, *result.Refusal), d Document) *validation {
 	doc, refusal := parse(d.Key, d.Value)
-	return &judgement{
+	return &validation{
 		doc:     doc,
 		refusal: refusal,
 	}
 }
 
-// Verdict is what became of one offered document.
+// Verdict is the outcome for one offered document.
 type Verdict struct {
 	Key      string
 	Revision uint64
-	// Refusal is set when the validator refused the document.
+	// Refusal is set if the validator refused the document.
 	Refusal *result.Refusal
-	// Changed tells that the document is new here, in force or refused.
+	// Changed reports whether the Store was changed by the document.
 	Changed bool
 }
 
-// Options set up a Store.
+// Options configures a Store.
 type Options struct {
-	// Now is the clock for DocumentStatus.At.
+	// Now returns the time for DocumentStatus.At. The default is time.Now.
 	Now func() time.Time
-	// Parse judges a document that Judge has not; nil means contract.Parse.
+	// Parse validates documents that Judge hasn't. The default is contract.Parse.
 	Parse func(key string, value []byte) (*contract.Document, *result.Refusal)
 }
 
-// Store is the control state. One goroutine owns it.
+// Store holds the documents and the list. It is not safe for concurrent use.
 type Store struct {
 	now   func() time.Time
 	parse func(key string, value []byte) (*contract.Document, *result.Refusal)
 
-	// accepted are the documents that decide something, by slot.
+	// accepted holds the accepted documents that still decide something.
 	accepted map[slot]*record
-	// latest is the highest accepted record of each key; it is in accepted too.
+	// latest is the highest accepted record of each key, which is also in accepted.
 	latest map[string]*record
-	// refused is the highest refused record of each key that is above latest.
+	// refused is the highest refused record of each key, if it is above latest.
 	refused map[string]*record
 	list    *fleet.List
 	digest  Digest
 
-	// snapshot is nil after a change until the next call of Snapshot.
+	// snapshot is nil after a change, until Snapshot is called.
 	snapshot *Snapshot
 }
 
-// New makes an empty store.
+// New returns an empty Store.
 func New(o Options) *Store {
 	s := &Store{
 		now:      o.Now,
@@ -107,9 +106,8 @@
 	return s
 }
 
-// Offer judges documents from the platform or a peer. A revision that is not
-// above what is known is ignored, whatever its source. A refused document is
-// remembered with its reason while the last accepted one stays in force.
+// Offer validates documents from the platform or a peer and stores the new ones. If a
+// document is refused, the last accepted one stays in force and the reason is recorded.
 func (s *Store) Offer(docs []Document) []Verdict {
 	verdicts := make([]Verdict, 0, len(docs))
 	for _, d := range docs {
@@ -123,26 +121,26 @@
 		Key:      d.Key,
 		Revision: d.Revision,
 	}
-	if d.Revision == 0 || s.known(d.Key, d.Revision) {
+	if d.Revision == 0 || s.isKnown(d.Key, d.Revision) {
 		return v
 	}
-	judged := d.judged
-	if judged == nil {
-		judged = judge(s.parse, d)
+	checked := d.validation
+	if checked == nil {
+		checked = validate(s.parse, d)
 	}
-	if judged.refusal != nil {
-		v.Refusal = judged.refusal
-		v.Changed = s.refuse(newRefused(d, judged.refusal, s.now()))
+	if checked.refusal != nil {
+		v.Refusal = checked.refusal
+		v.Changed = s.refuse(newRefused(d, checked.refusal, s.now()))
 		return v
 	}
-	v.Changed = s.accept(newRecord(d, judged.doc, s.now()))
+	v.Changed = s.accept(newRecord(d, checked.doc, s.now()))
 	return v
 }
 
-// known tells without judging that the document brings nothing new. A lower
-// revision of a contract bucket must be judged: it may belong to an earlier
-// number of buckets that still decides some workspaces.
-func (s *Store) known(key string, revision uint64) bool {
+// isKnown reports whether a document can be ignored without validation. A lower
+// revision of a contract bucket can't: it may belong to an earlier number of buckets
+// that still decides some workspaces.
+func (s *Store) isKnown(key string, revision uint64) bool {
 	if r := s.refused[key]; r != nil && r.revision == revision {
 		return true
 	}
@@ -156,7 +154,7 @@
 	return s.holds(key, revision)
 }
 
-// refuse remembers the highest refused revision above the latest accepted one.
+// refuse stores a refused record if it is above the latest accepted and refused ones.
 func (s *Store) refuse(r *record) bool {
 	if last := s.latest[r.key]; last != nil && last.revision >= r.revision {
 		return false
@@ -169,12 +167,11 @@
 		s.digest.toggle(before)
 	}
 	s.refused[r.key] = r
-	s.changed(r)
+	s.markChanged(r)
 	return true
 }
 
-// accept takes the record in force if it is the highest of its slot and
-// decides something.
+// accept stores the record if it is the highest in its slot and decides something.
 func (s *Store) accept(r *record) bool {
 	before := s.accepted[r.slot]
 	if before != nil && before.revision >= r.revision {
@@ -182,7 +179,7 @@
 	}
 	last := s.latest[r.key]
 	superseded := last != nil && last.revision > r.revision
-	if superseded && !s.visible(r, s.counts()) {
+	if superseded && !s.visible(r, s.bucketCounts()) {
 		return false
 	}
 	if before != nil {
@@ -191,15 +188,15 @@
 	s.accepted[r.slot] = r
 	if !superseded {
 		s.latest[r.key] = r
-		s.forgetRefused(r)
+		s.dropSupersededRefusal(r)
 	}
-	s.changed(r)
+	s.markChanged(r)
 	s.prune(r)
 	return true
 }
 
-// forgetRefused drops the refused record that an accepted one is above.
-func (s *Store) forgetRefused(accepted *record) {
+// dropSupersededRefusal removes the key's refused record if the accepted one is newer.
+func (s *Store) dropSupersededRefusal(accepted *record) {
 	r := s.refused[accepted.key]
 	if r == nil || r.revision > accepted.revision {
 		return
@@ -208,13 +205,13 @@
 	s.digest.toggle(r)
 }
 
-func (s *Store) changed(r *record) {
+func (s *Store) markChanged(r *record) {
 	s.digest.toggle(r)
 	s.digest.Revision = max(s.digest.Revision, r.revision)
 	s.snapshot = nil
 }
 
-// OfferList takes a list that is newer than the one held.
+// OfferList stores the list if it is newer, and reports whether it was.
 func (s *Store) OfferList(list fleet.List) bool {
 	if list.Revision <= s.digest.ListRevision {
 		return false
@@ -225,7 +222,7 @@
 	return true
 }
 
-// Snapshot returns the state for traffic. It is made once after each change.
+// Snapshot returns the current state. It is built once after each change.
 func (s *Store) Snapshot() *Snapshot {
 	if s.snapshot == nil {
 		s.snapshot = newSnapshot(s)
--- a/configuration/converge_test.go
+++ b/configuration/converge_test.go
@@ -14,7 +14,7 @@
 	"github.com/fuchsianotch/fuchsianotch/result"
 )
 
-// TestMain fixes the seed, so that each run has the same verdict.
+// TestMain fixes the random seed to make runs reproducible.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	if err := flag.Set("rapid.seed", "1"); err != nil {
@@ -23,38 +23,38 @@
 	os.Exit(m.Run())
 }
 
-// run is a random history of what operators publish, and of how VMs learn it.
-type run struct {
-	// Written are the writes, of revisions 1, 2 and so on.
-	Written []written
+// history is a random sequence of writes by operators and of reads by VMs.
+type history struct {
+	// Written are the writes, with revisions from 1.
+	Written []testDocument
 	Steps   []step
 }
 
-// step lets one VM read a replica of the platform, or pull from another VM.
+// step is a read by one VM, from a replica of the platform or from another VM.
 type step struct {
 	VM int
-	// From is the VM pulled from; -1 reads the platform.
+	// From is the VM to pull from. -1 reads from the platform.
 	From int
 	// Seen is the revision that the platform's replica has reached.
 	Seen int
-	// Page bounds a pull, in bytes.
+	// Page limits the size of a pull, in bytes.
 	Page int
 }
 
 const (
-	runVMs    = 4
-	runWrites = 24
+	historyVMs       = 4
+	maxHistoryWrites = 24
 )
 
-var runs = rapid.Custom(func(t *rapid.T) run {
-	var r run
-	for i := range rapid.IntRange(1, runWrites).Draw(t, "writes") {
+var histories = rapid.Custom(func(t *rapid.T) history {
+	var r history
+	for i := range rapid.IntRange(1, maxHistoryWrites).Draw(t, "writes") {
 		r.Written = append(r.Written, drawWrite(t, uint64(i+1)))
 	}
 	for range rapid.IntRange(1, 40).Draw(t, "steps") {
 		r.Steps = append(r.Steps, step{
-			VM:   rapid.IntRange(0, runVMs-1).Draw(t, "vm"),
-			From: rapid.IntRange(-1, runVMs-1).Draw(t, "from"),
+			VM:   rapid.IntRange(0, historyVMs-1).Draw(t, "vm"),
+			From: rapid.IntRange(-1, historyVMs-1).Draw(t, "from"),
 			Seen: rapid.IntRange(0, len(r.Written)).Draw(t, "seen"),
 			Page: rapid.SampledFrom([]int{1, 2000, 1 << 20}).Draw(t, "page"),
 		})
@@ -62,8 +62,8 @@
 	return r
 })
 
-func drawWrite(t *rapid.T, revision uint64) written {
-	w := written{
+func drawWrite(t *rapid.T, revision uint64) testDocument {
+	w := testDocument{
 		Key:      rapid.SampledFrom([]string{contract.KeyModels, contract.KeyRegions, "", "", "", "", "", ""}).Draw(t, "key"),
 		Revision: revision,
 		Fault:    rapid.SampledFrom([]string{"", "", "", "", "syntax", "unknown_field"}).Draw(t, "fault"),
@@ -83,9 +83,9 @@
 	return w
 }
 
-// platform returns what a replica holds that has seen the first writes: the last
-// value of each key.
-func (r run) platform(seen int) []Document {
+// replicaDocuments returns the last value of each key in a replica that has received
+// the first seen writes.
+func (r history) replicaDocuments(seen int) []Document {
 	last := make(map[string]Document)
 	for _, w := range r.Written[:seen] {
 		last[w.Key] = w.document()
@@ -98,11 +98,11 @@
 	return docs
 }
 
-// check carries out the run with a way to offer documents. It tells the first
-// contract that reverts or vanishes in between, and any difference between the
-// VMs after all of them have exchanged what they hold.
-func (r run) check(offer func(*Store, []Document)) error {
-	vms := make([]*Store, runVMs)
+// check runs the history with the given offer function. It returns an error if a
+// workspace's deciding revision decreases, or if VMs differ after all have exchanged
+// their documents.
+func (r history) check(offer func(*Store, []Document)) error {
+	vms := make([]*Store, historyVMs)
 	parse := parseOnce()
 	for i := range vms {
 		vms[i] = New(Options{
@@ -111,34 +111,34 @@
 	}
 	known := make(map[uint64]bool)
 	for i, s := range r.Steps {
-		docs := r.platform(s.Seen)
+		docs := r.replicaDocuments(s.Seen)
 		if s.From >= 0 {
 			docs = Page(vms[s.From].Newer(vms[s.VM].Held()), s.Page)
 		}
 		for _, d := range docs {
 			known[d.Revision] = true
 		}
-		before := sources(vms[s.VM])
+		before := decidingRevisions(vms[s.VM])
 		offer(vms[s.VM], docs)
-		if err := reverted(before, sources(vms[s.VM])); err != nil {
+		if err := checkNotReverted(before, decidingRevisions(vms[s.VM])); err != nil {
 			return fmt.Errorf("step %d, VM %d: %w", i, s.VM, err)
 		}
 	}
 	for _, s := range vms {
-		offer(s, r.platform(len(r.Written)))
+		offer(s, r.replicaDocuments(len(r.Written)))
 	}
-	for _, d := range r.platform(len(r.Written)) {
+	for _, d := range r.replicaDocuments(len(r.Written)) {
 		known[d.Revision] = true
 	}
-	for range runVMs {
+	for range historyVMs {
 		for i, s := range vms {
-			offer(s, vms[(i+1)%runVMs].Newer(s.Held()))
+			offer(s, vms[(i+1)%historyVMs].Newer(s.Held()))
 		}
 	}
-	return r.same(vms, known)
+	return r.checkConverged(vms, known)
 }
 
-// parseOnce gives contract.Parse with a memory, since every VM judges the same
+// parseOnce returns a memoized contract.Parse, since every VM validates the same
 // documents.
 func parseOnce() func(string, []byte) (*contract.Document, *result.Refusal) {
 	type verdict struct {
@@ -157,19 +157,20 @@
 	}
 }
 
-// sources returns the revision that decides each sample workspace; 0 means none.
-func sources(s *Store) [residues]uint64 {
+// decidingRevisions returns the revision that decides each sample workspace. Zero means
+// none.
+func decidingRevisions(s *Store) [residues]uint64 {
 	var out [residues]uint64
 	snapshot := s.Snapshot()
 	for i, w := range workspaces {
-		if d := snapshot.decides(w); d != nil {
+		if d := snapshot.decidingRecord(w); d != nil {
 			out[i] = d.revision
 		}
 	}
 	return out
 }
 
-func reverted(before, after [residues]uint64) error {
+func checkNotReverted(before, after [residues]uint64) error {
 	for i := range before {
 		if after[i] < before[i] {
 			return fmt.Errorf("remainder %d went from revision %d to %d", i, before[i], after[i])
@@ -178,24 +179,24 @@
 	return nil
 }
 
-func (r run) same(vms []*Store, known map[uint64]bool) error {
+func (r history) checkConverged(vms []*Store, known map[uint64]bool) error {
 	for i, s := range vms {
 		if s.Digest() != vms[0].Digest() {
 			return fmt.Errorf("VM %d has digest %v, VM 0 %v", i, s.Digest(), vms[0].Digest())
 		}
 		if len(s.Newer(vms[0].Held())) > 0 {
-			return fmt.Errorf("VM %d has documents for VM 0 left", i)
+			return fmt.Errorf("VM %d still has documents that VM 0 lacks", i)
 		}
-		if sources(s) != r.expected(known) {
-			return fmt.Errorf("VM %d is decided by %v, want %v", i, sources(s), r.expected(known))
+		if decidingRevisions(s) != r.expected(known) {
+			return fmt.Errorf("VM %d is decided by %v, want %v", i, decidingRevisions(s), r.expected(known))
 		}
 	}
 	return nil
 }
 
-// expected gives by the rule's own words which write decides each sample, out
-// of those that reached any VM.
-func (r run) expected(known map[uint64]bool) [residues]uint64 {
+// expected computes directly from the rule which write decides each sample workspace,
+// among the writes that reached any VM.
+func (r history) expected(known map[uint64]bool) [residues]uint64 {
 	var out [residues]uint64
 	for _, w := range r.Written {
 		if w.Buckets == 0 || w.Fault != "" || !known[w.Revision] {
@@ -212,25 +213,24 @@
 
 func TestConverges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		err := runs.Draw(t, "run").check(func(s *Store, docs []Document) { s.Offer(docs) })
+		err := histories.Draw(t, "run").check(func(s *Store, docs []Document) { s.Offer(docs) })
 		assert.NilError(t, err)
 	})
 }
 
-// brokenOffers are deliberately wrong ways to take documents in, each of which
-// the check above must catch.
+// brokenOffers are faulty implementations of Offer that check must detect.
 var brokenOffers = map[string]func(*Store, []Document){
-	// accept_lower_revision takes a lower revision in place of the latest.
+	// accept_lower_revision replaces the latest document by one with a lower revision.
 	"accept_lower_revision": func(s *Store, docs []Document) {
 		for _, d := range docs {
 			if last := s.latest[d.Key]; last != nil && d.Revision < last.revision {
-				forget(s, last)
+				removeRecord(s, last)
 			}
 			s.Offer([]Document{d})
 		}
 	},
-	// drop_superseded keeps only the latest document of each key, also while the
-	// number of buckets changes.
+	// drop_superseded keeps only the latest document of each key, even while the number
+	// of buckets changes.
 	"drop_superseded": func(s *Store, docs []Document) {
 		s.Offer(docs)
 		for at, r := range s.accepted {
@@ -241,15 +241,15 @@
 			}
 		}
 	},
-	// refused_in_force lets a refused document take the accepted one away.
+	// refused_in_force removes the accepted document when a later one is refused.
 	"refused_in_force": func(s *Store, docs []Document) {
 		for _, v := range s.Offer(docs) {
 			if last := s.latest[v.Key]; last != nil && v.Refusal != nil && v.Changed {
-				forget(s, last)
+				removeRecord(s, last)
 			}
 		}
 	},
-	// ignore_below_refused takes nothing below a refused document.
+	// ignore_below_refused ignores documents below a refused one.
 	"ignore_below_refused": func(s *Store, docs []Document) {
 		for _, d := range docs {
 			if r := s.refused[d.Key]; r == nil || d.Revision > r.revision {
@@ -259,7 +259,7 @@
 	},
 }
 
-func forget(s *Store, r *record) {
+func removeRecord(s *Store, r *record) {
 	delete(s.accepted, r.slot)
 	delete(s.latest, r.key)
 	s.digest.toggle(r)
@@ -271,12 +271,12 @@
 	for name, offer := range brokenOffers {
 		t.Run(name, func(t *testing.T) {
 			for seed := range examples {
-				if err := runs.Example(seed).check(offer); err != nil {
+				if err := histories.Example(seed).check(offer); err != nil {
 					t.Logf("caught at example %d: %v", seed, err)
 					return
 				}
 			}
-			t.Fatal("not caught")
+			t.Fatal("no example detected the fault")
 		})
 	}
 }
--- a/configuration/digest.go
+++ b/configuration/digest.go
@@ -8,18 +8,18 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Digest sums up what a VM knows. Two VMs with equal digests hold the same
-// documents and the same list.
+// Digest summarizes a VM's configuration. VMs with equal digests have the same
+// documents and list.
 type Digest struct {
 	ListRevision uint64
-	// Revision is the highest revision of a document seen, refused ones too. It
-	// does not mean that all below it are known.
+	// Revision is the highest document revision seen, accepted or refused. Lower ones
+	// may be missing.
 	Revision uint64
-	// Hash covers key, revision and verdict of all documents held, in any order.
+	// Hash covers the key, revision and verdict of all documents held, in any order.
 	Hash uint64
 }
 
-// toggle adds the record to the hash, or takes it out again.
+// toggle adds the record to the hash, or removes it.
 func (d *Digest) toggle(r *record) {
 	var tail [9]byte
 	binary.LittleEndian.PutUint64(tail[:], r.revision)
@@ -32,18 +32,18 @@
 	d.Hash ^= h.Sum64()
 }
 
-// Held is one document that a VM holds, in force or refused.
+// Held identifies a document that a VM holds, accepted or refused.
 type Held struct {
 	Key      string
 	Revision uint64
 }
 
-// Digest returns the sum of what is held.
+// Digest returns the digest of the documents and the list.
 func (s *Store) Digest() Digest {
 	return s.digest
 }
 
-// Held gives every document held, refused ones too, by revision.
+// Held returns all documents held, sorted by revision.
 func (s *Store) Held() []Held {
 	records := s.records()
 	held := make([]Held, 0, len(records))
@@ -53,11 +53,10 @@
 	return held
 }
 
-// Newer returns the documents that another VM lacks, for it to judge. First come
-// those above all that the other holds under the key, which are news to it. Then
-// come those below: the accepted one beneath a refused one, one of an earlier
-// number of buckets, or one that this VM is behind with. Each part starts with
-// the lowest revision.
+// Newer returns the documents that another VM lacks, for it to validate. Documents
+// above all that it holds under their key come first. Lower ones follow: accepted ones
+// below a refused one, those of an earlier number of buckets, and outdated ones. Both
+// parts are sorted by revision.
 func (s *Store) Newer(held []Held) []Document {
 	theirs := make(map[Held]bool, len(held))
 	highest := make(map[string]uint64, len(held))
@@ -65,22 +64,22 @@
 		theirs[h] = true
 		highest[h.Key] = max(highest[h.Key], h.Revision)
 	}
-	var news, below []Document
+	var newer, older []Document
 	for _, r := range s.records() {
 		switch {
 		case theirs[r.held()]:
 		case r.revision > highest[r.key]:
-			news = append(news, r.document())
+			newer = append(newer, r.document())
 		default:
-			below = append(below, r.document())
+			older = append(older, r.document())
 		}
 	}
-	return append(news, below...)
+	return append(newer, older...)
 }
 
-// Page returns the first documents whose values are up to size bytes together,
-// at least one, so that a reply stays bounded. The receiver pulls again until a
-// page changes nothing; what is left then waits until the sender has caught up.
+// Page returns the first documents, at least one, whose keys and values fit into size
+// bytes, to limit the size of a reply. The receiver pulls until a page changes nothing.
+// Any that remain wait until the sender has caught up.
 func Page(docs []Document, size int) []Document {
 	for i, d := range docs {
 		size -= len(d.Key) + len(d.Value)
@@ -103,7 +102,7 @@
 	return false
 }
 
-// records returns all records by revision, then key.
+// records returns all records, sorted by revision and key.
 func (s *Store) records() []*record {
 	records := make([]*record, 0, len(s.accepted)+len(s.refused))
 	for _, r := range s.accepted {
--- a/configuration/order_test.go
+++ b/configuration/order_test.go
@@ -12,11 +12,11 @@
 	"github.com/fuchsianotch/fuchsianotch/contract"
 )
 
-// residues is the number of sample workspaces, one for each hash remainder. It
-// is a multiple of all numbers of buckets in the tests.
+// residues is the number of sample workspaces, one for each hash remainder. It is a
+// multiple of all numbers of buckets in the tests.
 const residues = 48
 
-// workspaces are the samples: workspaces[i] has a hash with remainder i.
+// workspaces are the samples. The hash of workspaces[i] has remainder i.
 var workspaces = sampleWorkspaces()
 
 func sampleWorkspaces() [residues]string {
@@ -32,19 +32,20 @@
 	return out
 }
 
-// written is one document as tables and generators give it.
-type written struct {
+// testDocument is a document as specified by test tables and generators.
+type testDocument struct {
 	Key      string `json:"key"`
 	Revision uint64 `json:"revision"`
 	Buckets  int    `json:"buckets"`
-	// Holds are the hash remainders of the workspaces with a contract in it.
+	// Holds are the hash remainders of the workspaces that the document has contracts
+	// for.
 	Holds []int  `json:"holds"`
 	Fault string `json:"fault"`
 }
 
-// document renders the published text. Each contract carries its document's
-// revision as a limit, so that a test sees which document decided.
-func (w written) document() Document {
+// document renders the published text. Each contract has the document's revision as its
+// request limit, which identifies the deciding document.
+func (w testDocument) document() Document {
 	text := w.text()
 	switch w.Fault {
 	case "syntax":
@@ -61,7 +62,7 @@
 	}
 }
 
-func (w written) text() string {
+func (w testDocument) text() string {
 	switch w.Key {
 	case contract.KeyModels:
 		return fmt.Sprintf(`{"format": 1, "models": [{"model": "m%d", "prompt_price": 1, "generated_price": 2, "max_tokens": 9}], "services": []}`, w.Revision)
@@ -84,9 +85,9 @@
 		"answer": {"first_token_within": "580ms", "whole_within": "20s", "report_within": "10m"}}`, workspace, requests, requests)
 }
 
-// decided returns the revision of the contract in force for the sample workspace,
-// 0 when a document decides that there is none, -1 when none decides.
-func decided(s *Snapshot, residue int) int {
+// decidedRevision returns the revision of the sample workspace's contract, 0 if the
+// deciding document has none, or -1 if no document decides.
+func decidedRevision(s *Snapshot, residue int) int {
 	c, ok := s.Contract(workspaces[residue])
 	switch {
 	case ok:
@@ -97,44 +98,44 @@
 	return -1
 }
 
-// order is one row of testdata/orders.json.
-type order struct {
+// orderCase is a row of testdata/orders.json.
+type orderCase struct {
 	Name      string            `json:"name"`
-	Documents []written         `json:"documents"`
+	Documents []testDocument    `json:"documents"`
 	InForce   map[string]uint64 `json:"in_force"`
 	Refused   map[string]uint64 `json:"refused"`
 	// Reasons are the result codes of the refusals.
 	Reasons map[string]string `json:"reasons"`
-	// Kept is the number of accepted documents held; zero means one per key.
+	// Kept is the number of accepted documents held. Zero means one per key.
 	Kept    int         `json:"kept"`
 	Decides map[int]int `json:"decides"`
 }
 
-// TestOrders offers the documents of each row in every order, all to one VM
-// from the platform, and split between two VMs that then pull from each other.
+// TestOrders offers each row's documents in every order: all to one VM, and split
+// between two VMs that then pull from each other.
 func TestOrders(t *testing.T) {
-	rows := datatest.Read[[]order](t, "testdata/orders.json")
+	rows := datatest.Read[[]orderCase](t, "testdata/orders.json")
 	for _, row := range rows {
 		t.Run(row.Name, func(t *testing.T) {
 			var digest Digest
-			permute(row.Documents, func(docs []written) {
+			permute(row.Documents, func(docs []testDocument) {
 				for split := range len(docs) + 1 {
-					near, far := New(Options{}), New(Options{})
-					offer(near, docs[:split])
-					offerJudged(far, docs[split:])
-					pullAll(near, far)
-					pullAll(far, near)
-					row.check(t, near)
-					assert.Equal(t, near.Digest(), far.Digest())
-					assert.Assert(t, digest == Digest{} || digest == near.Digest())
-					digest = near.Digest()
+					first, second := New(Options{}), New(Options{})
+					offer(first, docs[:split])
+					offerJudged(second, docs[split:])
+					pullAll(first, second)
+					pullAll(second, first)
+					row.check(t, first)
+					assert.Equal(t, first.Digest(), second.Digest())
+					assert.Assert(t, digest == Digest{} || digest == first.Digest())
+					digest = first.Digest()
 				}
 			})
 		})
 	}
 }
 
-func (row order) check(t *testing.T, s *Store) {
+func (row orderCase) check(t *testing.T, s *Store) {
 	t.Helper()
 	snapshot := s.Snapshot()
 	inForce, refused := map[string]uint64{}, map[string]uint64{}
@@ -150,7 +151,7 @@
 	assert.Equal(t, fmt.Sprint(inForce), fmt.Sprint(row.InForce))
 	assert.Equal(t, fmt.Sprint(refused), fmt.Sprint(row.Refused))
 	for residue, want := range row.Decides {
-		assert.Equal(t, decided(snapshot, residue), want, "remainder %d", residue)
+		assert.Equal(t, decidedRevision(snapshot, residue), want, "remainder %d", residue)
 	}
 	kept := row.Kept
 	if kept == 0 {
@@ -159,19 +160,19 @@
 	assert.Equal(t, len(s.accepted), kept)
 }
 
-func offer(s *Store, docs []written) {
+func offer(s *Store, docs []testDocument) {
 	for _, d := range docs {
 		s.Offer([]Document{d.document()})
 	}
 }
 
-func offerJudged(s *Store, docs []written) {
+func offerJudged(s *Store, docs []testDocument) {
 	for _, d := range docs {
 		s.Offer(Judge([]Document{d.document()}))
 	}
 }
 
-// pullAll lets one VM pull from another, one small page after the other.
+// pullAll lets one VM pull from another in small pages.
 func pullAll(to, from *Store) {
 	for {
 		before := to.Digest()
@@ -183,7 +184,7 @@
 }
 
 // permute calls f with each order of docs.
-func permute(docs []written, f func([]written)) {
+func permute(docs []testDocument, f func([]testDocument)) {
 	var next func(int)
 	next = func(n int) {
 		if n == len(docs) {
--- a/configuration/record.go
+++ b/configuration/record.go
@@ -7,15 +7,15 @@
 	"github.com/fuchsianotch/fuchsianotch/result"
 )
 
-// slot is the place of which one document at most is in force. A contract
-// bucket has one for each number of buckets that it was published under; for
-// other documents buckets is zero.
+// slot identifies a place for one accepted document. A contract bucket has a slot for
+// each number of buckets that it was published under. For other documents buckets is
+// zero.
 type slot struct {
 	key     string
 	buckets int
 }
 
-// record is one judged document. It never changes, so snapshots share it.
+// record is a validated document. It is immutable, so Snapshots share it.
 type record struct {
 	slot
 
@@ -30,13 +30,13 @@
 	regions *contract.Regions
 }
 
-// bucket is a contract bucket with its index.
+// bucket is a contract bucket with its contracts by workspace.
 type bucket struct {
 	number    int
 	contracts map[string]*contract.Contract
 }
 
-// models is the models document with its indexes.
+// models is the models document, indexed by name.
 type models struct {
 	models   map[string]*contract.Model
 	services map[string]*contract.Service
@@ -62,8 +62,8 @@
 	return r
 }
 
-// newRefused keeps no value for an unknown key, since its verdict does not
-// depend on the value.
+// newRefused returns the record of a refused document. For an unknown key it keeps no
+// value, since the verdict doesn't depend on it.
 func newRefused(d Document, refusal *result.Refusal, at time.Time) *record {
 	r := &record{
 		slot: slot{
@@ -105,7 +105,7 @@
 	return out
 }
 
-// document returns the record in the form that passes between VMs.
+// document converts the record for exchange with other VMs.
 func (r *record) document() Document {
 	return Document{
 		Key:      r.key,
--- a/configuration/relay.go
+++ b/configuration/relay.go
@@ -10,38 +10,38 @@
 	"github.com/fuchsianotch/fuchsianotch/fleet"
 )
 
-// watchersPerDataCentre is how many VMs of a data centre watch the platform, so
-// that its reads grow with data centres. Two stand in for each other.
+// watchersPerDataCentre is the number of VMs in a data centre that watch the platform.
+// The second one is for redundancy.
 const watchersPerDataCentre = 2
 
-// Watchers returns the ids of the VMs that watch the platform, best first, out of
-// the reachable VMs of one data centre. Leaving VMs do not count.
+// Watchers returns the IDs of the VMs that watch the platform, in rank order. vms are
+// the reachable VMs of one data centre. Leaving ones are ignored.
 func Watchers(vms []fleet.VM) []string {
-	ranked := ranked(vms)
+	ranked := rankVMs(vms)
 	return ids(ranked[:min(len(ranked), watchersPerDataCentre)])
 }
 
-// Sources returns the ids of the VMs to pull documents from, best first: the
-// watchers of one's own data centre, the watchers of the others, one's own
-// region before the rest, then all VMs that do not watch in the same order.
-// vms are the reachable ones of all data centres, with self.
+// Sources returns the IDs of the VMs to pull documents from, in order of preference:
+// watchers before others, and among these the own data centre before the rest of the
+// own region before other regions. vms are the reachable VMs of all data centres,
+// including self.
 func Sources(self string, vms []fleet.VM) []string {
 	i := slices.IndexFunc(vms, func(vm fleet.VM) bool { return vm.ID == self })
 	var own fleet.VM
 	if i >= 0 {
 		own = vms[i]
 	}
-	live := ranked(vms)
-	watching := watching(live)
+	live := rankVMs(vms)
+	watching := allWatchers(live)
 	live = slices.DeleteFunc(live, func(vm fleet.VM) bool { return vm.ID == self })
 	slices.SortStableFunc(live, func(a, b fleet.VM) int {
-		return cmp.Compare(distance(own, a, watching[a.ID]), distance(own, b, watching[b.ID]))
+		return cmp.Compare(sourceCost(own, a, watching[a.ID]), sourceCost(own, b, watching[b.ID]))
 	})
 	return ids(live)
 }
 
-// watching returns the watchers of all data centres.
-func watching(vms []fleet.VM) map[string]bool {
+// allWatchers returns the watchers of all data centres.
+func allWatchers(vms []fleet.VM) map[string]bool {
 	centres := make(map[string][]fleet.VM)
 	for _, vm := range vms {
 		centres[vm.DataCentre] = append(centres[vm.DataCentre], vm)
@@ -55,8 +55,8 @@
 	return out
 }
 
-// distance orders sources; less is better.
-func distance(own, vm fleet.VM, watches bool) int {
+// sourceCost ranks a source. Lower is better.
+func sourceCost(own, vm fleet.VM, watches bool) int {
 	d := 0
 	if !watches {
 		d += 4
@@ -70,8 +70,8 @@
 	return d
 }
 
-// ranked returns the VMs that are not leaving, by the hash of their ids.
-func ranked(vms []fleet.VM) []fleet.VM {
+// rankVMs returns the VMs that aren't leaving, sorted by the hashes of their IDs.
+func rankVMs(vms []fleet.VM) []fleet.VM {
 	live := slices.DeleteFunc(slices.Clone(vms), func(vm fleet.VM) bool { return vm.State == fleet.StateLeaving })
 	slices.SortFunc(live, func(a, b fleet.VM) int {
 		return cmp.Or(cmp.Compare(xxhash.Sum64String(a.ID), xxhash.Sum64String(b.ID)), cmp.Compare(a.ID, b.ID))
@@ -87,47 +87,48 @@
 	return out
 }
 
-// Duty is how a VM gets its documents now.
+// Duty is how a VM currently obtains documents.
 type Duty int
 
-// The duties. All VMs pull from Sources when a heartbeat shows another digest.
+// Duties. All VMs also pull from Sources when a heartbeat shows a different digest.
 const (
-	// DutyPull reads nothing at the platform.
+	// DutyPull doesn't read from the platform.
 	DutyPull Duty = iota
-	// DutyProbe reads the platform's values and list once, above the revisions
-	// held, without waiting.
+	// DutyProbe reads the platform's list and its values above the held revisions once,
+	// without waiting.
 	DutyProbe
-	// DutyWatch watches the platform, from the revision its own last watch ended at.
+	// DutyWatch watches the platform, starting at the revision where this VM's last
+	// watch ended.
 	DutyWatch
 )
 
-// Periods of a Relay.
+// Intervals of a Relay.
 const (
-	probeEvery = 10 * time.Second
-	// takeOverFor is how long a VM watches after a probe found the watchers behind.
-	takeOverFor = 2 * time.Minute
+	probeInterval = 10 * time.Second
+	// takeoverPeriod is how long a VM watches after its probe has shown that the
+	// watchers lag.
+	takeoverPeriod = 2 * time.Minute
 )
 
-// Relay decides the duty of one VM. A watcher may be alive and yet silent, cut
-// off from the platform or fed by a stale replica. Heartbeats do not show that,
-// so the other VMs of the data centre probe the platform, together about once
-// in each probe period, however many they are. One that learns something from a
-// probe watches too for a while.
+// Relay selects the duty of one VM. A watcher can be alive but cut off from the
+// platform, or read from a stale replica, which heartbeats don't show. The other VMs of
+// the data centre therefore probe the platform, together about once per interval. A VM
+// whose probe finds something new watches for a while too.
 type Relay struct {
-	self      string
-	rand      func() uint64
-	probeAt   time.Time
-	takenOver time.Time
+	self        string
+	rand        func() uint64
+	nextProbeAt time.Time
+	watchUntil  time.Time
 }
 
-// RelayOptions set up a Relay.
+// RelayOptions configures a Relay.
 type RelayOptions struct {
 	Self string
 	// Rand returns random bits.
 	Rand func() uint64
 }
 
-// NewRelay makes a relay for one VM.
+// NewRelay returns a Relay for one VM.
 func NewRelay(o RelayOptions) *Relay {
 	return &Relay{
 		self: o.Self,
@@ -135,17 +136,17 @@
 	}
 }
 
-// Duty returns the duty now. vms are the reachable VMs of the VM's own data
-// centre, with itself. A VM that is not among them watches: it knows no other.
+// Duty returns the duty for now. vms are the reachable VMs of the own data centre,
+// including this one. A VM that isn't among them watches, as it knows no other.
 func (r *Relay) Duty(vms []fleet.VM, now time.Time) Duty {
-	if r.watches(vms) || now.Before(r.takenOver) {
+	if r.isWatcher(vms) || now.Before(r.watchUntil) {
 		return DutyWatch
 	}
-	if now.Before(r.probeAt) {
+	if now.Before(r.nextProbeAt) {
 		return DutyPull
 	}
-	first := r.probeAt.IsZero()
-	r.probeAt = now.Add(probeEvery)
+	first := r.nextProbeAt.IsZero()
+	r.nextProbeAt = now.Add(probeInterval)
 	others := uint64(max(len(vms)-watchersPerDataCentre, 1))
 	if first || r.rand()%others != 0 {
 		return DutyPull
@@ -153,22 +154,22 @@
 	return DutyProbe
 }
 
-// Next gives when Duty may change without a change of the VMs.
+// Next returns when Duty may change if the VMs don't.
 func (r *Relay) Next() time.Time {
-	if r.takenOver.After(r.probeAt) {
-		return r.takenOver
+	if r.watchUntil.After(r.nextProbeAt) {
+		return r.watchUntil
 	}
-	return r.probeAt
+	return r.nextProbeAt
 }
 
-// Probed takes the outcome of a probe: whether it brought something new.
+// Probed records whether a probe returned anything new.
 func (r *Relay) Probed(changed bool, now time.Time) {
 	if changed {
-		r.takenOver = now.Add(takeOverFor)
+		r.watchUntil = now.Add(takeoverPeriod)
 	}
 }
 
-func (r *Relay) watches(vms []fleet.VM) bool {
+func (r *Relay) isWatcher(vms []fleet.VM) bool {
 	known := slices.ContainsFunc(vms, func(vm fleet.VM) bool { return vm.ID == r.self })
 	return !known || slices.Contains(Watchers(vms), r.self)
 }
--- a/configuration/relay_test.go
+++ b/configuration/relay_test.go
@@ -53,8 +53,8 @@
 	}
 }
 
-// centre gives n VMs of one data centre and a relay for each.
-func centre(n int) ([]fleet.VM, []*Relay) {
+// newDataCentre returns n VMs of one data centre and a Relay for each.
+func newDataCentre(n int) ([]fleet.VM, []*Relay) {
 	random := rand.New(rand.NewPCG(1, uint64(n)))
 	var vms []fleet.VM
 	var relays []*Relay
@@ -72,14 +72,14 @@
 	return vms, relays
 }
 
-// TestReadsDoNotGrowWithVMs counts duties over many probe periods.
+// TestReadsDoNotGrowWithVMs checks that watchers and probes don't grow with the VMs.
 func TestReadsDoNotGrowWithVMs(t *testing.T) {
 	const periods = 60
 	for _, n := range []int{1, 2, 3, 8, 40, 100} {
-		vms, relays := centre(n)
+		vms, relays := newDataCentre(n)
 		probes := 0
 		for half := range 2 * periods {
-			now := time.Unix(0, 0).Add(time.Duration(half) * probeEvery / 2)
+			now := time.Unix(0, 0).Add(time.Duration(half) * probeInterval / 2)
 			watching := 0
 			for _, r := range relays {
 				switch r.Duty(vms, now) {
@@ -97,14 +97,14 @@
 	}
 }
 
-// TestSilentWatchers has two watchers that bring nothing although the platform
-// has news: a probe finds it, that VM watches, and stops after its time.
+// TestSilentWatchers checks that a VM whose probe finds news watches for a while, when
+// the watchers bring none.
 func TestSilentWatchers(t *testing.T) {
-	vms, relays := centre(8)
+	vms, relays := newDataCentre(8)
 	now := time.Unix(0, 0)
 	var found *Relay
-	for deadline := now.Add(6 * probeEvery); found == nil; now = now.Add(time.Second) {
-		assert.Assert(t, now.Before(deadline), "not found")
+	for deadline := now.Add(6 * probeInterval); found == nil; now = now.Add(time.Second) {
+		assert.Assert(t, now.Before(deadline), "no VM probed in time")
 		for _, r := range relays {
 			if r.Duty(vms, now) == DutyProbe {
 				r.Probed(true, now)
@@ -114,8 +114,8 @@
 		}
 	}
 	assert.Equal(t, found.Duty(vms, now), DutyWatch)
-	assert.Equal(t, found.Next(), now.Add(takeOverFor-time.Second))
-	assert.Assert(t, found.Duty(vms, now.Add(takeOverFor)) != DutyWatch)
+	assert.Equal(t, found.Next(), now.Add(takeoverPeriod-time.Second))
+	assert.Assert(t, found.Duty(vms, now.Add(takeoverPeriod)) != DutyWatch)
 }
 
 func TestReady(t *testing.T) {
@@ -135,14 +135,14 @@
 		t.Run(row.Name, func(t *testing.T) {
 			for _, peerFirst := range []bool{false, true} {
 				s, peer := New(Options{}), New(Options{})
-				fill(peer, row.Peer, row.PeerRevision, row.PeerList)
+				offerAll(peer, row.Peer, row.PeerRevision, row.PeerList)
 				if peerFirst {
 					pullAll(s, peer)
 					s.OfferList(fleet.List{
 						Revision: row.PeerList,
 					})
 				}
-				fill(s, row.Platform, cmp.Or(row.Revision, 1), row.List)
+				offerAll(s, row.Platform, cmp.Or(row.Revision, 1), row.List)
 				pullAll(s, peer)
 				s.OfferList(fleet.List{
 					Revision: row.PeerList,
@@ -163,9 +163,9 @@
 	}
 }
 
-func fill(s *Store, keys []string, revision, list uint64) {
+func offerAll(s *Store, keys []string, revision, list uint64) {
 	for _, key := range keys {
-		s.Offer([]Document{written{
+		s.Offer([]Document{testDocument{
 			Key:      key,
 			Revision: revision,
 			Buckets:  1,
--- a/configuration/snapshot.go
+++ b/configuration/snapshot.go
@@ -9,54 +9,55 @@
 	"github.com/fuchsianotch/fuchsianotch/fleet"
 )
 
-// Snapshot is the configuration in force at one moment. It never changes, and
-// may be read from any goroutine. Snapshots share the documents themselves.
+// Snapshot is the configuration in force at one time. It is immutable, so it may be
+// read from any goroutine.
 type Snapshot struct {
-	// Regions and List are nil until the first is known.
+	// Regions and List are nil until one has been received.
 	Regions *contract.Regions
 	List    *fleet.List
 	Digest  Digest
-	// Documents is the state of each key, by key.
+	// Documents is the status of each key, sorted by key.
 	Documents []DocumentStatus
-	// Buckets is the state of each number of buckets in use, ascending.
+	// Buckets is the status of each number of buckets in use, in ascending order.
 	Buckets []BucketCount
 
-	models *models
-	places map[place]*record
+	models        *models
+	bucketRecords map[bucketPosition]*record
 }
 
-// DocumentStatus is the state of one key.
+// DocumentStatus is the status of one key.
 type DocumentStatus struct {
 	Key string
-	// InForce is the latest accepted revision; zero means none.
+	// InForce is the latest accepted revision. Zero means none.
 	InForce uint64
-	// Refused is the highest refused revision above InForce; zero means none.
+	// Refused is the highest refused revision above InForce. Zero means none.
 	Refused uint64
-	// Reason is why the refused one was refused.
+	// Reason explains the refusal.
 	Reason string
-	// At is when this VM's state of the key last changed.
+	// At is when this VM's status of the key last changed.
 	At time.Time
 }
 
-// BucketCount tells how far the documents of one number of buckets are published.
+// BucketCount is the publication progress for one number of buckets.
 type BucketCount struct {
 	Buckets int
-	// Held is how many of them are in force; a change of number ends at Buckets.
+	// Held is how many of the buckets are in force. Once it equals Buckets, a change of
+	// the number is complete.
 	Held int
 }
 
-// place is the position of a contract bucket under a number of buckets.
-type place struct {
+// bucketPosition identifies a contract bucket under one number of buckets.
+type bucketPosition struct {
 	buckets int
 	number  int
 }
 
 func newSnapshot(s *Store) *Snapshot {
 	snapshot := &Snapshot{
-		List:      s.list,
-		Digest:    s.digest,
-		Documents: s.status(),
-		places:    make(map[place]*record, len(s.accepted)),
+		List:          s.list,
+		Digest:        s.digest,
+		Documents:     s.status(),
+		bucketRecords: make(map[bucketPosition]*record, len(s.accepted)),
 	}
 	if r := s.latest[contract.KeyRegions]; r != nil {
 		snapshot.Regions = r.regions
@@ -66,15 +67,15 @@
 	}
 	for _, r := range s.accepted {
 		if r.bucket != nil {
-			snapshot.add(r)
+			snapshot.addBucket(r)
 		}
 	}
 	slices.SortFunc(snapshot.Buckets, func(a, b BucketCount) int { return cmp.Compare(a.Buckets, b.Buckets) })
 	return snapshot
 }
 
-func (s *Snapshot) add(r *record) {
-	s.places[place{
+func (s *Snapshot) addBucket(r *record) {
+	s.bucketRecords[bucketPosition{
 		buckets: r.buckets,
 		number:  r.bucket.number,
 	}] = r
@@ -89,10 +90,10 @@
 	})
 }
 
-// Contract returns the workspace's contract. Of the buckets that the workspace
-// falls in, the one of the highest revision decides, also that there is none.
+// Contract returns the workspace's contract. Of the buckets that the workspace belongs
+// to, the one with the highest revision decides, including that there is no contract.
 func (s *Snapshot) Contract(workspace string) (*contract.Contract, bool) {
-	r := s.decides(workspace)
+	r := s.decidingRecord(workspace)
 	if r == nil {
 		return nil, false
 	}
@@ -100,16 +101,16 @@
 	return c, ok
 }
 
-// Covers tells whether a document that decides on the workspace is known. A VM
-// that has not got it yet must not call the workspace unknown.
+// Covers reports whether any bucket decides the workspace. If none does, the VM must
+// not treat the workspace as unknown, as its bucket may not have arrived yet.
 func (s *Snapshot) Covers(workspace string) bool {
-	return s.decides(workspace) != nil
+	return s.decidingRecord(workspace) != nil
 }
 
-func (s *Snapshot) decides(workspace string) *record {
+func (s *Snapshot) decidingRecord(workspace string) *record {
 	var best *record
 	for _, n := range s.Buckets {
-		r := s.places[place{
+		r := s.bucketRecords[bucketPosition{
 			buckets: n.Buckets,
 			number:  contract.BucketOf(workspace, n.Buckets),
 		}]
@@ -138,13 +139,13 @@
 	return v, ok
 }
 
-// Ready tells whether calls can be served: models, regions, the list and at
-// least one contract bucket are known.
+// Ready reports whether calls can be served: models, regions, the list and at least one
+// contract bucket are known.
 func (s *Snapshot) Ready() bool {
-	return s.models != nil && s.Regions != nil && s.List != nil && len(s.places) > 0
+	return s.models != nil && s.Regions != nil && s.List != nil && len(s.bucketRecords) > 0
 }
 
-// status returns the state of each key, by key.
+// status returns the status of each key, sorted by key.
 func (s *Store) status() []DocumentStatus {
 	out := make([]DocumentStatus, 0, len(s.latest)+len(s.refused))
 	for key, r := range s.latest {
@@ -152,20 +153,20 @@
 			Key:     key,
 			InForce: r.revision,
 			At:      r.at,
-		}.with(s.refused[key]))
+		}.withRefused(s.refused[key]))
 	}
 	for key, r := range s.refused {
 		if s.latest[key] == nil {
 			out = append(out, DocumentStatus{
 				Key: key,
-			}.with(r))
+			}.withRefused(r))
 		}
 	}
 	slices.SortFunc(out, func(a, b DocumentStatus) int { return cmp.Compare(a.Key, b.Key) })
 	return out
 }
 
-func (d DocumentStatus) with(refused *record) DocumentStatus {
+func (d DocumentStatus) withRefused(refused *record) DocumentStatus {
 	if refused == nil {
 		return d
 	}
--- a/configuration/visible.go
+++ b/configuration/visible.go
@@ -8,27 +8,26 @@
 	"github.com/fuchsianotch/fuchsianotch/contract"
 )
 
-// The number of buckets may change while both numbers' documents exist. The
-// rule: of all documents whose index is that of the workspace under the
-// document's own number of buckets, the one of the highest revision decides,
-// whether it holds the workspace or not. A document that a later one of its key
-// superseded stays in force while it still decides any possible workspace, that
-// is, while it is visible. This depends on the set of documents only: dropping
-// an invisible one never makes another visible or invisible.
+// The number of buckets may change while documents of both numbers exist. A workspace
+// is decided by the document with the highest revision among those whose bucket it
+// belongs to, each under its own number of buckets, whether or not that document
+// contains the workspace. A superseded document is visible, and stays in force, while
+// it decides at least one possible workspace. Visibility depends only on the set of
+// documents: removing an invisible one doesn't change that of any other.
 
-// visibleBudget bounds the search for one document, in steps. A document whose
-// search does not end within it is kept, which is safe.
-const visibleBudget = 1 << 16
+// visibleSearchBudget limits the steps of the search for one document. If the search
+// doesn't finish, the document is kept, which is safe.
+const visibleSearchBudget = 1 << 16
 
-// prune drops superseded documents that decide no workspace now that the added
-// one is there. Only those that share workspaces with it can have changed.
+// prune removes superseded documents that no longer decide any workspace after the
+// addition. Only documents that share workspaces with the added one can be affected.
 func (s *Store) prune(added *record) {
 	if len(s.accepted) == len(s.latest) {
 		return
 	}
-	counts := s.counts()
+	counts := s.bucketCounts()
 	for at, r := range s.accepted {
-		if s.latest[r.key] == r || !added.shares(r) || s.visible(r, counts) {
+		if s.latest[r.key] == r || !added.sharesWorkspaces(r) || s.visible(r, counts) {
 			continue
 		}
 		delete(s.accepted, at)
@@ -36,8 +35,8 @@
 	}
 }
 
-// shares tells whether a workspace can fall in both contract buckets.
-func (r *record) shares(other *record) bool {
+// sharesWorkspaces reports whether some workspace can belong to both contract buckets.
+func (r *record) sharesWorkspaces(other *record) bool {
 	if r.bucket == nil || other.bucket == nil {
 		return false
 	}
@@ -45,24 +44,25 @@
 	return r.bucket.number%common == other.bucket.number%common
 }
 
-// visible tells whether the record decides at least one workspace hash, given
-// the numbers of buckets in use. Of other documents only the latest decides.
+// visible reports whether the record decides at least one workspace hash under the
+// numbers of buckets in use. It is false for documents other than contract buckets, of
+// which only the latest decides.
 func (s *Store) visible(r *record, counts []int) bool {
 	if r.bucket == nil {
 		return false
 	}
-	search := cover{
-		store:    s,
-		revision: r.revision,
-		counts:   counts,
-		own:      r.buckets,
-		budget:   visibleBudget,
+	search := coverageSearch{
+		store:        s,
+		revision:     r.revision,
+		bucketCounts: counts,
+		ownBuckets:   r.buckets,
+		budget:       visibleSearchBudget,
 	}
-	return search.open(uint64(r.bucket.number), uint64(r.buckets), 0)
+	return search.hasUncovered(uint64(r.bucket.number), uint64(r.buckets), 0)
 }
 
-// counts returns the numbers of buckets in use, ascending.
-func (s *Store) counts() []int {
+// bucketCounts returns the numbers of buckets in use, in ascending order.
+func (s *Store) bucketCounts() []int {
 	seen := make(map[int]bool)
 	for at, r := range s.accepted {
 		if r.bucket != nil {
@@ -72,28 +72,29 @@
 	return slices.Sorted(maps.Keys(seen))
 }
 
-// cover searches a class of hashes for one that no higher document covers.
-type cover struct {
-	store    *Store
-	revision uint64
-	counts   []int
-	// own is the number of buckets of the searched document, which is no rival
-	// to itself.
-	own    int
-	budget int
+// coverageSearch searches for a workspace hash that no document of a higher revision
+// covers.
+type coverageSearch struct {
+	store        *Store
+	revision     uint64
+	bucketCounts []int
+	// ownBuckets is the number of buckets of the document in question, which the search
+	// skips.
+	ownBuckets int
+	budget     int
 }
 
-// open tells whether some hash that leaves the given remainder modulo modulus
-// is covered by no document of counts[from:] above the revision.
-func (c *cover) open(remainder, modulus uint64, from int) bool {
+// hasUncovered reports whether some hash with the given remainder modulo modulus is
+// covered by no higher document of bucketCounts[from:].
+func (c *coverageSearch) hasUncovered(remainder, modulus uint64, from int) bool {
 	c.budget--
-	if from == len(c.counts) || c.budget < 0 {
+	if from == len(c.bucketCounts) || c.budget < 0 {
 		return true
 	}
-	if c.counts[from] == c.own {
-		return c.open(remainder, modulus, from+1)
+	if c.bucketCounts[from] == c.ownBuckets {
+		return c.hasUncovered(remainder, modulus, from+1)
 	}
-	n := uint64(c.counts[from])
+	n := uint64(c.bucketCounts[from])
 	wider := lcm(modulus, n)
 	for r := remainder; r < wider; r += modulus {
 		if c.budget < 0 {
@@ -103,14 +104,14 @@
 		if c.covered(int(r%n), int(n)) {
 			continue
 		}
-		if c.open(r, wider, from+1) {
+		if c.hasUncovered(r, wider, from+1) {
 			return true
 		}
 	}
 	return false
 }
 
-func (c *cover) covered(number, buckets int) bool {
+func (c *coverageSearch) covered(number, buckets int) bool {
 	r := c.store.accepted[slot{
 		key:     bucketKey(number),
 		buckets: buckets,
