--- a/membership/bench_test.go
+++ b/membership/bench_test.go
@@ -12,16 +12,16 @@
 	"github.com/fuchsianotch/fuchsianotch/peer/peerpb"
 )
 
-// healthy returns a State whose region has n VMs that all reach and lend to it,
-// for the number of heartbeats given. After ten of them all its loans have
-// been steady for long; after three they still have the steps of the start.
-func healthy(n, heartbeats int) (s *State, now time.Time) {
+// newHealthyState returns a State whose region has n VMs that all reach it and grant it
+// leases, after a number of heartbeats. After three the share history still has its
+// first steps; after ten it is steady.
+func newHealthyState(n, heartbeats int) (s *State, now time.Time) {
 	list := &fleet.List{Revision: 1}
 	for i := range n {
-		list.VMs = append(list.VMs, vm(fmt.Sprintf("home-%03d", i)))
+		list.VMs = append(list.VMs, parseVM(fmt.Sprintf("home-%03d", i)))
 	}
 	for i := range 8 {
-		list.VMs = append(list.VMs, vm(fmt.Sprintf("other/other-%03d", i)))
+		list.VMs = append(list.VMs, parseVM(fmt.Sprintf("other/other-%03d", i)))
 	}
 	const every = 10 * time.Second
 	s = New(Options{
@@ -33,16 +33,16 @@
 	now = origin
 	for round := range heartbeats {
 		now = origin.Add(time.Duration(round) * every)
-		for _, p := range s.region {
-			exchange(s, p.vm.ID, now)
+		for _, p := range s.regionPeers {
+			exchangeHeartbeats(s, p.vm.ID, now)
 		}
 		s.View(now)
 	}
 	return s, now
 }
 
-// exchange is what one heartbeat each way does to the state.
-func exchange(s *State, id string, now time.Time) {
+// exchangeHeartbeats applies one heartbeat in each direction.
+func exchangeHeartbeats(s *State, id string, now time.Time) {
 	b := Beat{
 		VM:           id,
 		Incarnation:  7,
@@ -51,13 +51,13 @@
 		ListRevision: 1,
 	}
 	s.Heard(b, time.Time{}, now)
-	s.Lend(id, s.reach.hash, now)
+	s.Lend(id, s.candidates.hash, now)
 	s.Heard(b, now, now)
-	s.Borrowed(id, Loan{Term: 30 * time.Second, Hash: s.reach.hash}, now, now)
+	s.Borrowed(id, Loan{Term: 30 * time.Second, Hash: s.candidates.hash}, now, now)
 }
 
 func TestHoldDoesNotAllocate(t *testing.T) {
-	s, now := healthy(8, 10)
+	s, now := newHealthyState(8, 10)
 	v := s.View(now)
 	got := testing.AllocsPerRun(1000, func() {
 		v.Hold("ws-1", now)
@@ -70,7 +70,7 @@
 	for _, heartbeats := range []int{3, 10} {
 		for _, n := range []int{8, 32, 100} {
 			b.Run(fmt.Sprintf("heartbeats=%d/vms=%d", heartbeats, n), func(b *testing.B) {
-				s, now := healthy(n, heartbeats)
+				s, now := newHealthyState(n, heartbeats)
 				b.ReportAllocs()
 				for b.Loop() {
 					s.View(now)
@@ -84,7 +84,7 @@
 	for _, heartbeats := range []int{3, 10} {
 		for _, n := range []int{8, 32, 100} {
 			b.Run(fmt.Sprintf("heartbeats=%d/vms=%d", heartbeats, n), func(b *testing.B) {
-				s, now := healthy(n, heartbeats)
+				s, now := newHealthyState(n, heartbeats)
 				v := s.View(now)
 				b.ReportAllocs()
 				for b.Loop() {
@@ -95,34 +95,33 @@
 	}
 }
 
-// BenchmarkHeartbeat handles one heartbeat each way, without the view that is
-// published after it.
+// BenchmarkHeartbeat handles one heartbeat in each direction, without the View that
+// follows.
 func BenchmarkHeartbeat(b *testing.B) {
 	for _, n := range []int{8, 32, 100} {
 		b.Run(fmt.Sprintf("vms=%d", n), func(b *testing.B) {
-			s, now := healthy(n, 10)
-			id := s.region[0].vm.ID
+			s, now := newHealthyState(n, 10)
+			id := s.regionPeers[0].vm.ID
 			b.ReportAllocs()
 			for b.Loop() {
-				exchange(s, id, now)
+				exchangeHeartbeats(s, id, now)
 			}
 		})
 	}
 }
 
-// BenchmarkBytes reports the bytes of a request and a reply, and what one VM
-// sends each second at the default interval, without the framing of the
-// transport. Surpluses are put on replies to other regions alone. Its time
-// means nothing.
+// BenchmarkBytes reports message sizes and the bytes that one VM sends a second at the
+// default interval, without transport framing. Only replies to other regions carry
+// surplus. The benchmark's time is not meaningful.
 func BenchmarkBytes(b *testing.B) {
 	for _, surpluses := range []int{0, 1, 3} {
 		request := proto.Size(&peerpb.HeartbeatRequest{
-			Beat:     beatOnWire(0),
+			Beat:     wireBeat(0),
 			HeldLoan: 1 << 60,
 		})
-		reply := proto.Size(replyOnWire(0))
-		away := proto.Size(replyOnWire(surpluses))
-		const otherPeers = 2 * sourcesPerRegion
+		reply := proto.Size(wireReply(0))
+		away := proto.Size(wireReply(surpluses))
+		const otherPeers = 2 * maxPeersPerRemoteRegion
 		for _, n := range []int{3, 8, 32, 100} {
 			b.Run(fmt.Sprintf("surpluses=%d/vms=%d", surpluses, n), func(b *testing.B) {
 				sent := float64((request+reply)*(n-1) + (request+away)*otherPeers)
@@ -135,9 +134,9 @@
 	}
 }
 
-func replyOnWire(surpluses int) *peerpb.HeartbeatReply {
+func wireReply(surpluses int) *peerpb.HeartbeatReply {
 	return &peerpb.HeartbeatReply{
-		Beat: beatOnWire(surpluses),
+		Beat: wireBeat(surpluses),
 		Loan: &peerpb.Loan{
 			TermMs:   1500,
 			ViewHash: 1 << 62,
@@ -146,7 +145,7 @@
 	}
 }
 
-func beatOnWire(surpluses int) *peerpb.Beat {
+func wireBeat(surpluses int) *peerpb.Beat {
 	beat := &peerpb.Beat{
 		From: &peerpb.Identity{
 			Vm:          "home-001",
--- a/membership/catchup.go
+++ b/membership/catchup.go
@@ -2,51 +2,51 @@
 
 import "time"
 
-// Known is how far a VM's documents and list go.
+// Known holds the revisions of the documents and the list that a VM has.
 type Known struct {
 	DocumentsRevision uint64
 	ListRevision      uint64
 }
 
-// CaughtUp reports whether a VM that has just started knows what its peers know:
-// each listed VM of its region has answered a heartbeat and holds nothing
-// newer, or was found out of reach. When none of its region is in reach, it
-// asks those of other regions, until its hold after it was listed has passed;
-// a VM that no other answers then serves by what the platform gave it.
+// CaughtUp reports whether a VM that has just started knows as much as its peers: each
+// listed VM of its region has answered with no newer revision, or was found
+// unreachable. If none of the region answers, peers of other regions are consulted
+// until the hold after its listing has passed. After that a VM without reachable peers
+// serves with what the platform gave it.
 //
-// What a peer that isn't ready itself holds is not waited for, so two VMs that
-// start together never wait for each other.
+// Revisions of peers that aren't ready themselves are ignored, so VMs that start
+// together don't wait for each other.
 func (s *State) CaughtUp(k Known, now time.Time) bool {
 	if s.list == nil {
 		return false
 	}
-	heard, settled := catchUp(s.region, k)
+	heard, settled := checkPeers(s.regionPeers, k)
 	if !settled {
 		return false
 	}
-	if heard || !now.Before(s.lendFrom) {
+	if heard || !now.Before(s.grantFrom) {
 		return true
 	}
-	heard, settled = catchUp(s.watched(), k)
+	heard, settled = checkPeers(s.heartbeatPeers(), k)
 	return heard && settled
 }
 
-// catchUp reports whether any of the peers was heard, and whether none is still
-// to be heard or holds something newer.
-func catchUp(peers []*peer, k Known) (heard, settled bool) {
+// checkPeers reports whether any peer answered, and whether no peer is pending or has a
+// newer revision.
+func checkPeers(peers []*peer, k Known) (heard, settled bool) {
 	settled = true
 	for _, p := range peers {
 		switch {
 		case p.beat.Incarnation == 0:
-			settled = settled && p.lost()
-		case !p.lost():
+			settled = settled && p.foundUnreachable()
+		case !p.foundUnreachable():
 			heard = true
-			settled = settled && (!p.beat.Ready || !p.knowsMore(k))
+			settled = settled && (!p.beat.Ready || !p.hasNewerThan(k))
 		}
 	}
 	return heard, settled
 }
 
-func (p *peer) knowsMore(k Known) bool {
+func (p *peer) hasNewerThan(k Known) bool {
 	return p.beat.DocumentsRevision > k.DocumentsRevision || p.beat.ListRevision > k.ListRevision
 }
--- a/membership/catchup_test.go
+++ b/membership/catchup_test.go
@@ -10,8 +10,8 @@
 	"github.com/fuchsianotch/fuchsianotch/fleet"
 )
 
-// catchUpRow is one row of testdata/catchup.json. The VM itself holds documents
-// up to revision 5 and the list of revision 3.
+// catchUpRow is a row of testdata/catchup.json. The VM under test has documents up to
+// revision 5 and list revision 3.
 type catchUpRow struct {
 	Name      string               `json:"name"`
 	Unlisted  bool                 `json:"unlisted"`
@@ -33,7 +33,7 @@
 	rows := datatest.Read[[]catchUpRow](t, "testdata/catchup.json")
 	for _, row := range rows {
 		t.Run(row.Name, func(t *testing.T) {
-			s := newState(vm("a"))
+			s := newState(parseVM("a"))
 			now := origin
 			if !row.Unlisted {
 				s.SetList(row.list(), now)
@@ -44,7 +44,7 @@
 				}
 			}
 			if row.AfterHold {
-				now = s.lendFrom
+				now = s.grantFrom
 			}
 			got := s.CaughtUp(Known{
 				DocumentsRevision: 5,
@@ -58,13 +58,13 @@
 func (row catchUpRow) list() *fleet.List {
 	list := &fleet.List{
 		Revision: 3,
-		VMs:      []fleet.VM{vm("a")},
+		VMs:      []fleet.VM{parseVM("a")},
 	}
 	for id := range row.Region {
-		list.VMs = append(list.VMs, vm(id))
+		list.VMs = append(list.VMs, parseVM(id))
 	}
 	for id := range row.Others {
-		other := vm(id)
+		other := parseVM(id)
 		other.Region = "elsewhere"
 		list.VMs = append(list.VMs, other)
 	}
@@ -73,7 +73,7 @@
 
 func (p catchUpVM) apply(s *State, id string, now time.Time) {
 	for i := range p.Missed {
-		s.Missed(id, now.Add(time.Duration(i)*s.every))
+		s.Missed(id, now.Add(time.Duration(i)*s.heartbeatInterval))
 	}
 	if !p.Answers {
 		return
--- a/membership/interval.go
+++ b/membership/interval.go
@@ -3,29 +3,28 @@
 import "time"
 
 const (
-	// heartbeatLeast is the shortest default interval.
-	heartbeatLeast = 500 * time.Millisecond
-	// heartbeatPerPeer keeps the bytes that a VM sends within about 3 KB/s as
-	// its region and the number of regions grow.
-	heartbeatPerPeer = 75 * time.Millisecond
-	// heartbeatsPerTerm is the default lease term in heartbeats.
-	heartbeatsPerTerm = 3
-	// marginPart is the part of a lease term that a lender waits longer than
-	// the borrower counts. It covers clocks whose rates differ by 2 %.
-	marginPart = 50
+	// minHeartbeatInterval is the shortest default interval.
+	minHeartbeatInterval = 500 * time.Millisecond
+	// heartbeatIntervalPerPeer limits a VM's heartbeat traffic to about 3 KB/s at any
+	// fleet size.
+	heartbeatIntervalPerPeer = 75 * time.Millisecond
+	// heartbeatsPerLeaseTerm is the default lease term in heartbeat intervals.
+	heartbeatsPerLeaseTerm = 3
+	// clockMarginDivisor sets the fraction of a lease term by which the grantor waits
+	// longer than the holder. It tolerates a clock rate difference of 2 %.
+	clockMarginDivisor = 50
 )
 
-// DefaultHeartbeatEvery returns the default interval for the number of VMs that
-// are sent heartbeats.
+// DefaultHeartbeatEvery returns the default heartbeat interval for a number of peers.
 func DefaultHeartbeatEvery(peers int) time.Duration {
-	return max(heartbeatLeast, time.Duration(peers)*heartbeatPerPeer)
+	return max(minHeartbeatInterval, time.Duration(peers)*heartbeatIntervalPerPeer)
 }
 
 // DefaultLeaseTerm returns the default lease term for a heartbeat interval.
 func DefaultLeaseTerm(heartbeatEvery time.Duration) time.Duration {
-	return heartbeatsPerTerm * heartbeatEvery
+	return heartbeatsPerLeaseTerm * heartbeatEvery
 }
 
-func withMargin(term time.Duration) time.Duration {
-	return term + term/marginPart
+func withClockMargin(term time.Duration) time.Duration {
+	return term + term/clockMarginDivisor
 }
--- a/membership/list.go
+++ b/membership/list.go
@@ -7,23 +7,23 @@
 	"github.com/fuchsianotch/fuchsianotch/fleet"
 )
 
-// heldCount is a larger number of live VMs that an earlier list had. It is
-// divided by until a deadline.
-type heldCount struct {
+// pastLiveCount is the live VM count of an earlier list. It remains the divisor until
+// the deadline if it is larger than the current count.
+type pastLiveCount struct {
 	live  int
 	since time.Time
 	until time.Time
 }
 
-// SetList takes a list of the platform; one that is not newer is ignored.
+// SetList applies a list from the platform. A list that isn't newer is ignored.
 func (s *State) SetList(list *fleet.List, now time.Time) {
-	s.step(now)
+	s.advance(now)
 	if s.list != nil && list.Revision <= s.list.Revision {
 		return
 	}
 	s.list = list
-	s.region = s.region[:0]
-	s.others = s.others[:0]
+	s.regionPeers = s.regionPeers[:0]
+	s.remotePeers = s.remotePeers[:0]
 	listed := make(map[string]*peer, len(list.VMs))
 	live := 0
 	selfLive := false
@@ -33,55 +33,55 @@
 		}
 		if vm.ID == s.self.ID {
 			selfLive = vm.State == fleet.StateLive
-			s.takeAddresses(vm)
+			s.setSelfAddresses(vm)
 			continue
 		}
-		p := s.relist(vm, now)
+		p := s.updatePeer(vm, now)
 		listed[vm.ID] = p
 		if vm.Region == s.self.Region {
-			s.region = append(s.region, p)
+			s.regionPeers = append(s.regionPeers, p)
 		}
 	}
 	s.peers = listed
 	s.sortPeers()
-	s.setIntervals(len(s.region) + s.countSources())
-	s.setLive(live, selfLive, now)
-	s.dirty = true
+	s.setIntervals(len(s.regionPeers) + s.limitRemotePeers())
+	s.setLiveCount(live, selfLive, now)
+	s.candidatesStale = true
 	s.revision++
 }
 
-// countSources sets how many VMs of each other region are sent heartbeats, and
-// gives their number in all.
-func (s *State) countSources() int {
+// limitRemotePeers sets how many VMs of each other region receive heartbeats, and
+// returns their total.
+func (s *State) limitRemotePeers() int {
 	inRegion := make(map[string]int)
-	for _, p := range s.others {
+	for _, p := range s.remotePeers {
 		inRegion[p.vm.Region]++
 	}
-	s.sources = sourcesPerRegion
-	if len(inRegion) > fewRegions {
-		s.sources = 1
+	s.peersPerRemoteRegion = maxPeersPerRemoteRegion
+	if len(inRegion) > fewRemoteRegions {
+		s.peersPerRemoteRegion = 1
 	}
 	sum := 0
 	for _, vms := range inRegion {
-		sum += min(vms, s.sources)
+		sum += min(vms, s.peersPerRemoteRegion)
 	}
 	return sum
 }
 
-// takeAddresses makes this VM known to callers under the addresses that the
-// platform lists for it, not those that it happens to listen on.
-func (s *State) takeAddresses(listed fleet.VM) {
+// setSelfAddresses uses the addresses that the platform lists for this VM, which may
+// differ from those it listens on.
+func (s *State) setSelfAddresses(listed fleet.VM) {
 	s.self.CallerAddr = listed.CallerAddr
 	s.self.PeerAddr = listed.PeerAddr
 	s.self.OperatorAddr = listed.OperatorAddr
 }
 
-// relist returns the peer of a listed VM. One that moved to another address is a new one.
-func (s *State) relist(vm fleet.VM, now time.Time) *peer {
+// updatePeer returns the peer of a listed VM. A VM with a new address gets a new peer.
+func (s *State) updatePeer(vm fleet.VM, now time.Time) *peer {
 	p := s.peers[vm.ID]
 	if p == nil || p.vm.PeerAddr != vm.PeerAddr {
 		p = &peer{
-			next: now,
+			nextHeartbeat: now,
 		}
 	}
 	p.vm = vm
@@ -89,58 +89,58 @@
 }
 
 func (s *State) sortPeers() {
-	slices.SortFunc(s.region, func(a, b *peer) int { return compareIDs(a.vm, b.vm) })
-	s.others = append(s.others, rankOthers(s.self, s.list.VMs, s.peers)...)
+	slices.SortFunc(s.regionPeers, func(a, b *peer) int { return compareIDs(a.vm, b.vm) })
+	s.remotePeers = append(s.remotePeers, rankRemotePeers(s.self, s.list.VMs, s.peers)...)
 }
 
-// setLive records the number of live VMs. A smaller number is used only after
-// a hold, in which VMs with the older list have stopped lending by it; likewise
-// this VM lends only after it has been listed for a hold.
-func (s *State) setLive(live int, selfLive bool, now time.Time) {
-	hold := holdTerms * withMargin(s.term)
-	if live < s.live {
-		s.shrunk = append(s.shrunk, heldCount{
-			live:  s.live,
+// setLiveCount records the number of live VMs. A lower number takes effect after a
+// hold, when VMs with the older list no longer have leases outstanding. Likewise, this
+// VM grants leases only after it has been listed for a hold.
+func (s *State) setLiveCount(live int, selfLive bool, now time.Time) {
+	hold := listHoldTerms * withClockMargin(s.leaseTerm)
+	if live < s.liveVMs {
+		s.pastLiveCounts = append(s.pastLiveCounts, pastLiveCount{
+			live:  s.liveVMs,
 			since: now,
 			until: now.Add(hold),
 		})
 	}
-	s.live = live
+	s.liveVMs = live
 	if selfLive && !s.selfLive {
-		s.lendFrom = now.Add(hold)
+		s.grantFrom = now.Add(hold)
 	}
 	s.selfLive = selfLive
 }
 
-// dropHeld forgets the numbers whose time is over.
-func (s *State) dropHeld(now time.Time) {
-	before := len(s.shrunk)
-	s.shrunk = slices.DeleteFunc(s.shrunk, func(c heldCount) bool { return !now.Before(c.until) })
-	if len(s.shrunk) != before {
-		s.dirty = true
+// expireLiveCounts drops earlier counts whose deadline has passed.
+func (s *State) expireLiveCounts(now time.Time) {
+	before := len(s.pastLiveCounts)
+	s.pastLiveCounts = slices.DeleteFunc(s.pastLiveCounts, func(c pastLiveCount) bool { return !now.Before(c.until) })
+	if len(s.pastLiveCounts) != before {
+		s.candidatesStale = true
 	}
 }
 
-// divisor is the number of VMs that a single share is divided by.
-func (s *State) divisor() int {
-	n := s.live
-	for _, c := range s.shrunk {
+// shareDivisor returns the number of VMs that the limits are divided by.
+func (s *State) shareDivisor() int {
+	n := s.liveVMs
+	for _, c := range s.pastLiveCounts {
 		n = max(n, c.live)
 	}
 	return n
 }
 
-// knows reports whether the VM's present process ran for a hold before the list
-// shrank, so that it divides by the larger number too. Another one would count
-// a part that is lent to it as more than it is. A VM that lends nothing yet
-// can't tell, and needn't.
-func (s *State) knows(p *peer) bool {
-	if s.steppedAt.Before(s.lendFrom) {
+// sawLargerCount reports whether the VM's current process had run for a hold before the
+// list shrank. It then divides by the larger count too; a newer process would
+// overestimate a share leased to it. A VM that doesn't grant leases yet can't tell and
+// needn't.
+func (s *State) sawLargerCount(p *peer) bool {
+	if s.advancedAt.Before(s.grantFrom) {
 		return true
 	}
-	hold := holdTerms * withMargin(s.term)
-	for _, c := range s.shrunk {
-		if c.live > s.live && p.firstAt.After(c.since.Add(-hold)) {
+	hold := listHoldTerms * withClockMargin(s.leaseTerm)
+	for _, c := range s.pastLiveCounts {
+		if c.live > s.liveVMs && p.firstHeardAt.After(c.since.Add(-hold)) {
 			return false
 		}
 	}
--- a/membership/membership.go
+++ b/membership/membership.go
@@ -1,11 +1,11 @@
-// Package membership keeps what one VM knows about the others: who is listed,
-// who is reached, who owns which workspace, and which part of the workspaces'
-// limits each VM may use. It is control state of one goroutine and pure: time
-// comes in as an argument, and messages go out through the caller.
+// Package membership tracks what one VM knows about the others: which are listed, which
+// are reachable, which own a workspace, and which share of each workspace's limit a VM
+// may use. State is owned by one goroutine and does no I/O: callers pass in the time
+// and send the messages.
 //
-// Every listed VM of a region holds 1/n of every workspace's limit and lends it
-// to the VMs that it takes for the owners, for one lease term at a time; see
-// docs/design/membership.md for the bound that follows.
+// Every listed VM of a region has 1/n of every workspace's limit and leases that share
+// to the VMs it considers owners, one lease term at a time. See
+// docs/design/membership.md for the resulting bound.
 package membership
 
 import (
@@ -17,265 +17,271 @@
 )
 
 const (
-	// missesToLose are the misses after which a VM is unreachable.
-	missesToLose = 2
-	// repliesToReturn are the round trips after which it is reachable again.
-	repliesToReturn = 2
-	// hurry divides the heartbeat interval while a VM's state is in doubt.
-	hurry = 4
-	// holdTerms are the lease terms for which a change of the list is not
-	// used: neither fewer VMs nor this VM's own place in it.
-	holdTerms = 2
-	// sourcesPerRegion are the VMs of each other region that are sent
-	// heartbeats, while there are few other regions; else it is one.
-	sourcesPerRegion = 2
-	fewRegions       = 4
+	// missesUntilUnreachable is the number of misses after which a VM is unreachable.
+	missesUntilUnreachable = 2
+	// repliesUntilReachable is the number of replies in a row after which a VM is
+	// reachable.
+	repliesUntilReachable = 2
+	// fastIntervalDivisor shortens the heartbeat interval while a VM's state is
+	// uncertain.
+	fastIntervalDivisor = 4
+	// listHoldTerms is the number of lease terms before a list change takes effect that
+	// lowers the VM count or adds this VM.
+	listHoldTerms = 2
+	// maxPeersPerRemoteRegion is how many VMs of each other region receive heartbeats.
+	// With more than fewRemoteRegions other regions it is one.
+	maxPeersPerRemoteRegion = 2
+	fewRemoteRegions        = 4
 )
 
-// Options set up a State.
+// Options configures a State.
 type Options struct {
 	Self        fleet.VM
 	Incarnation uint64
-	// HeartbeatEvery and LeaseTerm give the intervals for the number of VMs that
-	// are sent heartbeats; nil means the default.
+	// HeartbeatEvery and LeaseTerm return the durations for a number of heartbeat
+	// peers. Nil selects DefaultHeartbeatEvery and DefaultLeaseTerm.
 	HeartbeatEvery func(peers int) time.Duration
 	LeaseTerm      func(peers int) time.Duration
 }
 
-// State is what one VM knows about the fleet. It is not safe for concurrent use.
+// State is one VM's knowledge of the fleet. It is not safe for concurrent use.
 type State struct {
-	self        fleet.VM
-	incarnation uint64
-	everyFor    func(peers int) time.Duration
-	termFor     func(peers int) time.Duration
-	every       time.Duration
-	term        time.Duration
+	self                 fleet.VM
+	incarnation          uint64
+	heartbeatIntervalFor func(peers int) time.Duration
+	leaseTermFor         func(peers int) time.Duration
+	heartbeatInterval    time.Duration
+	leaseTerm            time.Duration
 
 	list  *fleet.List
 	peers map[string]*peer
-	// region holds the listed VMs of the own region but self, by id; others
-	// holds those of the other regions, by region and then by rank for self.
-	region []*peer
-	others []*peer
-	// sources are the VMs of each other region that are sent heartbeats.
-	sources int
+	// regionPeers holds the other listed VMs of the own region, sorted by ID.
+	// remotePeers holds those of other regions, sorted by region and then by rank for
+	// self.
+	regionPeers []*peer
+	remotePeers []*peer
+	// peersPerRemoteRegion is how many VMs of each other region receive heartbeats.
+	peersPerRemoteRegion int
 
-	live     int
-	shrunk   []heldCount
-	selfLive bool
-	lendFrom time.Time
-	leaving  bool
-	ready    bool
-	// rights are those that a VM is known at first hand to hold, by its id.
-	rights map[string][]Adoption
+	liveVMs        int
+	pastLiveCounts []pastLiveCount
+	selfLive       bool
+	grantFrom      time.Time
+	leaving        bool
+	ready          bool
+	// adoptedRights maps a VM ID to the execution rights it holds, as set by SetRights.
+	adoptedRights map[string][]Adoption
 
-	steppedAt time.Time
-	// changedAt is when the set of possible owners changed last.
-	changedAt time.Time
-	wokeAt    time.Time
-	dirty     bool
-	reach     *memberSet
-	recent    []*memberSet
-	lent      lender
-	loans     map[string]*loan
-	revision  uint64
+	advancedAt time.Time
+	// candidatesChangedAt is when the set of possible owners last changed.
+	candidatesChangedAt time.Time
+	// resumedAt is when the last pause of the process ended.
+	resumedAt        time.Time
+	candidatesStale  bool
+	candidates       *memberSet
+	recentMemberSets []*memberSet
+	granted          leaseTable
+	heldLeases       map[string]*heldLease
+	revision         uint64
 }
 
-// New makes a State that knows no list yet.
+// New returns a State without a VM list.
 func New(o Options) *State {
 	s := &State{
-		self:        o.Self,
-		incarnation: o.Incarnation,
-		everyFor:    o.HeartbeatEvery,
-		termFor:     o.LeaseTerm,
-		peers:       make(map[string]*peer),
-		ready:       true,
-		reach:       newMemberSet(nil),
-		loans:       make(map[string]*loan),
-		revision:    1,
+		self:                 o.Self,
+		incarnation:          o.Incarnation,
+		heartbeatIntervalFor: o.HeartbeatEvery,
+		leaseTermFor:         o.LeaseTerm,
+		peers:                make(map[string]*peer),
+		ready:                true,
+		candidates:           newMemberSet(nil),
+		heldLeases:           make(map[string]*heldLease),
+		revision:             1,
 	}
-	if s.everyFor == nil {
-		s.everyFor = DefaultHeartbeatEvery
+	if s.heartbeatIntervalFor == nil {
+		s.heartbeatIntervalFor = DefaultHeartbeatEvery
 	}
-	if s.termFor == nil {
-		s.termFor = func(peers int) time.Duration { return DefaultLeaseTerm(s.everyFor(peers)) }
+	if s.leaseTermFor == nil {
+		s.leaseTermFor = func(peers int) time.Duration { return DefaultLeaseTerm(s.heartbeatIntervalFor(peers)) }
 	}
 	s.setIntervals(1)
 	return s
 }
 
 func (s *State) setIntervals(peers int) {
-	s.every = s.everyFor(peers)
-	s.term = s.termFor(peers)
+	s.heartbeatInterval = s.heartbeatIntervalFor(peers)
+	s.leaseTerm = s.leaseTermFor(peers)
 }
 
-// SetReady takes whether this VM has a configuration to serve by; it starts as true.
+// SetReady sets whether this VM has a configuration to serve with. The default is true.
 func (s *State) SetReady(ready bool, now time.Time) {
-	s.step(now)
+	s.advance(now)
 	s.ready = ready
-	s.dirty = true
+	s.candidatesStale = true
 }
 
-// Leave marks this VM as stopping, for good: it lends to others and owns nothing.
+// Leave marks this VM as stopping, permanently. It continues to grant leases to others
+// but owns no workspace.
 func (s *State) Leave(now time.Time) {
-	s.step(now)
+	s.advance(now)
 	s.leaving = true
-	s.lent.release(s.holder())
-	clear(s.loans)
-	s.hasten(now)
-	s.dirty = true
+	s.granted.release(s.process())
+	clear(s.heldLeases)
+	s.scheduleRegionHeartbeatsBy(now)
+	s.candidatesStale = true
 }
 
-// hasten sends the next heartbeats of the own region at a time, if not earlier.
-func (s *State) hasten(at time.Time) {
-	for _, p := range s.region {
-		p.hasten(at)
+// scheduleRegionHeartbeatsBy moves the next heartbeat to each VM of the own region
+// forward to the given time if it is later.
+func (s *State) scheduleRegionHeartbeatsBy(at time.Time) {
+	for _, p := range s.regionPeers {
+		p.scheduleHeartbeatBy(at)
 	}
 }
 
-func (s *State) holder() holder {
-	return holder{
+func (s *State) process() process {
+	return process{
 		vm:          s.self.ID,
 		incarnation: s.incarnation,
 	}
 }
 
-// step moves the state to now. A process that was stopped for longer than a
-// lease term knows nothing any more: all that it heard is older than the loans
-// it holds. It lends again, also to itself, after a heartbeat interval, in which
-// the others tell it whether its list is old.
-func (s *State) step(now time.Time) {
-	if !s.steppedAt.IsZero() && now.Sub(s.steppedAt) > s.term {
-		s.wake(now)
+// advance moves the state to now. If the process was paused for longer than a lease
+// term, everything it has heard is stale. It then waits one heartbeat interval before
+// it grants leases again, also to itself, so that its peers can report a newer list.
+func (s *State) advance(now time.Time) {
+	if !s.advancedAt.IsZero() && now.Sub(s.advancedAt) > s.leaseTerm {
+		s.resume(now)
 	}
-	if now.After(s.steppedAt) {
-		s.steppedAt = now
+	if now.After(s.advancedAt) {
+		s.advancedAt = now
 	}
-	s.dropHeld(now)
+	s.expireLiveCounts(now)
 	for _, p := range s.peers {
-		if p.reachable && now.Sub(p.heardAt) > s.term {
-			p.lose()
-			s.dirty = true
+		if p.reachable && now.Sub(p.heardAt) > s.leaseTerm {
+			p.markUnreachable()
+			s.candidatesStale = true
 		}
 	}
 }
 
-func (s *State) wake(now time.Time) {
-	s.wokeAt = now
-	s.lendFrom = moment.Later(s.lendFrom, now.Add(s.every))
-	clear(s.loans)
+func (s *State) resume(now time.Time) {
+	s.resumedAt = now
+	s.grantFrom = moment.Later(s.grantFrom, now.Add(s.heartbeatInterval))
+	clear(s.heldLeases)
 	for _, p := range s.peers {
-		p.lose()
-		p.next = now
+		p.markUnreachable()
+		p.nextHeartbeat = now
 	}
-	s.dirty = true
+	s.candidatesStale = true
 }
 
-// Due returns the VMs to send a heartbeat now and marks them as sent: all of the
-// own region, and a few of each other region by rank.
+// Due returns the VMs that are due a heartbeat and schedules their next one. It covers
+// all VMs of the own region and the highest-ranked ones of each other region.
 func (s *State) Due(now time.Time) []fleet.VM {
-	s.step(now)
+	s.advance(now)
 	var due []fleet.VM
-	for _, p := range s.watched() {
-		if now.Before(p.next) {
+	for _, p := range s.heartbeatPeers() {
+		if now.Before(p.nextHeartbeat) {
 			continue
 		}
-		p.next = now.Add(s.every)
+		p.nextHeartbeat = now.Add(s.heartbeatInterval)
 		due = append(due, p.vm)
 	}
 	return due
 }
 
-// Next returns the time of the next Due, at most one heartbeat interval away.
+// Next returns when Due must be called again, at most one heartbeat interval from now.
 func (s *State) Next(now time.Time) time.Time {
-	next := now.Add(s.every)
-	for _, p := range s.watched() {
-		if p.next.Before(next) {
-			next = p.next
+	next := now.Add(s.heartbeatInterval)
+	for _, p := range s.heartbeatPeers() {
+		if p.nextHeartbeat.Before(next) {
+			next = p.nextHeartbeat
 		}
 	}
 	return next
 }
 
-// watched returns the peers that are sent heartbeats. In another region those
-// that are out of reach are passed over, except the first, which is asked until it returns.
-func (s *State) watched() []*peer {
-	watched := slices.Clone(s.region)
+// heartbeatPeers returns the peers that receive heartbeats. In other regions
+// unreachable VMs are skipped, except the first in rank, which is probed until it
+// returns.
+func (s *State) heartbeatPeers() []*peer {
+	peers := slices.Clone(s.regionPeers)
 	region := ""
 	left := 0
-	for _, p := range s.others {
+	for _, p := range s.remotePeers {
 		if p.vm.Region != region {
 			region = p.vm.Region
-			left = s.sources
-			if p.lost() {
-				watched = append(watched, p)
+			left = s.peersPerRemoteRegion
+			if p.foundUnreachable() {
+				peers = append(peers, p)
 			}
 		}
-		if left > 0 && !p.lost() && p.vm.State == fleet.StateLive {
-			watched = append(watched, p)
+		if left > 0 && !p.foundUnreachable() && p.vm.State == fleet.StateLive {
+			peers = append(peers, p)
 			left--
 		}
 	}
-	return watched
+	return peers
 }
 
-// Heard takes the beat of a peer. sentAt is when this VM sent the request that
-// the beat answers; it is zero for a beat that came with the peer's own
-// request, which proves nothing about the way to the peer.
+// Heard processes a peer's beat. sentAt is when this VM sent the request that the beat
+// answers. It is zero if the beat came with the peer's own request, which doesn't show
+// that the peer can be reached.
 func (s *State) Heard(b Beat, sentAt, now time.Time) {
-	s.step(now)
+	s.advance(now)
 	p := s.peers[b.VM]
 	if p == nil {
 		return
 	}
 	if b.Leaving {
-		s.lent.release(b.holder())
+		s.granted.release(b.process())
 	}
 	if sentAt.IsZero() {
-		p.request(b, now, s.every/hurry)
-		s.dirty = true
+		p.handleRequest(b, now, s.heartbeatInterval/fastIntervalDivisor)
+		s.candidatesStale = true
 		return
 	}
-	if sentAt.Before(s.wokeAt) || now.Sub(sentAt) > s.term {
+	if sentAt.Before(s.resumedAt) || now.Sub(sentAt) > s.leaseTerm {
 		return
 	}
-	p.reply(b, sentAt, now, s.every/hurry)
-	s.dirty = true
+	p.handleReply(b, sentAt, now, s.heartbeatInterval/fastIntervalDivisor)
+	s.candidatesStale = true
 }
 
-// Missed records a heartbeat or a forwarded call that the VM did not answer.
+// Missed records a heartbeat or forwarded call that the VM didn't answer.
 func (s *State) Missed(vm string, now time.Time) {
-	s.miss(vm, 1, now)
+	s.recordMiss(vm, 1, now)
 }
 
-// Refused records that the VM's address refused a connection: its process is
-// gone, so it counts as two misses.
+// Refused records a refused connection. It counts as two misses, as the process is
+// gone.
 func (s *State) Refused(vm string, now time.Time) {
-	s.miss(vm, missesToLose, now)
+	s.recordMiss(vm, missesUntilUnreachable, now)
 }
 
-func (s *State) miss(vm string, misses int, now time.Time) {
-	s.step(now)
+func (s *State) recordMiss(vm string, misses int, now time.Time) {
+	s.advance(now)
 	p := s.peers[vm]
 	if p == nil {
 		return
 	}
-	p.miss(misses, now, s.every/hurry)
-	s.dirty = true
+	p.recordMiss(misses, now, s.heartbeatInterval/fastIntervalDivisor)
+	s.candidatesStale = true
 }
 
-// Beat returns what this VM says about itself; the caller adds revisions of
-// documents, adoptions, surplus, load and the stamp.
+// Beat returns this VM's own beat. The caller adds the document revisions, adoptions,
+// surplus, load and stamp.
 func (s *State) Beat(now time.Time) Beat {
-	s.step(now)
-	s.refresh()
+	s.advance(now)
+	s.refreshCandidates()
 	b := Beat{
 		VM:          s.self.ID,
 		Incarnation: s.incarnation,
 		Region:      s.self.Region,
 		Leaving:     s.leaving,
 		Ready:       s.ready,
-		ViewHash:    s.reach.hash,
+		ViewHash:    s.candidates.hash,
 	}
 	if s.list != nil {
 		b.ListRevision = s.list.Revision
@@ -283,29 +289,29 @@
 	return b
 }
 
-// refresh computes the set of VMs that this VM takes for possible owners. After
-// a change it asks soon for the loans that the others then give.
-func (s *State) refresh() {
-	if !s.dirty {
+// refreshCandidates recomputes the set of possible owners. If it changes, the next
+// heartbeats to the region are sent early to obtain the new leases.
+func (s *State) refreshCandidates() {
+	if !s.candidatesStale {
 		return
 	}
-	s.dirty = false
+	s.candidatesStale = false
 	var ids []string
 	if s.selfLive && s.ready && !s.leaving {
 		ids = append(ids, s.self.ID)
 	}
-	for _, p := range s.region {
-		if p.takesWork() && s.knows(p) {
+	for _, p := range s.regionPeers {
+		if p.mayOwn() && s.sawLargerCount(p) {
 			ids = append(ids, p.vm.ID)
 		}
 	}
 	set := newMemberSet(ids)
-	if set.hash == s.reach.hash {
+	if set.hash == s.candidates.hash {
 		return
 	}
-	s.reach = set
-	s.changedAt = s.steppedAt
-	s.remember(set)
-	s.hasten(s.steppedAt.Add(s.every / hurry))
+	s.candidates = set
+	s.candidatesChangedAt = s.advancedAt
+	s.rememberMembers(set)
+	s.scheduleRegionHeartbeatsBy(s.advancedAt.Add(s.heartbeatInterval / fastIntervalDivisor))
 	s.revision++
 }
--- a/membership/peer.go
+++ b/membership/peer.go
@@ -9,7 +9,7 @@
 	"github.com/fuchsianotch/fuchsianotch/fleet"
 )
 
-// Beat is what a VM says about itself on a heartbeat. It mirrors peerpb.Beat.
+// Beat is a VM's report about itself in a heartbeat. It mirrors peerpb.Beat.
 type Beat struct {
 	VM                string
 	Incarnation       uint64
@@ -27,15 +27,16 @@
 	ViewHash uint64
 }
 
-// Adoption says that the VM of the beat holds the rights of another incarnation.
+// Adoption reports that the beat's VM holds the execution rights of another
+// incarnation.
 type Adoption struct {
 	VM          string
 	Incarnation uint64
 	Until       time.Time
 }
 
-// Surplus is capacity for a target that a VM offers on behalf of its region.
-// Region and VM are set by the receiver.
+// Surplus is spare capacity for a target that a VM offers on behalf of its region. The
+// receiver sets Region and VM.
 type Surplus struct {
 	Target          string
 	Region          string
@@ -45,83 +46,85 @@
 	Until           time.Time
 }
 
-func (b *Beat) holder() holder {
-	return holder{
+func (b *Beat) process() process {
+	return process{
 		vm:          b.VM,
 		incarnation: b.Incarnation,
 	}
 }
 
-// peer is one other listed VM.
+// peer is another listed VM.
 type peer struct {
 	vm fleet.VM
 	// beat is the latest beat of the incarnation that answers at the VM's address.
 	beat Beat
-	// requester is the incarnation that sent the latest request in the VM's name.
-	requester uint64
-	reachable bool
-	replies   int
-	misses    int
-	missedAt  time.Time
-	// firstAt is when the present incarnation was first heard, heardAt the latest time.
-	firstAt   time.Time
-	heardAt   time.Time
-	roundTrip time.Duration
-	next      time.Time
+	// requestIncarnation is the incarnation that sent the latest request from this VM.
+	requestIncarnation uint64
+	reachable          bool
+	replies            int
+	misses             int
+	missedAt           time.Time
+	// firstHeardAt is when the current incarnation first replied. heardAt is when its
+	// latest answered request was sent.
+	firstHeardAt  time.Time
+	heardAt       time.Time
+	roundTrip     time.Duration
+	nextHeartbeat time.Time
 }
 
-// takesWork reports whether the VM may own workspaces.
-func (p *peer) takesWork() bool {
+// mayOwn reports whether the VM may own workspaces.
+func (p *peer) mayOwn() bool {
 	return p.reachable && p.vm.State == fleet.StateLive && !p.beat.Leaving && p.beat.Ready
 }
 
-// lost reports whether the VM was found out of reach, not just never tried.
-func (p *peer) lost() bool {
-	return !p.reachable && p.misses >= missesToLose
+// foundUnreachable reports whether the VM failed to respond, as opposed to never having
+// been contacted.
+func (p *peer) foundUnreachable() bool {
+	return !p.reachable && p.misses >= missesUntilUnreachable
 }
 
-func (p *peer) lose() {
+func (p *peer) markUnreachable() {
 	p.reachable = false
 	p.replies = 0
 }
 
-// request takes a beat that came with the peer's own request. One of another
-// incarnation is a reason to ask, but not yet a proof.
-func (p *peer) request(b Beat, now time.Time, soon time.Duration) {
-	p.requester = b.Incarnation
+// handleRequest processes a beat from the peer's own request. Another incarnation is
+// only trusted once it answers at the VM's address, so it is sent a heartbeat soon.
+func (p *peer) handleRequest(b Beat, now time.Time, soon time.Duration) {
+	p.requestIncarnation = b.Incarnation
 	if p.beat.Incarnation == b.Incarnation {
-		p.take(b)
+		p.updateBeat(b)
 		return
 	}
-	p.hasten(now.Add(soon))
+	p.scheduleHeartbeatBy(now.Add(soon))
 }
 
-// reply takes the answer to a request that was sent at sentAt.
-func (p *peer) reply(b Beat, sentAt, now time.Time, soon time.Duration) {
+// handleReply processes the reply to a request sent at sentAt.
+func (p *peer) handleReply(b Beat, sentAt, now time.Time, soon time.Duration) {
 	if p.beat.Incarnation != b.Incarnation {
 		if sentAt.Before(p.heardAt) {
 			return
 		}
-		p.lose()
+		p.markUnreachable()
 		p.beat = Beat{}
-		p.firstAt = now
+		p.firstHeardAt = now
 	}
-	p.take(b)
+	p.updateBeat(b)
 	p.misses = 0
 	p.replies++
 	p.roundTrip = now.Sub(sentAt)
 	if sentAt.After(p.heardAt) {
 		p.heardAt = sentAt
 	}
-	if p.replies >= repliesToReturn {
+	if p.replies >= repliesUntilReachable {
 		p.reachable = true
 		return
 	}
-	p.hasten(now.Add(soon))
+	p.scheduleHeartbeatBy(now.Add(soon))
 }
 
-// take keeps the beat unless it overtook a later one. Leaving is for good.
-func (p *peer) take(b Beat) {
+// updateBeat stores the beat unless a later one has arrived. Leaving is permanent.
+func (p *peer) updateBeat(b Beat) {
 	if b.Stamp < p.beat.Stamp {
 		return
 	}
@@ -129,25 +132,25 @@
 	p.beat = b
 }
 
-// miss counts an answer that did not come. Several at about the same time have
-// one cause and count as one.
-func (p *peer) miss(misses int, now time.Time, soon time.Duration) {
+// recordMiss counts a missing reply. Misses at about the same time share a cause and
+// count once.
+func (p *peer) recordMiss(misses int, now time.Time, soon time.Duration) {
 	if misses == 1 && p.misses > 0 && now.Sub(p.missedAt) < soon {
 		return
 	}
 	p.missedAt = now
 	p.replies = 0
 	p.misses += misses
-	if p.misses >= missesToLose {
-		p.lose()
+	if p.misses >= missesUntilUnreachable {
+		p.markUnreachable()
 		return
 	}
-	p.hasten(now.Add(soon))
+	p.scheduleHeartbeatBy(now.Add(soon))
 }
 
-func (p *peer) hasten(at time.Time) {
-	if at.Before(p.next) {
-		p.next = at
+func (p *peer) scheduleHeartbeatBy(at time.Time) {
+	if at.Before(p.nextHeartbeat) {
+		p.nextHeartbeat = at
 	}
 }
 
@@ -155,9 +158,9 @@
 	return cmp.Compare(a.ID, b.ID)
 }
 
-// rankOthers returns the peers of other regions, region by region, each in this
-// VM's rank order, so that the VMs of one region ask different ones of another.
-func rankOthers(self fleet.VM, vms []fleet.VM, peers map[string]*peer) []*peer {
+// rankRemotePeers returns the peers of other regions, sorted by region and then by this
+// VM's rank order, which spreads a region's heartbeats over the VMs of another.
+func rankRemotePeers(self fleet.VM, vms []fleet.VM, peers map[string]*peer) []*peer {
 	var others []*peer
 	for _, vm := range entry.Rank(self.ID, vms) {
 		if vm.Region != self.Region {
--- a/membership/rights.go
+++ b/membership/rights.go
@@ -2,71 +2,71 @@
 
 import "github.com/fuchsianotch/fuchsianotch/fleet"
 
-// SetRights says that a VM holds the rights of other incarnations, known at
-// first hand: this VM because it adopted them, or another one because this VM
-// handed them over. It replaces what was said of that VM before.
+// SetRights records the execution rights of other incarnations that a VM holds. They
+// are known directly: this VM adopted them, or transferred them to the VM. It replaces
+// the VM's earlier entry.
 func (s *State) SetRights(vm string, rights []Adoption) {
 	if len(rights) == 0 {
-		delete(s.rights, vm)
+		delete(s.adoptedRights, vm)
 		return
 	}
-	if s.rights == nil {
-		s.rights = make(map[string][]Adoption)
+	if s.adoptedRights == nil {
+		s.adoptedRights = make(map[string][]Adoption)
 	}
-	s.rights[vm] = rights
+	s.adoptedRights[vm] = rights
 }
 
-// adoptions returns the VM that holds the rights of each incarnation that gave
-// them up: as known at first hand, else as the beats say. What a VM that leaves
-// said counts least, since it may have handed on what it had.
-func (s *State) adoptions() map[holder]adopter {
-	adopted := make(map[holder]adopter)
-	for trust := leaves; trust <= reached; trust++ {
-		for _, peers := range [][]*peer{s.others, s.region} {
+// findRightsHolders returns the VM that holds the rights of each incarnation that gave
+// them up. Rights set by SetRights take precedence over beats. Beats of leaving VMs
+// count least, since those may have transferred the rights since.
+func (s *State) findRightsHolders() map[process]rightsHolder {
+	adopted := make(map[process]rightsHolder)
+	for trust := trustLeaving; trust <= trustReachable; trust++ {
+		for _, peers := range [][]*peer{s.remotePeers, s.regionPeers} {
 			for _, p := range peers {
 				if p.trust() == trust {
-					adoptAll(adopted, p.vm, p.beat.Adopted)
+					recordAdoptions(adopted, p.vm, p.beat.Adopted)
 				}
 			}
 		}
 	}
-	for _, p := range s.region {
-		adoptAll(adopted, p.vm, s.rights[p.vm.ID])
+	for _, p := range s.regionPeers {
+		recordAdoptions(adopted, p.vm, s.adoptedRights[p.vm.ID])
 	}
-	adoptAll(adopted, s.self, s.rights[s.self.ID])
+	recordAdoptions(adopted, s.self, s.adoptedRights[s.self.ID])
 	return adopted
 }
 
-// trust orders VMs by what their last word about rights is worth.
+// trust orders VMs by how much their last report about rights counts.
 type trust int
 
 const (
-	leaves trust = iota
-	unreached
-	reached
+	trustLeaving trust = iota
+	trustUnreachable
+	trustReachable
 )
 
 func (p *peer) trust() trust {
 	switch {
 	case p.beat.Leaving:
-		return leaves
+		return trustLeaving
 	case !p.reachable:
-		return unreached
+		return trustUnreachable
 	default:
-		return reached
+		return trustReachable
 	}
 }
 
-// adoptAll sets the VM as the holder of rights that end no earlier than those
-// known so far.
-func adoptAll(adopted map[holder]adopter, vm fleet.VM, rights []Adoption) {
+// recordAdoptions sets the VM as the holder of the rights, unless another holder's end
+// later.
+func recordAdoptions(adopted map[process]rightsHolder, vm fleet.VM, rights []Adoption) {
 	for _, a := range rights {
-		of := holder{
+		of := process{
 			vm:          a.VM,
 			incarnation: a.Incarnation,
 		}
 		if !a.Until.Before(adopted[of].until) {
-			adopted[of] = adopter{
+			adopted[of] = rightsHolder{
 				vm:    vm,
 				until: a.Until,
 			}
--- a/membership/rights_test.go
+++ b/membership/rights_test.go
@@ -10,15 +10,15 @@
 	"github.com/fuchsianotch/fuchsianotch/fleet"
 )
 
-// rightsCase says what VM a knows and which VM it asks for a ticket of the
-// first incarnation of VM b; testdata/rights.json holds them.
+// rightsCase is a case of testdata/rights.json: what VM a knows, and which VM it asks
+// to execute a ticket of VM b's first incarnation.
 type rightsCase struct {
 	Name string `json:"name"`
-	// Beats are what the VMs said of themselves, in order.
+	// Beats are the beats received, in order.
 	Beats []rightsBeat `json:"beats"`
-	// Rights names VMs known at first hand to hold the ticket's rights.
+	// Rights names the VMs passed to SetRights.
 	Rights []string `json:"rights"`
-	// Want is the VM to ask; empty means none.
+	// Want is the VM to ask. Empty means none.
 	Want string `json:"want"`
 }
 
--- a/membership/script_test.go
+++ b/membership/script_test.go
@@ -13,15 +13,16 @@
 	"github.com/fuchsianotch/fuchsianotch/fleet"
 )
 
-// script drives one State by the lines of a file in testdata: a command, and
-// what it must give after "->". The heartbeat interval is 100 ms, the lease term 300 ms.
+// script runs the commands of a testdata file against one State and compares their
+// output with the text after "->". The heartbeat interval is 100 ms and the lease term
+// 300 ms.
 type script struct {
 	state *State
 	now   time.Time
 	beats map[string]Beat
-	// lent are the numbers of the loans given to each VM, in order.
-	lent  map[string][]uint64
-	stamp uint64
+	// grantedIDs are the numbers of the leases granted to each VM, in order.
+	grantedIDs map[string][]uint64
+	stamp      uint64
 }
 
 var origin = time.Unix(1e9, 0)
@@ -29,10 +30,10 @@
 func TestScripts(t *testing.T) {
 	datatest.Scripts(t, "testdata/*.txtar", func() datatest.Do {
 		s := &script{
-			state: newState(vm("a")),
-			now:   origin,
-			beats: make(map[string]Beat),
-			lent:  make(map[string][]uint64),
+			state:      newState(parseVM("a")),
+			now:        origin,
+			beats:      make(map[string]Beat),
+			grantedIDs: make(map[string][]uint64),
 		}
 		return s.do
 	})
@@ -47,8 +48,8 @@
 	})
 }
 
-// vm reads "id", "id-" for one that is leaving, or "region/id".
-func vm(name string) fleet.VM {
+// parseVM parses "id", "id-" for a leaving VM, or "region/id".
+func parseVM(name string) fleet.VM {
 	v := fleet.VM{
 		ID:     strings.TrimSuffix(name, "-"),
 		Region: "home",
@@ -68,17 +69,17 @@
 func (s *script) do(t *testing.T, name string, words []string) string {
 	switch name {
 	case "at":
-		s.pass(at(words[0]))
+		s.advanceTo(parseTime(words[0]))
 	case "wake":
-		s.now = at(words[0])
+		s.now = parseTime(words[0])
 	case "list":
-		s.list(words)
+		s.setList(words)
 	case "due":
-		return ids(s.state.Due(s.now))
+		return joinIDs(s.state.Due(s.now))
 	case "next":
 		return s.state.Next(s.now).Sub(s.now).String()
 	case "beat":
-		s.beat(words)
+		s.setBeat(words)
 	case "request":
 		s.state.Heard(s.beats[words[0]], time.Time{}, s.now)
 	case "reply":
@@ -88,17 +89,17 @@
 	case "refused":
 		s.state.Refused(words[0], s.now)
 	case "lend":
-		l := s.state.Lend(words[0], s.state.reach.hash, s.now)
-		s.lent[words[0]] = append(s.lent[words[0]], l.ID)
+		l := s.state.Lend(words[0], s.state.candidates.hash, s.now)
+		s.grantedIDs[words[0]] = append(s.grantedIDs[words[0]], l.ID)
 		return fmt.Sprintf("%v %s", l.Term, strings.Join(l.Members, " "))
 	case "publish":
 		s.state.View(s.now)
 	case "acknowledge":
 		n, err := strconv.Atoi(words[1])
 		assert.NilError(t, err)
-		s.state.Acknowledge(words[0], s.lent[words[0]][n-1])
+		s.state.Acknowledge(words[0], s.grantedIDs[words[0]][n-1])
 	case "borrow":
-		s.state.Borrowed(words[0], Loan{Term: 300 * time.Millisecond, Members: words[2:]}, at(words[1]), s.now)
+		s.state.Borrowed(words[0], Loan{Term: 300 * time.Millisecond, Members: words[2:]}, parseTime(words[1]), s.now)
 	case "borrow_number":
 		id, err := strconv.ParseUint(words[1], 10, 64)
 		assert.NilError(t, err)
@@ -107,7 +108,7 @@
 			Term:    300 * time.Millisecond,
 			Members: words[3:],
 		}
-		s.state.Borrowed(words[0], l, at(words[2]), s.now)
+		s.state.Borrowed(words[0], l, parseTime(words[2]), s.now)
 	case "held":
 		return strconv.FormatUint(s.state.HeldLoan(words[0]), 10)
 	case "acknowledge_number":
@@ -117,22 +118,22 @@
 	case "leave":
 		s.state.Leave(s.now)
 	default:
-		return s.look(t, name, words)
+		return s.queryView(t, name, words)
 	}
 	return ""
 }
 
-// look reads the view of now.
-func (s *script) look(t *testing.T, name string, words []string) string {
+// queryView runs a query against the current View.
+func (s *script) queryView(t *testing.T, name string, words []string) string {
 	v := s.state.View(s.now)
 	switch name {
 	case "entries":
 		vms := v.Entries("ws")
 		owner, _ := v.Owner("ws")
 		assert.Assert(t, len(vms) == 0 || vms[0] == owner)
-		return ids(vms)
+		return joinIDs(vms)
 	case "entries_in":
-		return ids(v.EntriesIn(words[0], "ws"))
+		return joinIDs(v.EntriesIn(words[0], "ws"))
 	case "hold":
 		h := v.Hold("ws", s.now)
 		if h.Share == 0 {
@@ -154,27 +155,27 @@
 	return ""
 }
 
-// pass lets time go by with the state at work.
-func (s *script) pass(until time.Time) {
+// advanceTo advances the time in steps, with a View after each.
+func (s *script) advanceTo(until time.Time) {
 	for s.now.Before(until) {
 		s.now = s.now.Add(min(until.Sub(s.now), 50*time.Millisecond))
 		s.state.View(s.now)
 	}
 }
 
-func (s *script) list(names []string) {
+func (s *script) setList(names []string) {
 	list := &fleet.List{Revision: 1}
 	if s.state.list != nil {
 		list.Revision = s.state.list.Revision + 1
 	}
 	for _, name := range names {
-		list.VMs = append(list.VMs, vm(name))
+		list.VMs = append(list.VMs, parseVM(name))
 	}
 	s.state.SetList(list, s.now)
 }
 
-// beat sets what a VM says: its id, then key=value.
-func (s *script) beat(words []string) {
+// setBeat parses a VM's ID and key=value pairs into its next beat.
+func (s *script) setBeat(words []string) {
 	s.stamp++
 	b := Beat{
 		VM:          words[0],
@@ -204,15 +205,15 @@
 	s.beats[b.VM] = b
 }
 
-// sentAt reads the time after a VM's name; without one the request was sent now.
+// sentAt parses the time after a VM's name. It defaults to now.
 func (s *script) sentAt(words []string) time.Time {
 	if len(words) > 1 {
-		return at(words[1])
+		return parseTime(words[1])
 	}
 	return s.now
 }
 
-func at(text string) time.Time {
+func parseTime(text string) time.Time {
 	d, err := time.ParseDuration(text)
 	if err != nil {
 		panic(err)
@@ -220,7 +221,7 @@
 	return origin.Add(d)
 }
 
-func ids(vms []fleet.VM) string {
+func joinIDs(vms []fleet.VM) string {
 	var out []string
 	for _, v := range vms {
 		out = append(out, v.ID)
--- a/membership/view.go
+++ b/membership/view.go
@@ -9,10 +9,10 @@
 	"github.com/fuchsianotch/fuchsianotch/fleet"
 )
 
-// Member is one VM as a View shows it.
+// Member is a VM as shown by a View.
 type Member struct {
 	VM fleet.VM
-	// Incarnation is zero for a VM that never answered.
+	// Incarnation is zero for a VM that has never answered.
 	Incarnation       uint64
 	Reachable         bool
 	Leaving           bool
@@ -25,87 +25,89 @@
 	DocumentsHash     uint64
 }
 
-// View is an immutable picture of the fleet, for traffic to read.
+// View is an immutable snapshot of the fleet that request handlers read.
 type View struct {
-	// Revision rises with every change of the VMs that take work.
+	// Revision increases when the list or the set of possible owners changes.
 	Revision     uint64
 	ListRevision uint64
 	Self         fleet.VM
-	// Region holds the listed VMs of the own region with Self, by id; Others
-	// holds those of the other regions, each region in the order in which this VM asks them.
+	// Region holds the listed VMs of the own region, including Self, sorted by ID.
+	// Others holds those of other regions, sorted by region and then by rank for this
+	// VM.
 	Region []Member
 	Others []Member
-	// VMs is the number of listed live VMs of the own region by which a single
-	// share is divided; just after the list shrank it is still the larger number.
+	// VMs is the number of live VMs of the own region that limits are divided by. Just
+	// after the list has shrunk it is still the larger number.
 	VMs int
-	// Peers is the number of VMs that are sent heartbeats.
+	// Peers is the number of VMs that receive heartbeats.
 	Peers int
-	// Leaving is set for good once this VM is stopping.
+	// Leaving is set permanently once this VM is stopping.
 	Leaving bool
-	// LendsFrom is when this VM begins to lend after it was started or newly listed.
+	// LendsFrom is when this VM begins to grant leases after a start, a pause or its
+	// listing.
 	LendsFrom time.Time
 
-	entries  []entryVM
-	adopted  map[holder]adopter
-	surplus  map[string][]Surplus
-	holdings holdings
+	entryVMs      []entryVM
+	rightsHolders map[process]rightsHolder
+	surplus       map[string][]Surplus
+	shares        shareIndex
 }
 
-// entryVM is a VM that takes work, with the hash of its id.
+// entryVM is a VM that may own workspaces, with the hash of its ID.
 type entryVM struct {
-	vm   fleet.VM
-	seed uint64
+	vm     fleet.VM
+	idHash uint64
 }
 
-type adopter struct {
+type rightsHolder struct {
 	vm    fleet.VM
 	until time.Time
 }
 
-// View returns the picture of now. It renews this VM's loan to itself, so it is
-// to be called and published after every step of the control state.
+// View returns a snapshot for now. It renews this VM's own lease, so call it and
+// publish the result after every change of the state.
 func (s *State) View(now time.Time) *View {
-	s.step(now)
+	s.advance(now)
 	if !s.leaving && s.ready {
-		s.lendToSelf(now)
+		s.renewOwnLease(now)
 	}
-	s.refresh()
+	s.refreshCandidates()
 	v := &View{
-		Revision:  s.revision,
-		Self:      s.self,
-		VMs:       s.divisor(),
-		Leaving:   s.leaving,
-		LendsFrom: s.lendFrom,
-		entries:   s.entryVMs(),
-		adopted:   s.adoptions(),
-		surplus:   s.surpluses(),
-		holdings:  s.holdings(now),
+		Revision:      s.revision,
+		Self:          s.self,
+		VMs:           s.shareDivisor(),
+		Leaving:       s.leaving,
+		LendsFrom:     s.grantFrom,
+		entryVMs:      s.entryVMs(),
+		rightsHolders: s.findRightsHolders(),
+		surplus:       s.surplusByTarget(),
+		shares:        s.buildShareIndex(now),
 	}
 	if s.list != nil {
 		v.ListRevision = s.list.Revision
 	}
 	v.Region = s.regionMembers()
-	v.Others = members(s.others)
+	v.Others = toMembers(s.remotePeers)
 	return v
 }
 
 func (s *State) entryVMs() []entryVM {
-	vms := make([]entryVM, 0, len(s.reach.ids))
-	for _, id := range s.reach.ids {
+	vms := make([]entryVM, 0, len(s.candidates.ids))
+	for _, id := range s.candidates.ids {
 		vm := s.self
 		if p := s.peers[id]; p != nil {
 			vm = p.vm
 		}
 		vms = append(vms, entryVM{
-			vm:   vm,
-			seed: entry.Hash(id),
+			vm:     vm,
+			idHash: entry.Hash(id),
 		})
 	}
 	return vms
 }
 
 func (s *State) regionMembers() []Member {
-	region := members(s.region)
+	region := toMembers(s.regionPeers)
 	i, _ := slices.BinarySearchFunc(region, s.self.ID, func(m Member, id string) int {
 		return cmp.Compare(m.VM.ID, id)
 	})
@@ -115,12 +117,12 @@
 		Reachable:   true,
 		Leaving:     s.leaving,
 		Ready:       s.ready,
-		HeardAt:     s.steppedAt,
+		HeardAt:     s.advancedAt,
 	}
 	return slices.Insert(region, i, self)
 }
 
-func members(peers []*peer) []Member {
+func toMembers(peers []*peer) []Member {
 	out := make([]Member, 0, len(peers)+1)
 	for _, p := range peers {
 		out = append(out, Member{
@@ -140,10 +142,10 @@
 	return out
 }
 
-func (s *State) surpluses() map[string][]Surplus {
+func (s *State) surplusByTarget() map[string][]Surplus {
 	offers := make(map[string][]Surplus)
-	for _, p := range s.others {
-		if !p.takesWork() {
+	for _, p := range s.remotePeers {
+		if !p.mayOwn() {
 			continue
 		}
 		for _, o := range p.beat.Surplus {
@@ -155,23 +157,24 @@
 	return offers
 }
 
-// Entries returns the VMs of the region that take work, in the workspace's rank order.
+// Entries returns the region's VMs that may own workspaces, in the workspace's rank
+// order.
 func (v *View) Entries(workspace string) []fleet.VM {
-	vms := make([]fleet.VM, 0, len(v.entries))
-	for _, e := range v.entries {
+	vms := make([]fleet.VM, 0, len(v.entryVMs))
+	for _, e := range v.entryVMs {
 		vms = append(vms, e.vm)
 	}
 	return entry.Rank(workspace, vms)
 }
 
-// Owner returns the first of Entries without allocating; ok is false when there is none.
+// Owner returns the first of Entries without allocating. ok is false if there is none.
 func (v *View) Owner(workspace string) (vm fleet.VM, ok bool) {
 	h := entry.Hash(workspace)
 	owner := -1
 	var best uint64
-	for i, e := range v.entries {
-		// The entries are in ascending order of ids, so a tie keeps the lower.
-		if score := entry.Score(h, e.seed); owner < 0 || score > best {
+	for i, e := range v.entryVMs {
+		// Entries are sorted by ID, so a tie keeps the lower ID.
+		if score := entry.Score(h, e.idHash); owner < 0 || score > best {
 			owner = i
 			best = score
 		}
@@ -179,11 +182,11 @@
 	if owner < 0 {
 		return fleet.VM{}, false
 	}
-	return v.entries[owner].vm, true
+	return v.entryVMs[owner].vm, true
 }
 
-// EntriesIn returns the listed live VMs of another region in the workspace's rank
-// order, those known to be leaving left out and those not reached put last.
+// EntriesIn returns the live VMs of a region in the workspace's rank order. For another
+// region it omits leaving VMs and puts unreachable ones last.
 func (v *View) EntriesIn(region, workspace string) []fleet.VM {
 	if region == v.Self.Region {
 		return v.Entries(workspace)
@@ -195,7 +198,8 @@
 		case m.Reachable:
 			reached = append(reached, m.VM)
 		case m.Incarnation == 0:
-			// Most VMs of other regions are never asked, which says nothing against them.
+			// Most VMs of other regions never receive heartbeats, so they aren't known
+			// to fail.
 			reached = append(reached, m.VM)
 		default:
 			rest = append(rest, m.VM)
@@ -204,14 +208,14 @@
 	return append(entry.Rank(workspace, reached), entry.Rank(workspace, rest)...)
 }
 
-// Executor returns the VM to ask for a ticket of an incarnation: the one that
-// adopted it, or the VM itself unless it is known to run another incarnation.
+// Executor returns the VM that accepts tickets of an incarnation: the one that adopted
+// its rights, or the VM itself unless it is known to run another incarnation.
 func (v *View) Executor(vm string, incarnation uint64) (fleet.VM, bool) {
-	of := holder{
+	of := process{
 		vm:          vm,
 		incarnation: incarnation,
 	}
-	if a, ok := v.adopted[of]; ok {
+	if a, ok := v.rightsHolders[of]; ok {
 		return a.vm, true
 	}
 	for _, members := range [][]Member{v.Region, v.Others} {
@@ -224,7 +228,7 @@
 	return fleet.VM{}, false
 }
 
-// Surplus returns what other regions offer for a target and have not withdrawn.
+// Surplus returns other regions' unexpired offers for a target.
 func (v *View) Surplus(target string, now time.Time) []Surplus {
 	var offers []Surplus
 	for _, o := range v.surplus[target] {
