--- a/configuration/order_test.go
+++ b/configuration/order_test.go
@@ -92,7 +92,7 @@
 	switch {
 	case ok:
 		return int(c.Regions[0].RequestsPerSecond)
-	case s.Covers(workspaces[residue]):
+	case s.HasBucketFor(workspaces[residue]):
 		return 0
 	}
 	return -1
--- a/configuration/snapshot.go
+++ b/configuration/snapshot.go
@@ -101,9 +101,9 @@
 	return c, ok
 }
 
-// Covers reports whether any bucket decides the workspace. If none does, the VM must
-// not treat the workspace as unknown, as its bucket may not have arrived yet.
-func (s *Snapshot) Covers(workspace string) bool {
+// HasBucketFor reports whether any bucket decides the workspace. If none does, the VM
+// must not treat the workspace as unknown, as its bucket may not have arrived yet.
+func (s *Snapshot) HasBucketFor(workspace string) bool {
 	return s.decidingRecord(workspace) != nil
 }
 
--- a/roster/picture.go
+++ b/roster/picture.go
@@ -15,9 +15,9 @@
 	VM          fleet.VM
 	Incarnation uint64
 	// Reachable is also false for suspected members.
-	Reachable  bool
-	Ready      bool
-	TurnedAway bool
+	Reachable       bool
+	Ready           bool
+	StoreUnreadable bool
 }
 
 // Picture is an immutable snapshot of the roster that request handlers read.
@@ -29,10 +29,10 @@
 	Generation uint64
 	// Most is the largest number of VMs known at once.
 	Most int
-	// SteppedAt is the time of the roster's last Step. Waking is set after a pause of
-	// the process until the endpoints have been probed again.
-	SteppedAt time.Time
-	Waking    bool
+	// AdvancedAt is the time of the roster's last Step. Resuming is set after a pause
+	// of the process until the endpoints have been probed again.
+	AdvancedAt time.Time
+	Resuming   bool
 	// maxStepGap is the longest time between Steps that isn't treated as a pause.
 	maxStepGap time.Duration
 	// reached holds the reachable VMs by region, and taking those of them that take
@@ -70,7 +70,7 @@
 // process. If not, delayed calls could all be sent to endpoints that have gone cold
 // meanwhile.
 func (p *Picture) Current(now time.Time) bool {
-	return !p.Waking && (p.SteppedAt.IsZero() || now.Sub(p.SteppedAt) <= p.maxStepGap)
+	return !p.Resuming && (p.AdvancedAt.IsZero() || now.Sub(p.AdvancedAt) <= p.maxStepGap)
 }
 
 // Picture returns a snapshot of the current state.
@@ -83,8 +83,8 @@
 		Members:    r.memberIndex.members,
 		Generation: r.memberIndex.generation,
 		Most:       r.maxKnown,
-		SteppedAt:  r.advancedAt,
-		Waking:     r.resuming,
+		AdvancedAt: r.advancedAt,
+		Resuming:   r.resuming,
 		maxStepGap: r.maxStepGap(),
 		reached:    r.memberIndex.reached,
 		taking:     r.memberIndex.taking,
@@ -104,22 +104,22 @@
 		next.generation = r.memberIndex.generation + 1
 	}
 	next.members = append(next.members, Member{
-		VM:          r.self.VM,
-		Incarnation: r.self.Incarnation,
-		Reachable:   r.self.State == StateAlive,
-		Ready:       r.self.Ready,
-		TurnedAway:  r.self.TurnedAway,
+		VM:              r.self.VM,
+		Incarnation:     r.self.Incarnation,
+		Reachable:       r.self.State == StateAlive,
+		Ready:           r.self.Ready,
+		StoreUnreadable: r.self.TurnedAway,
 	})
 	for _, m := range r.members {
 		if m.State >= StateDead {
 			continue
 		}
 		next.members = append(next.members, Member{
-			VM:          m.VM,
-			Incarnation: m.Incarnation,
-			Reachable:   m.State == StateAlive && m.misses < missesToSuspect,
-			Ready:       m.Ready,
-			TurnedAway:  m.TurnedAway,
+			VM:              m.VM,
+			Incarnation:     m.Incarnation,
+			Reachable:       m.State == StateAlive && m.misses < missesToSuspect,
+			Ready:           m.Ready,
+			StoreUnreadable: m.TurnedAway,
 		})
 	}
 	slices.SortFunc(next.members, func(a, b Member) int { return cmp.Compare(a.VM.ID, b.VM.ID) })
@@ -141,7 +141,7 @@
 func (p *Picture) StoreAway() bool {
 	return slices.ContainsFunc(p.Members, func(m Member) bool {
 		isSelf := m.VM.ID == p.Self.ID
-		return m.TurnedAway && m.VM.Region == p.Self.Region && (isSelf || m.Reachable)
+		return m.StoreUnreadable && m.VM.Region == p.Self.Region && (isSelf || m.Reachable)
 	})
 }
 
@@ -155,7 +155,7 @@
 	var vms []fleet.VM
 	for _, m := range p.Members {
 		isSelf := m.VM.ID == p.Self.ID
-		if m.VM.Region == p.Self.Region && (isSelf || (m.Reachable && !m.TurnedAway)) {
+		if m.VM.Region == p.Self.Region && (isSelf || (m.Reachable && !m.StoreUnreadable)) {
 			vms = append(vms, m.VM)
 		}
 	}
--- a/roster/picture_test.go
+++ b/roster/picture_test.go
@@ -43,13 +43,13 @@
 				first = i
 			}
 		}
-		members[first].TurnedAway = true
+		members[first].StoreUnreadable = true
 		// The VM that is turned away keeps trying, and another one replaces it.
 		assert.Assert(t, countReaders(members) >= 2)
 		others := append([]Member{}, members[:first]...)
 		assert.Equal(t, countReaders(append(others, members[first+1:]...)), 2)
 		for i := range members {
-			members[i].TurnedAway = true
+			members[i].StoreUnreadable = true
 		}
 		assert.Equal(t, countReaders(members), vms)
 	}
--- a/roster/target.go
+++ b/roster/target.go
@@ -38,17 +38,17 @@
 
 // Spread returns up to count random members of the own region, to receive a new rumor.
 func (r *Roster) Spread(count int) []Target {
-	var near []*member
+	var alive []*member
 	for _, m := range r.sortedMembers() {
 		if m.VM.Region == r.self.VM.Region && m.State == StateAlive {
-			near = append(near, m)
+			alive = append(alive, m)
 		}
 	}
 	var out []Target
-	for range min(count, len(near)) {
-		i := int(r.rand() % uint64(len(near)))
-		out = append(out, r.target(near[i]))
-		near = slices.Delete(near, i, i+1)
+	for range min(count, len(alive)) {
+		i := int(r.rand() % uint64(len(alive)))
+		out = append(out, r.target(alive[i]))
+		alive = slices.Delete(alive, i, i+1)
 	}
 	return out
 }
