--- a/routing/cache.go
+++ b/routing/cache.go
@@ -7,33 +7,31 @@
 )
 
 const (
-	// cacheGoodFor is how long a prefix counts as held after its last use. Under
-	// load an engine needs the memory for other requests before that is over.
-	cacheGoodFor = 20 * time.Second
-	// cacheShare is the part of an engine's memory that is taken to hold shared
-	// prefixes; running requests need the rest.
-	cacheShare = 0.5
-	// defaultCacheTokens stands in where an engine does not tell its memory.
+	// prefixTTL is how long a prefix counts as cached after its last use. A loaded engine
+	// tends to evict it sooner than that.
+	prefixTTL = 20 * time.Second
+	// prefixCacheFraction is the fraction of an engine's KV cache that is assumed to hold
+	// shared prefixes; running requests use the rest.
+	prefixCacheFraction = 0.5
+	// defaultCacheTokens is the cache size of an engine that does not report one.
 	defaultCacheTokens = 200_000
-	// fetchLeast is how many tokens a fetch from another engine must save. The question
-	// takes some milliseconds and reading as many tokens little more than one, but an
-	// engine that reads has less time for others: with 256, 7% more tokens of shared
-	// parts were read again (40 plays of five days with faults).
-	fetchLeast = 64
-	// fetchedPart is what a fetched token costs of one that is read. An engine
-	// reads some 50 tokens a millisecond, and some 5,000 come over the link.
-	fetchedPart = 0.1
+	// minFetchTokens is the least number of tokens that a fetch from another engine must
+	// save. A fetch takes longer than the prefill of so few tokens, but leaves the engine
+	// free for other calls.
+	minFetchTokens = 64
+	// fetchCostFactor is the cost of a fetched token relative to a prefilled one.
+	fetchCostFactor = 0.1
 )
 
-// Prefix is the beginning of a prompt up to the end of one shared part.
+// Prefix is a prompt prefix that ends with one of the prompt's shared parts.
 type Prefix struct {
 	Hash uint64
-	// Tokens counts from the prompt's beginning.
+	// Tokens is the prefix's length from the start of the prompt.
 	Tokens int
 }
 
-// Prefixes returns the beginnings that a prompt shares with others: up to the end
-// of each part but the last, which is the call's own.
+// Prefixes returns the shared prefixes of a prompt: one up to the end of each part except
+// the last, which is specific to the call.
 func Prefixes(workspace string, parts []call.PromptPart) []Prefix {
 	if len(parts) < 2 {
 		return nil
@@ -50,101 +48,102 @@
 	return out
 }
 
-// cache is what an engine is taken to hold: the prefixes of calls that were
-// sent there, the least recently used dropped first.
-type cache struct {
-	held   map[uint64]*heldPrefix
-	tokens int
+// prefixCache models an engine's prefix cache: the prefixes of calls that were sent
+// there, with LRU eviction.
+type prefixCache struct {
+	entries map[uint64]*cacheEntry
+	tokens  int
 }
 
-type heldPrefix struct {
-	// tokens are those beyond the prefix before it, length all to the end of it.
-	tokens int
-	length int
-	usedAt time.Time
+type cacheEntry struct {
+	// addedTokens is the length beyond the preceding prefix, prefixTokens the whole
+	// length.
+	addedTokens  int
+	prefixTokens int
+	usedAt       time.Time
 }
 
-// touch records that a call with these prefixes was sent.
-func (c *cache) touch(prefixes []Prefix, limit int, now time.Time) {
-	if c.held == nil {
-		c.held = make(map[uint64]*heldPrefix)
+// touch records a call with these prefixes.
+func (c *prefixCache) touch(prefixes []Prefix, limit int, now time.Time) {
+	if c.entries == nil {
+		c.entries = make(map[uint64]*cacheEntry)
 	}
 	before := 0
 	for _, p := range prefixes {
-		h := c.held[p.Hash]
+		h := c.entries[p.Hash]
 		if h == nil {
-			h = &heldPrefix{
-				tokens: p.Tokens - before,
-				length: p.Tokens,
+			h = &cacheEntry{
+				addedTokens:  p.Tokens - before,
+				prefixTokens: p.Tokens,
 			}
-			c.held[p.Hash] = h
-			c.tokens += h.tokens
+			c.entries[p.Hash] = h
+			c.tokens += h.addedTokens
 		}
 		h.usedAt = now
 		before = p.Tokens
 	}
-	for c.tokens > limit && len(c.held) > len(prefixes) {
-		c.dropOldest()
+	for c.tokens > limit && len(c.entries) > len(prefixes) {
+		c.evictOldest()
 	}
 }
 
-func (c *cache) dropOldest() {
+func (c *prefixCache) evictOldest() {
 	var oldest uint64
 	var at time.Time
-	for hash, h := range c.held {
+	for hash, h := range c.entries {
 		if at.IsZero() || h.usedAt.Before(at) {
 			oldest = hash
 			at = h.usedAt
 		}
 	}
-	c.tokens -= c.held[oldest].tokens
-	delete(c.held, oldest)
+	c.tokens -= c.entries[oldest].addedTokens
+	delete(c.entries, oldest)
 }
 
-// warm returns how many tokens from the prompt's beginning are held.
-func (c *cache) warm(prefixes []Prefix, now time.Time) int {
+// cachedTokens returns the length of the longest cached prefix.
+func (c *prefixCache) cachedTokens(prefixes []Prefix, now time.Time) int {
 	for i := len(prefixes) - 1; i >= 0; i-- {
-		h := c.held[prefixes[i].Hash]
-		if h != nil && now.Sub(h.usedAt) <= cacheGoodFor {
+		h := c.entries[prefixes[i].Hash]
+		if h != nil && now.Sub(h.usedAt) <= prefixTTL {
 			return prefixes[i].Tokens
 		}
 	}
 	return 0
 }
 
-// cacheLimit is how many tokens of shared prefixes the engine is taken to hold.
-func (e *endpoint) cacheLimit() int {
+// prefixCacheLimit returns the assumed capacity for shared prefixes, in tokens.
+func (e *endpoint) prefixCacheLimit() int {
 	tokens := e.load.CacheTokens
 	if tokens <= 0 {
 		tokens = defaultCacheTokens
 	}
-	return int(float64(tokens) * cacheShare)
+	return int(float64(tokens) * prefixCacheFraction)
 }
 
-// Confirm takes that a call with these prefixes is sent where it was tentatively chosen to go.
+// Confirm records that a tentative choice was sent, with its prefixes.
 func (p *Pool) Confirm(c Choice, prefixes []Prefix, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if c.state != nil {
-		p.hold(c.state, prefixes, now)
+		p.recordHolder(c.state, prefixes, now)
 	}
 }
 
-// hold records that an engine is sent a call with these prefixes.
-func (p *Pool) hold(e *endpoint, prefixes []Prefix, now time.Time) {
+// recordHolder records that a call with these prefixes was sent to an engine.
+func (p *Pool) recordHolder(e *endpoint, prefixes []Prefix, now time.Time) {
 	if len(prefixes) == 0 {
 		return
 	}
-	e.cache.touch(prefixes, e.cacheLimit(), now)
+	e.prefixCache.touch(prefixes, e.prefixCacheLimit(), now)
 	for _, prefix := range prefixes {
-		p.holders[prefix.Hash] = e
+		p.prefixHolders[prefix.Hash] = e
 	}
-	if len(p.holders) > holdersMost {
-		p.forgetHolders(now)
+	if len(p.prefixHolders) > maxHolders {
+		p.pruneHolders(now)
 	}
 }
 
-// Holding says that an engine was sent a call with a prefix.
+// Holding states that an engine was sent a call with a prefix.
 type Holding struct {
 	Hash     uint64
 	Tokens   int
@@ -153,22 +152,21 @@
 }
 
 const (
-	// HoldingLeast is from how many tokens on it is worth telling the VMs of the own
-	// region who holds a prefix: with 1,000, 11% more tokens of shared parts were
-	// read again (40 plays of five days with faults).
+	// HoldingLeast is the minimum length, in tokens, of prefixes that are announced to
+	// VMs of the same region.
 	HoldingLeast = 300
-	// FarHoldingLeast is the same for VMs of other regions, where each entry costs
-	// bytes between them: with 400, they carried 7% more bytes for nothing gained.
+	// FarHoldingLeast is the same for VMs of other regions, where bandwidth is scarcer.
 	FarHoldingLeast = 1000
 )
 
-// FarHoldings returns those of other regions, at most so many of them.
-func (p *Pool) FarHoldings(since time.Time, most int) []Holding {
+// FarHoldings returns up to limit holdings of other regions' engines used at or after
+// since.
+func (p *Pool) FarHoldings(since time.Time, limit int) []Holding {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var out []Holding
-	for _, h := range p.far.holders {
-		if len(out) == most {
+	for _, h := range p.remote.holders {
+		if len(out) == limit {
 			break
 		}
 		if !h.UsedAt.Before(since) {
@@ -178,23 +176,23 @@
 	return out
 }
 
-// Holdings gives who was last sent each prefix of so many tokens or more since a moment,
-// at most so many, others each time.
-func (p *Pool) Holdings(least int, since time.Time, most int) []Holding {
+// Holdings returns, in random order, up to limit prefixes of at least minTokens tokens used at
+// or after since, with the engine that was last sent each.
+func (p *Pool) Holdings(minTokens int, since time.Time, limit int) []Holding {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var out []Holding
-	for hash, e := range p.holders {
-		if len(out) == most {
+	for hash, e := range p.prefixHolders {
+		if len(out) == limit {
 			break
 		}
-		h := e.cache.held[hash]
-		if e.unlisted || h == nil || h.length < least || h.usedAt.Before(since) {
+		h := e.prefixCache.entries[hash]
+		if e.unlisted || h == nil || h.prefixTokens < minTokens || h.usedAt.Before(since) {
 			continue
 		}
 		out = append(out, Holding{
 			Hash:     hash,
-			Tokens:   h.length,
+			Tokens:   h.prefixTokens,
 			Endpoint: e.ID,
 			UsedAt:   h.usedAt,
 		})
@@ -202,40 +200,41 @@
 	return out
 }
 
-// Learn takes who holds prefixes from another VM.
+// Learn applies holdings announced by another VM.
 func (p *Pool) Learn(list []Holding, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, l := range list {
 		e := p.byID[l.Endpoint]
 		if e == nil {
-			p.far.learn(l, now)
+			p.remote.record(l, now)
 			continue
 		}
-		if !e.livedAt(l.UsedAt) {
+		if !e.startedBy(l.UsedAt) {
 			continue
 		}
-		if h := e.cache.held[l.Hash]; h != nil && !h.usedAt.Before(l.UsedAt) {
+		if h := e.prefixCache.entries[l.Hash]; h != nil && !h.usedAt.Before(l.UsedAt) {
 			continue
 		}
-		e.cache.touch([]Prefix{{Hash: l.Hash, Tokens: l.Tokens}}, e.cacheLimit(), l.UsedAt)
-		if old := p.holders[l.Hash]; old == nil || old.unlisted || old.cache.held[l.Hash] == nil || old.cache.held[l.Hash].usedAt.Before(l.UsedAt) {
-			p.holders[l.Hash] = e
+		e.prefixCache.touch([]Prefix{{Hash: l.Hash, Tokens: l.Tokens}}, e.prefixCacheLimit(), l.UsedAt)
+		if old := p.prefixHolders[l.Hash]; old == nil || old.unlisted || old.prefixCache.entries[l.Hash] == nil || old.prefixCache.entries[l.Hash].usedAt.Before(l.UsedAt) {
+			p.prefixHolders[l.Hash] = e
 		}
 	}
 }
 
-// holdersMost bounds the index of prefixes; over it those no longer held are dropped.
-const holdersMost = 16_384
+// maxHolders bounds the index of prefix holders; when it is exceeded, expired entries are
+// dropped.
+const maxHolders = 16_384
 
-func (p *Pool) forgetHolders(now time.Time) {
-	for hash, e := range p.holders {
-		h := e.cache.held[hash]
-		if e.unlisted || h == nil || now.Sub(h.usedAt) > cacheGoodFor {
-			delete(p.holders, hash)
+func (p *Pool) pruneHolders(now time.Time) {
+	for hash, e := range p.prefixHolders {
+		h := e.prefixCache.entries[hash]
+		if e.unlisted || h == nil || now.Sub(h.usedAt) > prefixTTL {
+			delete(p.prefixHolders, hash)
 		}
 	}
-	if len(p.holders) > holdersMost {
-		clear(p.holders)
+	if len(p.prefixHolders) > maxHolders {
+		clear(p.prefixHolders)
 	}
 }
--- a/routing/cache_test.go
+++ b/routing/cache_test.go
@@ -10,24 +10,23 @@
 	"github.com/fuchsianotch/fuchsianotch/fleet"
 )
 
-func parts(own uint64) []call.PromptPart {
+func promptParts(own uint64) []call.PromptPart {
 	return []call.PromptPart{{ID: 1, Tokens: 500}, {ID: 2, Tokens: 4500}, {ID: own, Tokens: 1000}}
 }
 
-// TestPrefixes holds that the own part is no prefix that others share, and that
-// the longest prefix has the hash that places it on the ring.
+// The last part is specific to the call and must not count as shared; the longest prefix
+// must have the hash that selects the ring position.
 func TestPrefixes(t *testing.T) {
-	got := Prefixes("", parts(9))
+	got := Prefixes("", promptParts(9))
 	assert.Equal(t, len(got), 2)
 	assert.Equal(t, got[0].Tokens, 500)
 	assert.Equal(t, got[1].Tokens, 5000)
-	assert.Equal(t, got[1].Hash, call.SharedPrefix("", parts(10)))
-	assert.Equal(t, len(Prefixes("", parts(9)[2:])), 0)
+	assert.Equal(t, got[1].Hash, call.SharedPrefix("", promptParts(10)))
+	assert.Equal(t, len(Prefixes("", promptParts(9)[2:])), 0)
 }
 
-// TestFetch holds that an engine which lacks a prefix fetches it from one that
-// was sent it, and never from one that was not.
-func TestFetch(t *testing.T) {
+// An engine without a cached prefix must fetch it only from an engine that was sent it.
+func TestFetchFromPeerEngine(t *testing.T) {
 	now := time.Unix(1e9, 0)
 	p := New(Options{Rand: func() uint64 { return 0 }})
 	list := []fleet.Endpoint{
@@ -36,8 +35,8 @@
 	}
 	p.SetEndpoints(list, now)
 	r := Request{
-		PrefixHash:   call.SharedPrefix("", parts(9)),
-		Prefixes:     Prefixes("", parts(9)),
+		PrefixHash:   call.SharedPrefix("", promptParts(9)),
+		Prefixes:     Prefixes("", promptParts(9)),
 		PromptTokens: 6000,
 	}
 	first, ok := p.Choose(r, now)
@@ -57,44 +56,43 @@
 	assert.Equal(t, other.Cached, 5000)
 }
 
-// TestCacheForgets holds that a cache keeps within its bound, and that old
-// prefixes no longer count.
-func TestCacheForgets(t *testing.T) {
+// The cache must stay within its limit, and expired prefixes must not count.
+func TestPrefixCacheEviction(t *testing.T) {
 	now := time.Unix(1e9, 0)
-	var c cache
+	var c prefixCache
 	for i := range uint64(50) {
 		c.touch([]Prefix{{Hash: i + 1, Tokens: 100}}, 1000, now.Add(time.Duration(i)*time.Millisecond))
 	}
 	assert.Equal(t, c.tokens, 1000)
-	assert.Equal(t, c.warm([]Prefix{{Hash: 50, Tokens: 100}}, now), 100)
-	assert.Equal(t, c.warm([]Prefix{{Hash: 1, Tokens: 100}}, now), 0)
-	assert.Equal(t, c.warm([]Prefix{{Hash: 50, Tokens: 100}}, now.Add(time.Minute)), 0)
+	assert.Equal(t, c.cachedTokens([]Prefix{{Hash: 50, Tokens: 100}}, now), 100)
+	assert.Equal(t, c.cachedTokens([]Prefix{{Hash: 1, Tokens: 100}}, now), 0)
+	assert.Equal(t, c.cachedTokens([]Prefix{{Hash: 50, Tokens: 100}}, now.Add(time.Minute)), 0)
 }
 
-// TestLine holds that a line through noisy samples is found, and never falls.
-func TestLine(t *testing.T) {
-	var l line
-	_, ok := l.at(1)
+// The fit must follow the samples and never have a negative slope.
+func TestLinearRegression(t *testing.T) {
+	var l linearRegression
+	_, ok := l.predict(1)
 	assert.Assert(t, !ok)
 	for i := range 400 {
 		x := float64(i % 40)
 		l.add(x, 2.6+0.12*x)
 	}
-	y, ok := l.at(20)
+	y, ok := l.predict(20)
 	assert.Assert(t, ok)
 	assert.Assert(t, y > 4.9 && y < 5.1, y)
-	var falling line
+	var falling linearRegression
 	for i := range 100 {
 		falling.add(float64(i%40), -float64(i%40))
 	}
-	low, _ := falling.at(0)
-	high, _ := falling.at(100)
+	low, _ := falling.predict(0)
+	high, _ := falling.predict(100)
 	assert.Equal(t, low, high)
 }
 
-// TestPaceKnown holds that nothing is said of the pace before it was learnt, and
-// that the present one goes first.
-func TestPaceKnown(t *testing.T) {
+// Nothing must be predicted before the first measurement, and measurements on open
+// streams take precedence while they are valid.
+func TestTokenTime(t *testing.T) {
 	now := time.Unix(1e9, 0)
 	p := New(Options{})
 	p.SetEndpoints([]fleet.Endpoint{{ID: "a", State: fleet.StateLive}}, now)
@@ -102,11 +100,11 @@
 	expected, ok := p.Expect(Request{MaxTokens: 100}, now)
 	assert.Assert(t, ok)
 	assert.Equal(t, expected.Whole(), expected.First)
-	for range livePaceLeast {
+	for range minLiveTokenTimeSamples {
 		p.Paced(choice, 90*time.Millisecond, 9, now)
 	}
 	expected, _ = p.Expect(Request{MaxTokens: 100}, now)
 	assert.Equal(t, expected.Token, 10*time.Millisecond)
-	later, _ := p.Expect(Request{MaxTokens: 100}, now.Add(livePaceFor+time.Millisecond))
+	later, _ := p.Expect(Request{MaxTokens: 100}, now.Add(liveTokenTimeTTL+time.Millisecond))
 	assert.Equal(t, later.Token, time.Duration(0))
 }
--- a/routing/choose.go
+++ b/routing/choose.go
@@ -6,35 +6,35 @@
 	"github.com/fuchsianotch/fuchsianotch/call"
 )
 
-// candidate is one endpoint with its estimates in seconds.
+// candidate is an endpoint with its estimates for a request; times are in seconds.
 type candidate struct {
-	state     *endpoint
-	wait      float64
-	predicted float64
-	first     float64
-	score     float64
-	// tokens are those of the prompt that the endpoint has to read, unread those
-	// that it reads before.
-	tokens float64
-	unread float64
-	warm   bool
-	// cached are the tokens of the prompt that need not be read, of which fetched
-	// come from another engine.
-	cached  int
-	fetched int
-	// occupied are the calls at the endpoint with this one.
-	occupied float64
+	endpoint      *endpoint
+	wait          float64
+	predictedTTFT float64
+	ttft          float64
+	score         float64
+	// prefillTokens is the part of the prompt to prefill, tokensAhead the queue before
+	// it.
+	prefillTokens float64
+	tokensAhead   float64
+	affine        bool
+	// cachedTokens of the prompt need no prefill; fetchedTokens of them come from another
+	// engine.
+	cachedTokens  int
+	fetchedTokens int
+	// occupancy is the expected number of calls at the endpoint, including this one.
+	occupancy float64
 }
 
-// Choose picks an endpoint and counts the call in flight there. It returns
-// false when no endpoint takes work. It does not allocate.
+// Choose selects an endpoint and counts the call in flight there. It returns false if no
+// endpoint accepts calls. It does not allocate.
 func (p *Pool) Choose(r Request, now time.Time) (Choice, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.locate(&r, now)
-	if e := p.probe(r, now); e != nil {
+	p.resolvePrefix(&r, now)
+	if e := p.dueProbe(r, now); e != nil {
 		e.probing = true
-		choice := p.take(p.weigh(e, r, now), r, now)
+		choice := p.assign(p.evaluate(e, r, now), r, now)
 		choice.Probe = true
 		return choice, true
 	}
@@ -46,90 +46,90 @@
 	if !ok {
 		return Choice{}, false
 	}
-	return p.take(c, r, now), true
+	return p.assign(c, r, now), true
 }
 
-// Estimate says how long a call would wait and then be served if it were sent now.
+// Estimate returns the expected queue and service time of a call that is sent now.
 func (p *Pool) Estimate(r Request, now time.Time) (wait, service time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.locate(&r, now)
+	p.resolvePrefix(&r, now)
 	c, ok := p.pick(r, now)
 	if !ok {
 		return 0, 0
 	}
-	choice := p.choice(c, r, now)
+	choice := p.newChoice(c, r, now)
 	return choice.Wait, choice.Service
 }
 
-// Expectation is what a call that is sent now may expect.
+// Expectation is the expected latency and size of a call that is sent now.
 type Expectation struct {
 	// First is the time to the first token.
 	First time.Duration
-	// Token is the time for each generated token; zero while it is not known.
+	// Token is the time per generated token; zero if it is not known yet.
 	Token time.Duration
-	// Answer is how many tokens are expected to be generated, and Long how many by
-	// a call that is longer than nine in ten.
+	// Answer is the expected number of generated tokens, Long its 90th percentile.
 	Answer float64
 	Long   float64
-	// ToRead is how many tokens of the prompt the endpoint has to read.
+	// ToRead is the number of prompt tokens to prefill.
 	ToRead float64
 }
 
-// Whole is the time to the end of the answer.
+// Whole returns the expected time to the end of the answer.
 func (e Expectation) Whole() time.Duration {
 	return e.First + time.Duration(e.Answer*float64(e.Token))
 }
 
-// Expect says what a call that is sent now may expect; ok is false when no
-// endpoint takes work.
+// Expect returns the expectation of a call that is sent now; ok is false if no endpoint
+// accepts calls.
 func (p *Pool) Expect(r Request, now time.Time) (e Expectation, ok bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.locate(&r, now)
+	p.resolvePrefix(&r, now)
 	c, ok := p.pick(r, now)
 	if !ok {
 		return Expectation{}, false
 	}
-	each, _ := p.knownPace(c, now)
+	each, _ := p.measuredTokenSeconds(c, now)
 	return Expectation{
-		First:  p.choice(c, r, now).First,
+		First:  p.newChoice(c, r, now).First,
 		Token:  seconds(each),
-		Answer: p.answerTokens(r),
-		Long:   p.longAnswer(r),
-		ToRead: c.tokens,
+		Answer: p.expectedAnswer(r),
+		Long:   p.longAnswerTokens(r),
+		ToRead: c.prefillTokens,
 	}, true
 }
 
-// locate finds what the choice needs to know of the prompt.
-func (p *Pool) locate(r *Request, now time.Time) {
-	r.home, r.second = p.ring.pair(r.PrefixHash)
-	r.source = p.source(r.home, *r, now)
+// resolvePrefix sets the request's ring endpoints and fetch source.
+func (p *Pool) resolvePrefix(r *Request, now time.Time) {
+	r.ringPrimary, r.ringSecondary = p.ring.lookup(r.PrefixHash)
+	r.fetchSource = p.findSource(r.ringPrimary, *r, now)
 }
 
-// take counts the call at the candidate.
-func (p *Pool) take(c candidate, r Request, now time.Time) Choice {
-	choice := p.choice(c, r, now)
-	c.state.enter(now)
-	choice.prompt = c.state.reading.enter(c.tokens, r.turn(), now)
-	p.readingChanges++
+// assign counts the call in flight at the candidate.
+func (p *Pool) assign(c candidate, r Request, now time.Time) Choice {
+	choice := p.newChoice(c, r, now)
+	c.endpoint.callStarted(now)
+	choice.promptID = c.endpoint.prefillQueue.add(c.prefillTokens, r.clampedTurn(), now)
+	p.queueChanges++
 	if !r.Tentative {
-		p.hold(c.state, r.Prefixes, now)
+		p.recordHolder(c.endpoint, r.Prefixes, now)
 	}
-	p.learnt.learnLong(r.MaxTokens)
-	p.refresh(c.state, now)
+	p.estimates.updateLongMaxTokens(r.MaxTokens)
+	p.updateTotals(c.endpoint, now)
 	return choice
 }
 
-// probe returns an endpoint whose back-off is over and that no call tests yet.
-// Urgent calls do not test unless nothing else has done so for as long again.
-func (p *Pool) probe(r Request, now time.Time) *endpoint {
+// dueProbe returns an endpoint whose backoff has ended and that is not being probed.
+// While other endpoints are eligible, an urgent call is used as the probe only if no
+// other call was for another backoff.
+func (p *Pool) dueProbe(r Request, now time.Time) *endpoint {
 	for _, e := range p.ejected {
 		due := e.retryAt
 		if r.Priority == call.PriorityUrgent && len(p.eligible) > 0 {
 			due = due.Add(e.backoff)
 		}
-		if !e.probing && !now.Before(due) && !e.leaves() && !e.closed(now) && !r.excludes(e) {
+		if !e.probing && !now.Before(due) && !e.draining() && !e.closed(now) && !r.excludes(e) {
 			return e
 		}
 	}
@@ -151,10 +151,10 @@
 
 func (p *Pool) pickRoundRobin(r Request, now time.Time) (candidate, bool) {
 	for range p.eligible {
-		p.next++
-		e := p.eligible[p.next%len(p.eligible)]
+		p.nextRoundRobin++
+		e := p.eligible[p.nextRoundRobin%len(p.eligible)]
 		if !e.closed(now) && !r.excludes(e) {
-			return p.weigh(e, r, now), true
+			return p.evaluate(e, r, now), true
 		}
 	}
 	return candidate{}, false
@@ -162,7 +162,7 @@
 
 func (p *Pool) pickLeastInFlight(r Request, now time.Time) (candidate, bool) {
 	var best *endpoint
-	offset := p.draw()
+	offset := p.randomIndex()
 	for i := range p.eligible {
 		e := p.eligible[(offset+i)%len(p.eligible)]
 		if !e.closed(now) && !r.excludes(e) && (best == nil || e.inFlight < best.inFlight) {
@@ -172,193 +172,193 @@
 	if best == nil {
 		return candidate{}, false
 	}
-	return p.weigh(best, r, now), true
+	return p.evaluate(best, r, now), true
 }
 
-// pickAffinity weighs the two endpoints of the prefix and some others.
+// pickAffinity evaluates the prefix's fetch source and ring endpoints and a random
+// sample.
 func (p *Pool) pickAffinity(r Request, now time.Time) (candidate, bool) {
 	var best candidate
-	if len(p.eligible) <= scanAll {
-		p.scan(&best, r, now)
-		return best, best.state != nil
+	if len(p.eligible) <= maxFullScan {
+		p.considerAll(&best, r, now)
+		return best, best.endpoint != nil
 	}
-	p.better(&best, r.source.endpoint, r, now)
-	p.better(&best, r.home, r, now)
-	p.better(&best, r.second, r, now)
-	for i := range randomDraws + extraDraws {
-		if i >= randomDraws && best.state != nil && best.wait == 0 {
+	p.consider(&best, r.fetchSource.endpoint, r, now)
+	p.consider(&best, r.ringPrimary, r, now)
+	p.consider(&best, r.ringSecondary, r, now)
+	for i := range randomCandidates + extraCandidates {
+		if i >= randomCandidates && best.endpoint != nil && best.wait == 0 {
 			break
 		}
-		p.better(&best, p.eligible[p.draw()], r, now)
+		p.consider(&best, p.eligible[p.randomIndex()], r, now)
 	}
-	if best.state == nil {
-		p.scan(&best, r, now)
+	if best.endpoint == nil {
+		p.considerAll(&best, r, now)
 	}
-	return best, best.state != nil
+	return best, best.endpoint != nil
 }
 
-// scan weighs all eligible endpoints from a random one on.
-func (p *Pool) scan(best *candidate, r Request, now time.Time) {
-	offset := p.draw()
+// considerAll evaluates all eligible endpoints, starting at a random one.
+func (p *Pool) considerAll(best *candidate, r Request, now time.Time) {
+	offset := p.randomIndex()
 	for i := range p.eligible {
-		p.better(best, p.eligible[(offset+i)%len(p.eligible)], r, now)
+		p.consider(best, p.eligible[(offset+i)%len(p.eligible)], r, now)
 	}
 }
 
-// better replaces best by e if e scores less.
-func (p *Pool) better(best *candidate, e *endpoint, r Request, now time.Time) {
-	if e == nil || e.place < 0 || e.closed(now) || r.excludes(e) {
+// consider replaces best by e if e has a lower score.
+func (p *Pool) consider(best *candidate, e *endpoint, r Request, now time.Time) {
+	if e == nil || e.eligibleIndex < 0 || e.closed(now) || r.excludes(e) {
 		return
 	}
-	c := p.weigh(e, r, now)
-	if best.state == nil || c.score < best.score {
+	c := p.evaluate(e, r, now)
+	if best.endpoint == nil || c.score < best.score {
 		*best = c
 	}
 }
 
-func (p *Pool) draw() int {
+func (p *Pool) randomIndex() int {
 	return int(p.rand() % uint64(len(p.eligible)))
 }
 
-// weigh estimates one endpoint for a request.
-func (p *Pool) weigh(e *endpoint, r Request, now time.Time) candidate {
+// evaluate estimates the latency and score of an endpoint for a request.
+func (p *Pool) evaluate(e *endpoint, r Request, now time.Time) candidate {
 	slots := e.slots()
-	occupied := e.occupancy(p.learnt.share, now)
-	hold := e.hold.or(p.learnt.hold.or(defaultHold))
-	// Calls that yield to this one hold up none of its way to a slot.
-	behind := float64(e.reading.behind(r.turn(), now))
-	queued := max(max(occupied+1-slots, e.queued(now))-behind, 0)
-	wait := queued * hold / slots
-	warm := e == r.home
-	cached, fetched := e.cached(r, now)
-	rate := p.learnt.read.perSecond()
-	tokens := p.toRead(r, warm)
+	occupied := e.occupancy(p.estimates.loadShare, now)
+	slotTime := e.slotTime.valueOr(p.estimates.slotTime.valueOr(defaultSlotSeconds))
+	// Calls of a later rank do not delay this one in the queue.
+	behind := float64(e.prefillQueue.callsBehind(r.clampedTurn(), now))
+	queued := max(max(occupied+1-slots, e.reportedQueue(now))-behind, 0)
+	wait := queued * slotTime / slots
+	isPrimary := e == r.ringPrimary
+	cached, fetched := e.cachedTokens(r, now)
+	rate := p.estimates.prefillRate.perSecond()
+	tokens := p.estimatePrefill(r, isPrimary)
 	if len(r.Prefixes) > 0 {
-		tokens = float64(max(r.PromptTokens-cached, 0)) + fetchedPart*float64(fetched)
+		tokens = float64(max(r.PromptTokens-cached, 0)) + fetchCostFactor*float64(fetched)
 	}
-	unread := e.unread(r.turn(), p.learnt.share, p.untold(now), rate, now)
-	prefill := p.learnt.base.value + tokens/rate
-	predicted := wait + unread/rate + prefill
-	late := max(e.correction(now)-lateSlack*p.learnt.late.or(0), e.stall(hold, now), 0)
+	ahead := e.tokensAhead(r.clampedTurn(), p.estimates.loadShare, p.silentPeerFraction(now), rate, now)
+	prefill := p.estimates.baseTTFT.value + tokens/rate
+	predicted := wait + ahead/rate + prefill
+	lateness := max(e.currentBias(now)-latenessTolerance*p.estimates.meanLateness.valueOr(0), e.stallSeconds(slotTime, now), 0)
 	if p.without.Corrections {
-		late = 0
+		lateness = 0
 	}
-	weight := coldWeight
+	weight := prefillWeight
 	if p.without.Affinity {
 		weight = 1
 	}
 	return candidate{
-		state:     e,
-		wait:      wait,
-		predicted: predicted,
-		first:     predicted + late,
-		score:     predicted + late + (weight-1)*prefill + loadWeight*hold*occupied/slots,
-		tokens:    tokens,
-		unread:    unread,
-		warm:      warm,
-		cached:    cached,
-		fetched:   fetched,
-		occupied:  occupied + 1,
+		endpoint:      e,
+		wait:          wait,
+		predictedTTFT: predicted,
+		ttft:          predicted + lateness,
+		score:         predicted + lateness + (weight-1)*prefill + loadWeight*slotTime*occupied/slots,
+		prefillTokens: tokens,
+		tokensAhead:   ahead,
+		affine:        isPrimary,
+		cachedTokens:  cached,
+		fetchedTokens: fetched,
+		occupancy:     occupied + 1,
 	}
 }
 
-// cached returns how many tokens of the prompt the endpoint need not read, and how
-// many of them it has to fetch.
-func (e *endpoint) cached(r Request, now time.Time) (cached, fetched int) {
-	own := e.cache.warm(r.Prefixes, now)
-	cached = own
-	if e == r.home && len(r.Prefixes) > 0 {
-		// Other VMs send such prompts there too.
+// cachedTokens returns how many tokens of the prompt need no prefill at the endpoint, and
+// how many of them it has to fetch.
+func (e *endpoint) cachedTokens(r Request, now time.Time) (cached, fetched int) {
+	local := e.prefixCache.cachedTokens(r.Prefixes, now)
+	cached = local
+	if e == r.ringPrimary && len(r.Prefixes) > 0 {
+		// Other VMs send calls with this prefix there too.
 		cached = r.Prefixes[len(r.Prefixes)-1].Tokens
 	}
-	if r.source.endpoint == e || r.source.tokens < own+fetchLeast {
+	if r.fetchSource.endpoint == e || r.fetchSource.tokens < local+minFetchTokens {
 		return cached, 0
 	}
-	return max(cached, r.source.tokens), r.source.tokens - own
+	return max(cached, r.fetchSource.tokens), r.fetchSource.tokens - local
 }
 
-// toRead is how many tokens of a prompt an endpoint has to read, where nothing
-// is known of the prompt's parts.
-func (p *Pool) toRead(r Request, warm bool) float64 {
-	cold := float64(r.PromptTokens)
-	if warm {
-		cold *= 1 - p.learnt.cached.or(defaultCached)
+// estimatePrefill returns the expected number of tokens to prefill if the prompt's
+// prefixes are not named.
+func (p *Pool) estimatePrefill(r Request, affine bool) float64 {
+	tokens := float64(r.PromptTokens)
+	if affine {
+		tokens *= 1 - p.estimates.cachedFraction.valueOr(defaultCachedFraction)
 	}
-	return cold
+	return tokens
 }
 
-// choice makes the caller's view of a candidate.
-func (p *Pool) choice(c candidate, r Request, now time.Time) Choice {
-	service := c.predicted - c.wait + p.answerTokens(r)*p.pace(c, now)
+func (p *Pool) newChoice(c candidate, r Request, now time.Time) Choice {
+	service := c.predictedTTFT - c.wait + p.expectedAnswer(r)*p.tokenSeconds(c, now)
 	var reportAge time.Duration
-	if !c.state.loadAt.IsZero() {
-		reportAge = now.Sub(c.state.loadAt)
+	if !c.endpoint.reportedAt.IsZero() {
+		reportAge = now.Sub(c.endpoint.reportedAt)
 	}
 	fetchFrom := ""
-	if c.fetched > 0 {
-		fetchFrom = r.source.addr
+	if c.fetchedTokens > 0 {
+		fetchFrom = r.fetchSource.addr
 	}
 	return Choice{
-		FetchFrom: fetchFrom,
-		Cached:    c.cached,
-		ReportAge: reportAge,
-		Endpoint:  c.state.Endpoint,
-		At:        now,
-		Wait:      seconds(c.first - c.predicted + c.wait),
-		First:     seconds(c.first),
-		Service:   seconds(service),
-		Affine:    c.warm,
-		state:     c.state,
-		predicted: c.predicted,
-		unread:    c.unread,
-		queued:    c.wait > 0,
-		tokens:    c.tokens,
-		known:     len(r.Prefixes) > 0,
-		occupied:  c.occupied,
-		prefix:    r.PrefixHash != 0,
-		maxTokens: r.MaxTokens,
-		yields:    call.Yields(r.turn()),
+		FetchFrom:     fetchFrom,
+		Cached:        c.cachedTokens,
+		ReportAge:     reportAge,
+		Endpoint:      c.endpoint.Endpoint,
+		At:            now,
+		Wait:          seconds(c.ttft - c.predictedTTFT + c.wait),
+		First:         seconds(c.ttft),
+		Service:       seconds(service),
+		Affine:        c.affine,
+		state:         c.endpoint,
+		predictedTTFT: c.predictedTTFT,
+		tokensAhead:   c.tokensAhead,
+		queued:        c.wait > 0,
+		prefillTokens: c.prefillTokens,
+		prefixesKnown: len(r.Prefixes) > 0,
+		occupancy:     c.occupancy,
+		hasPrefix:     r.PrefixHash != 0,
+		maxTokens:     r.MaxTokens,
+		yields:        call.Yields(r.clampedTurn()),
 	}
 }
 
-// pace is the expected time for one generated token, in seconds.
-func (p *Pool) pace(c candidate, now time.Time) float64 {
-	if each, ok := p.knownPace(c, now); ok {
+// tokenSeconds returns the expected time per generated token, in seconds.
+func (p *Pool) tokenSeconds(c candidate, now time.Time) float64 {
+	if each, ok := p.measuredTokenSeconds(c, now); ok {
 		return each
 	}
-	return 1 / c.state.speed.or(p.learnt.speed.or(defaultSpeed))
+	return 1 / c.endpoint.decodeRate.valueOr(p.estimates.decodeRate.valueOr(defaultDecodeRate))
 }
 
-// knownPace is false while nothing was learnt, as after a start.
-func (p *Pool) knownPace(c candidate, now time.Time) (each float64, ok bool) {
-	if !p.without.LivePace && c.state.livePaced >= livePaceLeast && now.Sub(c.state.livePaceAt) <= livePaceFor {
-		return c.state.livePace.value, true
+// measuredTokenSeconds is the same from measurements only; ok is false without any.
+func (p *Pool) measuredTokenSeconds(c candidate, now time.Time) (each float64, ok bool) {
+	if !p.without.LivePace && c.endpoint.liveTokenTimeSamples >= minLiveTokenTimeSamples && now.Sub(c.endpoint.liveTokenTimeAt) <= liveTokenTimeTTL {
+		return c.endpoint.liveTokenTime.value, true
 	}
-	return p.learnt.pace.at(c.occupied)
+	return p.estimates.tokenTime.predict(c.occupancy)
 }
 
-// answerTokens is the expected number of generated tokens, of which the bound
-// is often far too high.
-func (p *Pool) answerTokens(r Request) float64 {
+// expectedAnswer is the expected number of generated tokens.
+func (p *Pool) expectedAnswer(r Request) float64 {
 	if r.AnswerTokens > 0 {
 		return float64(min(r.AnswerTokens, r.MaxTokens))
 	}
-	return float64(r.MaxTokens) * p.learnt.length.or(defaultLength)
+	return float64(r.MaxTokens) * p.estimates.answerFraction.valueOr(defaultAnswerFraction)
 }
 
-// longAnswer is how many tokens are generated by a call that is longer than nine in ten.
-func (p *Pool) longAnswer(r Request) float64 {
+// longAnswerTokens is the 90th percentile of the number of generated tokens.
+func (p *Pool) longAnswerTokens(r Request) float64 {
 	if r.AnswerTokens > 0 {
-		return float64(min(int(longerThanSaid*float64(r.AnswerTokens)), r.MaxTokens))
+		return float64(min(int(longAnswerFactor*float64(r.AnswerTokens)), r.MaxTokens))
 	}
-	return p.learnt.long * p.learnt.length.or(defaultLength)
+	return p.estimates.longMaxTokens * p.estimates.answerFraction.valueOr(defaultAnswerFraction)
 }
 
-// longerThanSaid is by how much one answer in ten is longer than its caller estimated.
-const longerThanSaid = 1.9
+// longAnswerFactor is the 90th percentile of an answer's length relative to the caller's
+// estimate.
+const longAnswerFactor = 1.9
 
-// turn is the call's place in the order, within the known ones.
-func (r Request) turn() int {
+// clampedTurn returns the call's rank, limited to the valid ones.
+func (r Request) clampedTurn() int {
 	return min(max(r.Turn, 0), call.Turns-1)
 }
 
--- a/routing/closed.go
+++ b/routing/closed.go
@@ -2,7 +2,8 @@
 
 import "time"
 
-// CloseUntil keeps calls from an endpoint until a moment; a zero time opens it.
+// CloseUntil keeps this VM's calls from an endpoint until the given time; a zero time
+// reopens it.
 func (p *Pool) CloseUntil(id string, until time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -11,8 +12,8 @@
 	}
 }
 
-// Closed returns the endpoints that would take work but are closed now, and when the first
-// of them opens.
+// Closed returns the eligible endpoints that are closed now, and when the first of them
+// opens.
 func (p *Pool) Closed(now time.Time) (ids []string, opensAt time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/routing/closed_test.go
+++ b/routing/closed_test.go
@@ -9,8 +9,8 @@
 	"github.com/fuchsianotch/fuchsianotch/fleet"
 )
 
-// TestClosed holds that no policy chooses a closed endpoint, and that it opens by itself.
-func TestClosed(t *testing.T) {
+// No policy may choose a closed endpoint, which must reopen when its time has passed.
+func TestClosedEndpoint(t *testing.T) {
 	now := time.Unix(1e9, 0)
 	for _, policy := range []string{PolicyAffinity, PolicyRoundRobin, PolicyLeastInFlight} {
 		p := New(Options{
@@ -38,8 +38,7 @@
 	}
 }
 
-// TestTentativeChoice holds that an endpoint which was chosen for a call that was not sent
-// there does not count as holding its prompt.
+// A tentative choice that was not sent must not count as holding the prompt's prefixes.
 func TestTentativeChoice(t *testing.T) {
 	now := time.Unix(1e9, 0)
 	p := New(Options{})
--- a/routing/decision_test.go
+++ b/routing/decision_test.go
@@ -19,34 +19,36 @@
 	engineSlots  = 8
 	prefixTokens = 1000
 	suffixTokens = 100
-	// holdSeconds is about how long a warm call keeps a slot of a nearly full engine.
-	holdSeconds = 2.1
+	// slotSeconds is about how long a call with a cached prefix occupies a slot of a
+	// nearly full engine.
+	slotSeconds = 2.1
 	warmUp      = 30 * time.Second
 	runFor      = 150 * time.Second
 	reportLag   = 300 * time.Millisecond
 )
 
-// scene is one measured situation.
-type scene struct {
+// scenario is one benchmarked situation.
+type scenario struct {
 	name      string
 	policy    string
 	vms       int
 	endpoints int
 	load      float64
-	// slow, silent and lying name the endpoints with a fault, -1 for none.
-	slow, silent, lying int
-	// foreign is the load that others put on the first two endpoints.
-	foreign float64
+	// slow, silent and misreporting are the indexes of faulty endpoints, -1 for none.
+	slow, silent, misreporting int
+	// otherLoad is the load from other sources on the first two endpoints.
+	otherLoad float64
 }
 
-// figures are the outcome of one run.
-type figures struct {
+// runResult holds the TTFT percentiles in milliseconds and the percentage of prompt
+// tokens that were not cached.
+type runResult struct {
 	p50, p99, cold float64
 }
 
 // BenchmarkDecision compares the policies; run it with -benchtime 1x.
 func BenchmarkDecision(b *testing.B) {
-	for _, s := range scenes() {
+	for _, s := range scenarios() {
 		b.Run(s.name, func(b *testing.B) {
 			for b.Loop() {
 				var p50, p99, cold []float64
@@ -64,16 +66,16 @@
 	}
 }
 
-// report returns the median over the seeds and half of the range around it.
+// report reports the median over the seeds and half of their range.
 func report(b *testing.B, name string, values []float64) {
 	slices.Sort(values)
 	b.ReportMetric(values[len(values)/2], name)
 	b.ReportMetric((values[len(values)-1]-values[0])/2, name+"±")
 }
 
-func scenes() []scene {
-	var all []scene
-	add := func(s scene, fault string) {
+func scenarios() []scenario {
+	var all []scenario
+	add := func(s scenario, fault string) {
 		for _, policy := range []string{"affinity", "least_in_flight", "round_robin"} {
 			s.policy = policy
 			s.name = fmt.Sprintf("vms=%d/endpoints=%d/load=%.0f/fault=%s/%s", s.vms, s.endpoints, 100*s.load, fault, policy)
@@ -82,89 +84,89 @@
 	}
 	for _, size := range [][2]int{{3, 4}, {8, 40}, {32, 50}} {
 		for _, load := range []float64{0.7, 0.9, 1.1} {
-			add(scene{
-				vms:       size[0],
-				endpoints: size[1],
-				load:      load,
-				slow:      -1,
-				silent:    -1,
-				lying:     -1,
+			add(scenario{
+				vms:          size[0],
+				endpoints:    size[1],
+				load:         load,
+				slow:         -1,
+				silent:       -1,
+				misreporting: -1,
 			}, "none")
 		}
-		add(scene{
-			vms:       size[0],
-			endpoints: size[1],
-			load:      0.7,
-			slow:      0,
-			silent:    -1,
-			lying:     -1,
+		add(scenario{
+			vms:          size[0],
+			endpoints:    size[1],
+			load:         0.7,
+			slow:         0,
+			silent:       -1,
+			misreporting: -1,
 		}, "slow")
-		add(scene{
-			vms:       size[0],
-			endpoints: size[1],
-			load:      0.7,
-			slow:      -1,
-			silent:    0,
-			lying:     -1,
+		add(scenario{
+			vms:          size[0],
+			endpoints:    size[1],
+			load:         0.7,
+			slow:         -1,
+			silent:       0,
+			misreporting: -1,
 		}, "silent")
-		add(scene{
-			vms:       size[0],
-			endpoints: size[1],
-			load:      0.7,
-			slow:      -1,
-			silent:    -1,
-			lying:     0,
+		add(scenario{
+			vms:          size[0],
+			endpoints:    size[1],
+			load:         0.7,
+			slow:         -1,
+			silent:       -1,
+			misreporting: 0,
 		}, "lying")
-		add(scene{
-			vms:       size[0],
-			endpoints: size[1],
-			load:      0.7,
-			slow:      0,
-			silent:    -1,
-			lying:     0,
+		add(scenario{
+			vms:          size[0],
+			endpoints:    size[1],
+			load:         0.7,
+			slow:         0,
+			silent:       -1,
+			misreporting: 0,
 		}, "slow_lying")
-		add(scene{
-			vms:       size[0],
-			endpoints: size[1],
-			load:      0.5,
-			slow:      -1,
-			silent:    -1,
-			lying:     -1,
-			foreign:   0.7,
+		add(scenario{
+			vms:          size[0],
+			endpoints:    size[1],
+			load:         0.5,
+			slow:         -1,
+			silent:       -1,
+			misreporting: -1,
+			otherLoad:    0.7,
 		}, "foreign")
 	}
 	return all
 }
 
-// rig is one run of a scene.
-type rig struct {
-	scene
-	clock   *enginetest.Clock
-	random  *rand.Rand
-	zipf    *rand.Zipf
-	engines []*enginetest.Engine
-	list    []fleet.Endpoint
-	pools   []*routing.Pool
-	first   *enginetest.Latencies
-	from    time.Time
+// simulation is one run of a scenario.
+type simulation struct {
+	scenario
+	clock       *enginetest.Clock
+	random      *rand.Rand
+	zipf        *rand.Zipf
+	engines     []*enginetest.Engine
+	list        []fleet.Endpoint
+	pools       []*routing.Pool
+	ttft        *enginetest.Latencies
+	measureFrom time.Time
 }
 
-func (s scene) run(seed uint64) figures {
-	r := &rig{
-		scene:  s,
-		clock:  enginetest.NewClock(),
-		random: rand.New(rand.NewPCG(seed, 1)),
-		first:  enginetest.NewLatencies(),
+func (s scenario) run(seed uint64) runResult {
+	r := &simulation{
+		scenario: s,
+		clock:    enginetest.NewClock(),
+		random:   rand.New(rand.NewPCG(seed, 1)),
+		ttft:     enginetest.NewLatencies(),
 	}
 	r.zipf = rand.NewZipf(r.random, 1.1, 5, uint64(12*s.endpoints-1))
-	r.from = r.clock.Now().Add(warmUp)
+	r.measureFrom = r.clock.Now().Add(warmUp)
 	r.startEngines()
 	r.startPools()
 	end := r.clock.Now().Add(runFor)
-	rate := s.load * float64(s.endpoints*engineSlots) / holdSeconds
+	rate := s.load * float64(s.endpoints*engineSlots) / slotSeconds
 	r.clock.Poisson(r.random, rate, end, r.arrive)
-	if s.foreign > 0 {
-		r.clock.Poisson(r.random, s.foreign*2*engineSlots/holdSeconds, end, r.arriveForeign)
+	if s.otherLoad > 0 {
+		r.clock.Poisson(r.random, s.otherLoad*2*engineSlots/slotSeconds, end, r.arriveUnrouted)
 	}
 	r.clock.Run(end.Add(5 * time.Minute))
 	prompt, cold := 0, 0
@@ -172,22 +174,22 @@
 		prompt += e.PromptTokens
 		cold += e.ColdTokens
 	}
-	return figures{
-		p50:  r.first.Milliseconds(50),
-		p99:  r.first.Milliseconds(99),
+	return runResult{
+		p50:  r.ttft.Milliseconds(50),
+		p99:  r.ttft.Milliseconds(99),
 		cold: 100 * float64(cold) / float64(prompt),
 	}
 }
 
-func (r *rig) startEngines() {
+func (r *simulation) startEngines() {
 	for i := range r.endpoints {
 		e := &enginetest.Engine{
-			Clock:    r.clock,
-			Slots:    engineSlots,
-			Speed:    100,
-			Prefill:  8000,
-			Prefixes: 10,
-			Lies:     i == r.lying,
+			Clock:       r.clock,
+			Slots:       engineSlots,
+			Speed:       100,
+			Prefill:     8000,
+			Prefixes:    10,
+			ReportsIdle: i == r.misreporting,
 		}
 		if i == r.slow {
 			e.Speed /= 4
@@ -207,7 +209,7 @@
 	}
 }
 
-func (r *rig) startPools() {
+func (r *simulation) startPools() {
 	for range r.vms {
 		p := routing.New(routing.Options{
 			Policy: r.policy,
@@ -219,7 +221,7 @@
 	}
 }
 
-func (r *rig) report(i int) {
+func (r *simulation) report(i int) {
 	l := r.engines[i].Load()
 	r.clock.After(reportLag, func() {
 		for _, p := range r.pools {
@@ -228,8 +230,8 @@
 	})
 }
 
-// arriveForeign sends one call that no pool knows of.
-func (r *rig) arriveForeign() {
+// arriveUnrouted sends a call that does not go through a pool.
+func (r *simulation) arriveUnrouted() {
 	r.engines[r.random.IntN(2)].Send(enginetest.Job{
 		PromptTokens: suffixTokens,
 		Tokens:       20 + r.random.IntN(160),
@@ -239,8 +241,8 @@
 	})
 }
 
-// arrive sends one call through the prefix's entry VM, or its second one.
-func (r *rig) arrive() {
+// arrive sends a call through one of the prefix's two entry VMs.
+func (r *simulation) arrive() {
 	prefix := r.zipf.Uint64() + 1
 	vm := int(prefix) % r.vms
 	if r.random.IntN(10) < 3 {
@@ -263,8 +265,8 @@
 		Priority:     call.PriorityChat,
 		First: func() {
 			firstAt = r.clock.Now()
-			if sentAt.After(r.from) {
-				r.first.Add(firstAt.Sub(sentAt))
+			if sentAt.After(r.measureFrom) {
+				r.ttft.Add(firstAt.Sub(sentAt))
 			}
 		},
 		End: func(u call.Usage) {
--- a/routing/endpoint.go
+++ b/routing/endpoint.go
@@ -8,107 +8,109 @@
 )
 
 const (
-	// defaultSlots stands in where neither list nor report names the slots.
+	// defaultSlots applies if neither the list nor a report states the slots.
 	defaultSlots = 32
-	// historyStep and historyLen bound how far back in-flight counts are known.
+	// historyStep and historyLen are the resolution and length of the in-flight history.
 	historyStep = 100 * time.Millisecond
 	historyLen  = 32
-	// clockStep is how far back a report's time must go for its clock to have been set.
-	clockStep = 10 * time.Second
-	// plausibleLag is how late a report of an endpoint whose clock agrees may be.
-	plausibleLag = 3 * time.Second
-	// skewDrift is how much the clocks may drift apart between two reports.
-	skewDrift = time.Millisecond
-	// usualWeight is the weight of a new report in the usual load of others.
-	usualWeight = 0.2
-	// biasHalf is the time in which an unconfirmed correction halves.
-	biasHalf = 5 * time.Second
+	// minClockStep is how far a report's time must go back to mean that the endpoint's
+	// clock was set back.
+	minClockStep = 10 * time.Second
+	// maxPlausibleLag is the largest report delay accepted as such; a larger one is
+	// attributed to clock skew.
+	maxPlausibleLag = 3 * time.Second
+	// maxSkewDrift is how much the clocks may drift apart between two reports.
+	maxSkewDrift = time.Millisecond
+	// peerLoadWeight is the weight of a new report in averagePeerLoad.
+	peerLoadWeight = 0.2
+	biasHalfLife   = 5 * time.Second
 )
 
-// endpoint is what the pool knows of one endpoint.
+// endpoint is the pool's state of one endpoint.
 type endpoint struct {
 	fleet.Endpoint
-	// restartedAt is when this life of the endpoint took the place of an earlier one
-	// here: what was said of it before then was of the earlier one. It is zero for the
-	// first life that this VM knows.
+	// restartedAt is when this incarnation replaced an earlier one; older reports refer
+	// to the earlier one. It is zero for the first incarnation that this VM knows.
 	restartedAt time.Time
 	unlisted    bool
-	// place is the index in Pool.eligible, or -1.
-	place int
+	// eligibleIndex is the index in Pool.eligible, or -1.
+	eligibleIndex int
 
 	inFlight int
-	history  history
-	// progressAt is when a call last began at the idle endpoint or last ended.
+	history  inFlightHistory
+	// progressAt is when a call last finished, produced its first token or started at the
+	// idle endpoint.
 	progressAt time.Time
 
 	load Load
-	// loadAt is the report's time by our clock, skew what our clock is ahead.
-	loadAt time.Time
-	skew   time.Duration
-	// ownAt are this VM's calls that the load report includes.
-	ownAt int
-	// usual is the smoothed load of other VMs.
-	usual float64
-
-	hold  average
-	speed average
-	// livePace is the time for one token, in seconds, of streams under way.
-	livePace   average
-	livePaceAt time.Time
-	// livePaced is how many events it was learnt from.
-	livePaced int
-	// bias is how much later the first token comes than predicted, in seconds.
+	// reportedAt is the time of the report by this VM's clock, clockSkew the smallest
+	// apparent delay of recent reports, which includes the difference of the clocks.
+	reportedAt time.Time
+	clockSkew  time.Duration
+	// ownInReport is the number of this VM's calls that the load report includes.
+	ownInReport int
+	// averagePeerLoad is the moving average of other VMs' calls.
+	averagePeerLoad float64
+
+	slotTime   average
+	decodeRate average
+	// liveTokenTime is the time per token, in seconds, on open streams.
+	liveTokenTime   average
+	liveTokenTimeAt time.Time
+	// liveTokenTimeSamples is the number of events in liveTokenTime.
+	liveTokenTimeSamples int
+	// bias is how much later the first token arrives than predicted, in seconds.
 	bias   float64
 	biasAt time.Time
 
-	reading reading
+	prefillQueue prefillQueue
 
-	// doubtedAt is when a connection broke, until it is known which life the endpoint
-	// is in.
-	doubtedAt time.Time
+	// suspectedAt is when a connection broke; it is zero once a newer report shows
+	// whether the endpoint restarted.
+	suspectedAt time.Time
 
-	// closedUntil is until when the endpoint takes no request of this VM.
+	// closedUntil is when the endpoint accepts requests from this VM again.
 	closedUntil time.Time
 
-	failures int
-	backoff  time.Duration
-	retryAt  time.Time
-	probing  bool
+	consecutiveFailures int
+	backoff             time.Duration
+	retryAt             time.Time
+	probing             bool
 
-	counted counted
-	cache   cache
+	contribution contribution
+	prefixCache  prefixCache
 }
 
 func newEndpoint(listed fleet.Endpoint) *endpoint {
 	return &endpoint{
-		Endpoint: listed,
-		place:    -1,
+		Endpoint:      listed,
+		eligibleIndex: -1,
 	}
 }
 
-// unlist takes the endpoint out of its pool; calls in flight still end at it.
+// unlist removes the endpoint from its pool; calls in flight still end at it.
 func (e *endpoint) unlist() {
 	e.unlisted = true
-	e.place = -1
-	e.counted = counted{}
+	e.eligibleIndex = -1
+	e.contribution = contribution{}
 }
 
-// leaves reports whether the endpoint gets no new call.
-func (e *endpoint) leaves() bool {
+// draining reports whether the endpoint gets no new calls.
+func (e *endpoint) draining() bool {
 	return e.unlisted || e.State == fleet.StateLeaving || e.load.Leaving
 }
 
-// ejected reports whether the endpoint is in back-off or waits for its probe.
+// ejected reports whether the endpoint is in backoff or awaits its probe.
 func (e *endpoint) ejected() bool {
 	return !e.retryAt.IsZero()
 }
 
-// closed reports whether the endpoint takes no request of this VM now.
+// closed reports whether the endpoint accepts no requests from this VM now.
 func (e *endpoint) closed(now time.Time) bool {
 	return now.Before(e.closedUntil)
 }
 
-// slots prefers the list, which the endpoint cannot get wrong.
+// slots returns the batch slots; the list takes precedence over reports.
 func (e *endpoint) slots() float64 {
 	switch {
 	case e.Slots > 0:
@@ -120,8 +122,7 @@
 	}
 }
 
-// enter counts one more call in flight.
-func (e *endpoint) enter(now time.Time) {
+func (e *endpoint) callStarted(now time.Time) {
 	e.history.record(e.inFlight, now)
 	if e.inFlight == 0 {
 		e.progressAt = now
@@ -129,139 +130,137 @@
 	e.inFlight++
 }
 
-// leave counts one call less in flight.
-func (e *endpoint) leave(now time.Time) {
+func (e *endpoint) callEnded(now time.Time) {
 	e.history.record(e.inFlight, now)
 	e.progressAt = now
 	e.inFlight--
 }
 
-// report takes a newer load report; it returns false for an older one.
-func (e *endpoint) report(l Load, now time.Time) bool {
-	back := e.load.At.Sub(l.At)
-	if back >= 0 && back < clockStep && !e.loadAt.IsZero() {
+// applyReport applies a newer load report; it returns false for an older one.
+func (e *endpoint) applyReport(l Load, now time.Time) bool {
+	clockBack := e.load.At.Sub(l.At)
+	if clockBack >= 0 && clockBack < minClockStep && !e.reportedAt.IsZero() {
 		return false
 	}
-	e.loadAt = now.Add(-e.lag(now.Sub(l.At), back >= clockStep))
+	e.reportedAt = now.Add(-e.reportLag(now.Sub(l.At), clockBack >= minClockStep))
 	e.load = l
-	e.ownAt = e.history.at(e.loadAt, e.inFlight)
-	e.usual += usualWeight * (e.seen() - e.usual)
+	e.ownInReport = e.history.at(e.reportedAt, e.inFlight)
+	e.averagePeerLoad += peerLoadWeight * (e.reportedPeerLoad() - e.averagePeerLoad)
 	return true
 }
 
-// lag is how old a report is. Where the clocks clearly disagree it is how much
-// older it is than the youngest one.
-func (e *endpoint) lag(apparent time.Duration, stepped bool) time.Duration {
-	e.skew += skewDrift
-	if e.loadAt.IsZero() || stepped || apparent < e.skew {
-		e.skew = apparent
+// reportLag returns the age of a report. If the clocks disagree, it is the age relative
+// to the report with the smallest apparent delay.
+func (e *endpoint) reportLag(apparent time.Duration, stepped bool) time.Duration {
+	e.clockSkew += maxSkewDrift
+	if e.reportedAt.IsZero() || stepped || apparent < e.clockSkew {
+		e.clockSkew = apparent
 	}
-	if apparent >= 0 && apparent <= plausibleLag {
+	if apparent >= 0 && apparent <= maxPlausibleLag {
 		return apparent
 	}
-	return apparent - e.skew
+	return apparent - e.clockSkew
 }
 
-// seen is the load of other VMs at the time of the last report.
-func (e *endpoint) seen() float64 {
-	return float64(max(e.load.Running+e.load.Waiting-e.ownAt, 0))
+// reportedPeerLoad is the number of other VMs' calls at the time of the last report.
+func (e *endpoint) reportedPeerLoad() float64 {
+	return float64(max(e.load.Running+e.load.Waiting-e.ownInReport, 0))
 }
 
-// occupancy estimates the calls at the endpoint now. share is this VM's part of
-// the region's load. Other VMs' calls are guessed in two ways: by the report,
-// which fades to the usual load, and by the own calls in flight, as the other
-// VMs choose as this one does but not at the same moment.
+// occupancy estimates the number of calls at the endpoint now; share is this VM's
+// fraction of the region's load. Other VMs' calls are a weighted mean of the report,
+// which decays to the average, and an extrapolation from this VM's calls in flight.
 func (e *endpoint) occupancy(share float64, now time.Time) float64 {
 	own := float64(e.inFlight)
-	alike := own * min(1/share-1, alikeMost)
-	if e.loadAt.IsZero() {
-		return own + alike
+	extrapolated := own * min(1/share-1, maxExtrapolationRatio)
+	if e.reportedAt.IsZero() {
+		return own + extrapolated
 	}
-	trust := alikeTrust(share)
-	return own + trust*alike + (1-trust)*e.reported(now)
+	weight := extrapolationWeight(share)
+	return own + weight*extrapolated + (1-weight)*e.peerLoad(now)
 }
 
-// alikeTrust is how far other VMs' calls are guessed from the own ones. A VM that has
-// one call in a hundred has none at most endpoints, which says nothing of the others'
-// there; what one of eight has does.
-func alikeTrust(share float64) float64 {
-	return alikeWeight * min(1, (alikeMost+1)*share)
+// extrapolationWeight is the weight of the extrapolation from this VM's calls. It falls
+// with a small share of the load, as the VM then has no calls at most endpoints.
+func extrapolationWeight(share float64) float64 {
+	return maxExtrapolationWeight * min(1, (maxExtrapolationRatio+1)*share)
 }
 
-// reported is the other VMs' load by the reports alone.
-func (e *endpoint) reported(now time.Time) float64 {
-	trust := math.Exp(-now.Sub(e.loadAt).Seconds() / reportTrust)
-	return trust*e.seen() + (1-trust)*e.usual
+// peerLoad estimates other VMs' calls from the reports alone.
+func (e *endpoint) peerLoad(now time.Time) float64 {
+	weight := math.Exp(-now.Sub(e.reportedAt).Seconds() / reportDecaySeconds)
+	return weight*e.reportedPeerLoad() + (1-weight)*e.averagePeerLoad
 }
 
-// taken is how many slots admission must take as full: the higher guess, as a
-// call too many waits at the endpoint where no priority of ours can help it.
-func (e *endpoint) taken(share float64, now time.Time) float64 {
+// occupiedSlots returns the slots that admission must count as full. It is the higher of
+// both estimates, as a call too many would wait in the endpoint's queue, where admission
+// cannot reorder it.
+func (e *endpoint) occupiedSlots(share float64, now time.Time) float64 {
 	occupied := e.occupancy(share, now)
-	if e.loadAt.IsZero() {
+	if e.reportedAt.IsZero() {
 		return occupied
 	}
-	return max(occupied, float64(e.inFlight)+e.reported(now))
+	return max(occupied, float64(e.inFlight)+e.peerLoad(now))
 }
 
-// queued is the reported queue, which is sure at least to have been there.
-func (e *endpoint) queued(now time.Time) float64 {
-	if e.loadAt.IsZero() || e.load.Waiting == 0 {
+// reportedQueue is the reported queue length, decayed by the report's age.
+func (e *endpoint) reportedQueue(now time.Time) float64 {
+	if e.reportedAt.IsZero() || e.load.Waiting == 0 {
 		return 0
 	}
-	return float64(e.load.Waiting) * math.Exp(-now.Sub(e.loadAt).Seconds()/reportTrust)
+	return float64(e.load.Waiting) * math.Exp(-now.Sub(e.reportedAt).Seconds()/reportDecaySeconds)
 }
 
-// unread is how many prompt tokens the endpoint reads before a call that is sent
-// now: those that are known, and for VMs that do not tell theirs as many of the
-// own ones as their part of the load says.
-func (e *endpoint) unread(turn int, share, untold, rate float64, now time.Time) float64 {
-	known, own := e.reading.ahead(turn, rate, now)
-	return known + alikeTrust(share)*own*min(1/share-1, alikeMost)*untold
+// tokensAhead estimates the prompt tokens that the endpoint prefills before a call that
+// is sent now. For VMs that do not report their queues it extrapolates from this VM's
+// prompts.
+func (e *endpoint) tokensAhead(turn int, share, silentPeers, rate float64, now time.Time) float64 {
+	known, own := e.prefillQueue.tokensAhead(turn, rate, now)
+	return known + extrapolationWeight(share)*own*min(1/share-1, maxExtrapolationRatio)*silentPeers
 }
 
-// correction is the decayed bias in seconds.
-func (e *endpoint) correction(now time.Time) float64 {
+// currentBias is the decayed bias in seconds.
+func (e *endpoint) currentBias(now time.Time) float64 {
 	if e.bias == 0 {
 		return 0
 	}
-	return e.bias * math.Exp2(-float64(now.Sub(e.biasAt))/float64(biasHalf))
+	return e.bias * math.Exp2(-float64(now.Sub(e.biasAt))/float64(biasHalfLife))
 }
 
-// stall is how long, in seconds, the endpoint has ended no call although the
-// expected time for one has passed.
-func (e *endpoint) stall(expected float64, now time.Time) float64 {
+// stallSeconds returns how long the endpoint has made no progress beyond the expected
+// time of a call.
+func (e *endpoint) stallSeconds(expected float64, now time.Time) float64 {
 	if e.inFlight == 0 {
 		return 0
 	}
 	return max(now.Sub(e.progressAt).Seconds()-expected, 0)
 }
 
-// history remembers how many calls were in flight in the recent past.
-type history struct {
+// inFlightHistory records the recent numbers of calls in flight.
+type inFlightHistory struct {
 	counts [historyLen]int32
-	// step is the number of the newest entry.
-	step int64
+	// lastStep is the step number of the newest entry.
+	lastStep int64
 }
 
-// record notes the count that held until now.
-func (h *history) record(count int, now time.Time) {
+// record stores the count that applied until now.
+func (h *inFlightHistory) record(count int, now time.Time) {
 	step := now.UnixNano() / int64(historyStep)
-	if step-h.step > historyLen {
-		h.step = step - historyLen
+	if step-h.lastStep > historyLen {
+		h.lastStep = step - historyLen
 	}
-	for h.step < step {
-		h.step++
-		h.counts[h.step%historyLen] = int32(count)
+	for h.lastStep < step {
+		h.lastStep++
+		h.counts[h.lastStep%historyLen] = int32(count)
 	}
 }
 
 // at returns the count at a moment; current is the count now.
-func (h *history) at(moment time.Time, current int) int {
+func (h *inFlightHistory) at(moment time.Time, current int) int {
 	step := moment.UnixNano()/int64(historyStep) + 1
-	if step > h.step {
+	if step > h.lastStep {
 		return current
 	}
-	step = max(step, h.step-historyLen+1)
+	step = max(step, h.lastStep-historyLen+1)
 	return int(h.counts[step%historyLen])
 }
--- a/routing/enginetest/enginetest.go
+++ b/routing/enginetest/enginetest.go
@@ -1,5 +1,5 @@
-// Package enginetest holds a small fake model engine on an event clock, to
-// measure decisions in tests. Time passes only from event to event.
+// Package enginetest simulates a model engine in virtual time, for tests and benchmarks
+// of routing decisions.
 package enginetest
 
 import (
@@ -15,34 +15,34 @@
 	"github.com/fuchsianotch/fuchsianotch/routing"
 )
 
-// Clock runs events in the order of their time.
+// Clock is a virtual clock that runs events in order of time.
 type Clock struct {
-	now    time.Time
-	events events
-	serial uint64
+	now        time.Time
+	events     events
+	nextSerial uint64
 }
 
-// NewClock starts at a fixed time.
+// NewClock returns a Clock that starts at a fixed time.
 func NewClock() *Clock {
 	return &Clock{now: time.Date(2026, time.March, 1, 6, 0, 0, 0, time.UTC)}
 }
 
-// Now is the time of the running event.
+// Now returns the time of the current event.
 func (c *Clock) Now() time.Time {
 	return c.now
 }
 
-// After runs f once d from now.
+// After runs f once after d.
 func (c *Clock) After(d time.Duration, f func()) {
-	c.serial++
+	c.nextSerial++
 	heap.Push(&c.events, event{
 		at:     c.now.Add(d),
-		serial: c.serial,
+		serial: c.nextSerial,
 		run:    f,
 	})
 }
 
-// Every runs f again and again.
+// Every runs f each d, without end.
 func (c *Clock) Every(d time.Duration, f func()) {
 	c.After(d, func() {
 		f()
@@ -50,7 +50,7 @@
 	})
 }
 
-// Poisson runs f with exponential gaps of so many a second until the end.
+// Poisson runs f as a Poisson process of perSecond events per second until end.
 func (c *Clock) Poisson(random *rand.Rand, perSecond float64, end time.Time, f func()) {
 	gap := time.Duration(random.ExpFloat64() / perSecond * float64(time.Second))
 	c.After(gap, func() {
@@ -62,7 +62,7 @@
 	})
 }
 
-// Run runs all events up to the end.
+// Run runs all events up to and including end.
 func (c *Clock) Run(end time.Time) {
 	for len(c.events) > 0 && !c.events[0].at.After(end) {
 		e := c.events[0]
@@ -73,7 +73,7 @@
 	c.now = end
 }
 
-// Job is one call at an engine.
+// Job is one call to an Engine.
 type Job struct {
 	Prefix       uint64
 	PrefixTokens int
@@ -85,57 +85,58 @@
 	End   func(u call.Usage)
 }
 
-// Engine batches continuously up to Slots, prefills one prompt at a time, and
-// keeps the most recently used prefixes.
+// Engine simulates continuous batching with up to Slots calls, sequential prefill and an
+// LRU prefix cache.
 type Engine struct {
 	Clock *Clock
 	Slots int
-	// Speed is the tokens a second of a call alone, halved in a full batch.
+	// Speed is the decode rate of a single call in tokens per second, halved in a full
+	// batch.
 	Speed   float64
 	Prefill float64
-	// Prefixes is how many prefixes the cache holds.
+	// Prefixes is the capacity of the prefix cache, in prefixes.
 	Prefixes int
-	// Lies makes it report that it is idle.
-	Lies bool
-
-	running   int
-	waiting   [call.Priorities][]Job
-	prefillAt time.Time
-	cache     map[uint64]*list.Element
-	recent    *list.List
-	// PromptTokens and ColdTokens count what came and what had to be prefilled.
+	// ReportsIdle makes load reports show no calls.
+	ReportsIdle bool
+
+	running       int
+	waiting       [call.Priorities][]Job
+	prefillEndsAt time.Time
+	cache         map[uint64]*list.Element
+	lru           *list.List
+	// PromptTokens and ColdTokens count the received and the uncached prompt tokens.
 	PromptTokens int
 	ColdTokens   int
 }
 
-// Send takes a job at once or queues it by priority.
+// Send runs a job if a slot is free and queues it by priority otherwise.
 func (e *Engine) Send(j Job) {
 	if e.running >= e.Slots {
 		e.waiting[j.Priority] = append(e.waiting[j.Priority], j)
 		return
 	}
-	e.run(j)
+	e.startJob(j)
 }
 
-func (e *Engine) run(j Job) {
+func (e *Engine) startJob(j Job) {
 	e.running++
 	cached := 0
-	if e.touch(j.Prefix) {
+	if e.lookup(j.Prefix) {
 		cached = j.PrefixTokens
 	}
 	cold := j.PromptTokens - cached
 	e.PromptTokens += j.PromptTokens
 	e.ColdTokens += cold
-	if e.prefillAt.Before(e.Clock.now) {
-		e.prefillAt = e.Clock.now
+	if e.prefillEndsAt.Before(e.Clock.now) {
+		e.prefillEndsAt = e.Clock.now
 	}
-	e.prefillAt = e.prefillAt.Add(seconds(0.01 + float64(cold)/e.Prefill))
-	first := e.prefillAt.Sub(e.Clock.now)
+	e.prefillEndsAt = e.prefillEndsAt.Add(seconds(0.01 + float64(cold)/e.Prefill))
+	first := e.prefillEndsAt.Sub(e.Clock.now)
 	perToken := (1 + float64(e.running)/float64(e.Slots)) / e.Speed
 	e.Clock.After(first, j.First)
 	e.Clock.After(first+seconds(perToken*float64(j.Tokens)), func() {
 		e.running--
-		e.next()
+		e.startNext()
 		j.End(call.Usage{
 			PromptTokens:    j.PromptTokens,
 			CachedTokens:    cached,
@@ -144,42 +145,42 @@
 	})
 }
 
-func (e *Engine) next() {
+func (e *Engine) startNext() {
 	for p := range e.waiting {
 		if len(e.waiting[p]) > 0 {
 			j := e.waiting[p][0]
 			e.waiting[p] = e.waiting[p][1:]
-			e.run(j)
+			e.startJob(j)
 			return
 		}
 	}
 }
 
-// touch reports whether the prefix was cached, and caches it.
-func (e *Engine) touch(prefix uint64) bool {
+// lookup reports whether the prefix was cached, and caches it.
+func (e *Engine) lookup(prefix uint64) bool {
 	if e.cache == nil {
 		e.cache = map[uint64]*list.Element{}
-		e.recent = list.New()
+		e.lru = list.New()
 	}
 	if at, ok := e.cache[prefix]; ok {
-		e.recent.MoveToFront(at)
+		e.lru.MoveToFront(at)
 		return true
 	}
-	e.cache[prefix] = e.recent.PushFront(prefix)
-	if e.recent.Len() > e.Prefixes {
-		oldest, _ := e.recent.Remove(e.recent.Back()).(uint64)
+	e.cache[prefix] = e.lru.PushFront(prefix)
+	if e.lru.Len() > e.Prefixes {
+		oldest, _ := e.lru.Remove(e.lru.Back()).(uint64)
 		delete(e.cache, oldest)
 	}
 	return false
 }
 
-// Load is the engine's report of now.
+// Load returns the engine's current load report.
 func (e *Engine) Load() routing.Load {
 	l := routing.Load{
 		At:    e.Clock.now,
 		Slots: e.Slots,
 	}
-	if e.Lies {
+	if e.ReportsIdle {
 		return l
 	}
 	l.Running = e.running
@@ -189,28 +190,28 @@
 	return l
 }
 
-// Latencies collects times and gives their percentiles.
+// Latencies is a histogram of durations.
 type Latencies struct {
 	histogram *hdrhistogram.Histogram
 }
 
-// NewLatencies makes an empty collection for times of up to ten minutes.
+// NewLatencies returns an empty histogram for durations of up to ten minutes.
 func NewLatencies() *Latencies {
 	return &Latencies{histogram: hdrhistogram.New(1, int64(10*time.Minute/time.Microsecond), 3)}
 }
 
-// Add takes one time; one over the bound counts as the bound.
+// Add records a duration; values out of range count as the nearest bound.
 func (l *Latencies) Add(d time.Duration) {
 	us := min(d.Microseconds(), l.histogram.HighestTrackableValue())
 	_ = l.histogram.RecordValue(max(us, 1))
 }
 
-// Milliseconds returns the time that the percent of all are within.
+// Milliseconds returns a percentile in milliseconds, rounded to a tenth.
 func (l *Latencies) Milliseconds(percent float64) float64 {
 	return math.Round(float64(l.histogram.ValueAtPercentile(percent))/100) / 10
 }
 
-// Count is how many times were added.
+// Count returns the number of recorded durations.
 func (l *Latencies) Count() int64 {
 	return l.histogram.TotalCount()
 }
@@ -230,7 +231,7 @@
 func (e events) Len() int      { return len(e) }
 func (e events) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
 
-// Push is for the heap.
+// Push implements heap.Interface.
 func (e *events) Push(x any) {
 	added, _ := x.(event)
 	*e = append(*e, added)
--- a/routing/enginetest/pools.go
+++ b/routing/enginetest/pools.go
@@ -8,12 +8,12 @@
 	"github.com/fuchsianotch/fuchsianotch/routing"
 )
 
-// engineSlots is the batch of the listed engines.
-const engineSlots = 64
+// slotsPerEngine is the batch size of the listed engines.
+const slotsPerEngine = 64
 
-// Pools returns the pools of VMs that choose among the same engines, named by their ids.
+// Pools returns one pool for each of vms VMs that route to the same engines.
 func Pools(vms int, ids []string, random *rand.Rand, now time.Time) []*routing.Pool {
-	engines := listed(ids)
+	engines := endpointList(ids)
 	pools := make([]*routing.Pool, 0, vms)
 	for range vms {
 		pool := routing.New(routing.Options{Rand: random.Uint64})
@@ -24,12 +24,12 @@
 	return pools
 }
 
-func listed(ids []string) []fleet.Endpoint {
+func endpointList(ids []string) []fleet.Endpoint {
 	list := make([]fleet.Endpoint, 0, len(ids))
 	for _, id := range ids {
 		list = append(list, fleet.Endpoint{
 			ID:    id,
-			Slots: engineSlots,
+			Slots: slotsPerEngine,
 			State: fleet.StateLive,
 		})
 	}
--- a/routing/enginetest/reader.go
+++ b/routing/enginetest/reader.go
@@ -5,32 +5,32 @@
 	"time"
 )
 
-// Reader is the part of a model engine that reads prompts: one after the other, the
-// first by turn and then by arrival, none interrupted.
+// Reader simulates an engine's prefill queue: prompts are processed one at a time without
+// preemption, ordered by rank and then by arrival.
 type Reader struct {
 	Clock *Clock
-	// PerSecond is how many tokens it reads in a second.
+	// PerSecond is the prefill rate in tokens per second.
 	PerSecond float64
 
 	waiting []*Prompt
-	reading bool
+	busy    bool
 }
 
-// Prompt is what a Reader has to read of one call.
+// Prompt is the part of a call's prompt that a Reader has to prefill.
 type Prompt struct {
 	Tokens float64
 	Turn   int
-	// Read is called at the end.
+	// Read is called when the prefill is done.
 	Read func()
 }
 
 // Send queues a prompt.
 func (r *Reader) Send(p *Prompt) {
 	r.waiting = append(r.waiting, p)
-	r.next()
+	r.startNext()
 }
 
-// Drop takes a prompt out; false means that it is being read or was.
+// Drop removes a queued prompt; it returns false if its prefill has started or ended.
 func (r *Reader) Drop(p *Prompt) bool {
 	at := slices.Index(r.waiting, p)
 	if at < 0 {
@@ -40,16 +40,16 @@
 	return true
 }
 
-func (r *Reader) next() {
-	if r.reading || len(r.waiting) == 0 {
+func (r *Reader) startNext() {
+	if r.busy || len(r.waiting) == 0 {
 		return
 	}
 	first := slices.MinFunc(r.waiting, func(a, b *Prompt) int { return a.Turn - b.Turn })
 	r.Drop(first)
-	r.reading = true
+	r.busy = true
 	r.Clock.After(time.Duration(first.Tokens/r.PerSecond*float64(time.Second)), func() {
-		r.reading = false
+		r.busy = false
 		first.Read()
-		r.next()
+		r.startNext()
 	})
 }
--- a/routing/again_test.go
+++ b/routing/exclude_test.go
@@ -9,9 +9,9 @@
 	"github.com/fuchsianotch/fuchsianotch/fleet"
 )
 
-// TestAgain holds that an endpoint which was tried is chosen again only where
-// no other takes work and the call says so.
-func TestAgain(t *testing.T) {
+// An excluded endpoint may be chosen only if the call allows it and no other is
+// available.
+func TestExcludedEndpoint(t *testing.T) {
 	now := time.Unix(1e9, 0)
 	one := []fleet.Endpoint{{ID: "a", State: fleet.StateLive}}
 	two := []fleet.Endpoint{one[0], {ID: "b", State: fleet.StateLive}}
--- a/routing/expect_test.go
+++ b/routing/expect_test.go
@@ -15,11 +15,9 @@
 	"github.com/fuchsianotch/fuchsianotch/routing/enginetest"
 )
 
-// expectRow is one row of testdata/expect.json: VMs that have just started send
-// prompts that share nothing to engines. The mean difference between the first
-// token that callers were to expect and the one they got is bounded. With a rate
-// learnt from single calls and a default of 4,000 tokens a second the rows came to
-// 0.85, 6.5, 0.36, 17 and 0.57 s; they come to 0.009, 0.015, 0.047, 0.46 and 0.04.
+// expectRow is one row of testdata/expect.json: VMs that have just started send prompts
+// without shared prefixes. It bounds the mean error of the expected time to the first
+// token.
 type expectRow struct {
 	Name           string
 	VMs            int     `json:"vms"`
@@ -28,21 +26,19 @@
 	PromptTokens   int     `json:"prompt_tokens"`
 	ReadsPerSecond float64 `json:"reads_per_second"`
 	MostWrong      string  `json:"most_wrong"`
-	// One in ten prompts has LongTokens, where that is set. Told says that the VMs
-	// tell each other what waits unread, and MostLate bounds the part of the other
-	// calls whose first token comes after lateAfter.
+	// If LongTokens is set, one prompt in ten has that length. Told lets the VMs exchange
+	// their prefill queues. MostLate bounds the fraction of the other calls whose first
+	// token arrives after shortTTFTObjective.
 	LongTokens int     `json:"long_tokens"`
 	Told       bool    `json:"told"`
 	MostLate   float64 `json:"most_late"`
 }
 
-// lateAfter is the objective of the calls with short prompts.
-const lateAfter = 300 * time.Millisecond
+const shortTTFTObjective = 300 * time.Millisecond
 
-const toldEvery = 40 * time.Millisecond
+const shareInterval = 40 * time.Millisecond
 
-// expectFor is the time that is played from the start on.
-const expectFor = 10 * time.Second
+const expectDuration = 10 * time.Second
 
 func TestExpectationsAfterStart(t *testing.T) {
 	for _, row := range datatest.Read[[]expectRow](t, "testdata/expect.json") {
@@ -50,44 +46,44 @@
 	}
 }
 
-// expectWorld is what one row plays.
-type expectWorld struct {
-	row     expectRow
-	clock   *enginetest.Clock
-	random  *rand.Rand
-	engines map[string]*enginetest.Engine
-	pools   []*routing.Pool
-	prefix  uint64
-	calls   int
-	wrong   time.Duration
-	short   int
-	late    int
+// expectSimulation is one run of a row.
+type expectSimulation struct {
+	row        expectRow
+	clock      *enginetest.Clock
+	random     *rand.Rand
+	engines    map[string]*enginetest.Engine
+	pools      []*routing.Pool
+	nextPrefix uint64
+	calls      int
+	totalError time.Duration
+	shortCalls int
+	lateCalls  int
 }
 
 func (row expectRow) run(t *testing.T) {
-	w := &expectWorld{
+	w := &expectSimulation{
 		row:     row,
 		clock:   enginetest.NewClock(),
 		random:  rand.New(rand.NewPCG(7, 1)),
 		engines: make(map[string]*enginetest.Engine),
 	}
 	w.start()
-	end := w.clock.Now().Add(expectFor)
+	end := w.clock.Now().Add(expectDuration)
 	w.clock.Poisson(w.random, row.PerSecond, end, w.call)
 	w.clock.Run(end.Add(time.Minute))
 	most, err := time.ParseDuration(row.MostWrong)
 	assert.NilError(t, err)
-	mean := w.wrong / time.Duration(w.calls)
+	mean := w.totalError / time.Duration(w.calls)
 	t.Logf("mean difference of %d calls: %s", w.calls, mean)
 	assert.Assert(t, mean <= most, "%s", mean)
 	if row.MostLate > 0 {
-		late := float64(w.late) / float64(w.short)
-		t.Logf("late: %.3f of %d short calls", late, w.short)
+		late := float64(w.lateCalls) / float64(w.shortCalls)
+		t.Logf("late: %.3f of %d short calls", late, w.shortCalls)
 		assert.Assert(t, late <= row.MostLate, "%.3f", late)
 	}
 }
 
-func (w *expectWorld) start() {
+func (w *expectSimulation) start() {
 	var ids []string
 	for i := range w.row.Engines {
 		id := string(rune('a' + i))
@@ -103,12 +99,12 @@
 	w.pools = enginetest.Pools(w.row.VMs, ids, w.random, w.clock.Now())
 	w.clock.Every(500*time.Millisecond, w.report)
 	if w.row.Told {
-		w.clock.Every(toldEvery, w.tell)
+		w.clock.Every(shareInterval, w.shareQueues)
 	}
 }
 
-// tell lets each VM tell the others which prompts wait for its calls.
-func (w *expectWorld) tell() {
+// shareQueues sends each VM's prefill queues to the other VMs.
+func (w *expectSimulation) shareQueues() {
 	now := w.clock.Now()
 	for i, from := range w.pools {
 		list, _ := from.Unread()
@@ -120,7 +116,7 @@
 	}
 }
 
-func (w *expectWorld) report() {
+func (w *expectSimulation) report() {
 	for _, pool := range w.pools {
 		for id, e := range w.engines {
 			pool.Report(id, e.Load(), w.clock.Now())
@@ -128,18 +124,18 @@
 	}
 }
 
-// call sends one prompt of two parts, neither of which any other has.
-func (w *expectWorld) call() {
+// call sends a prompt of two parts that no other call shares.
+func (w *expectSimulation) call() {
 	pool := w.pools[w.random.IntN(len(w.pools))]
-	w.prefix++
+	w.nextPrefix++
 	tokens := w.row.PromptTokens
 	long := w.row.LongTokens > 0 && w.random.IntN(10) == 0
 	if long {
 		tokens = w.row.LongTokens
 	}
 	parts := []call.PromptPart{
-		{ID: w.prefix, Tokens: 1},
-		{ID: w.prefix, Tokens: tokens - 1},
+		{ID: w.nextPrefix, Tokens: 1},
+		{ID: w.nextPrefix, Tokens: tokens - 1},
 	}
 	choice, ok := pool.Choose(routing.Request{
 		Prefixes:     routing.Prefixes("", parts),
@@ -153,18 +149,18 @@
 	sentAt := w.clock.Now()
 	var firstAt time.Time
 	w.engines[choice.Endpoint.ID].Send(enginetest.Job{
-		Prefix:       w.prefix,
+		Prefix:       w.nextPrefix,
 		PromptTokens: tokens,
 		Tokens:       100,
 		First: func() {
 			firstAt = w.clock.Now()
 			pool.Began(choice, firstAt)
 			w.calls++
-			w.wrong += (firstAt.Sub(sentAt) - choice.First).Abs()
+			w.totalError += (firstAt.Sub(sentAt) - choice.First).Abs()
 			if !long {
-				w.short++
-				if firstAt.Sub(sentAt) > lateAfter {
-					w.late++
+				w.shortCalls++
+				if firstAt.Sub(sentAt) > shortTTFTObjective {
+					w.lateCalls++
 				}
 			}
 		},
@@ -179,8 +175,8 @@
 	})
 }
 
-// TestAnswerTokens holds that a call is expected to be as long as its caller says, and
-// not longer than it may be; without a word, as long as others were.
+// The expected length must follow the caller's estimate within MaxTokens, or else the
+// default.
 func TestAnswerTokens(t *testing.T) {
 	now := time.Unix(1e9, 0)
 	for _, c := range datatest.Read[[]struct {
--- a/routing/in_flight.go
+++ b/routing/in_flight.go
@@ -1,6 +1,6 @@
 package routing
 
-// InFlight returns how many calls this VM has at an endpoint.
+// InFlight returns the number of this VM's calls in flight at an endpoint.
 func (p *Pool) InFlight(id string) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/routing/life_test.go
+++ b/routing/incarnation_test.go
@@ -12,29 +12,30 @@
 	"github.com/fuchsianotch/fuchsianotch/result"
 )
 
-// lifeStep is one thing that happens to the endpoint "a".
-type lifeStep struct {
-	// List puts it on the list, Report has a load report taken, each with the
-	// incarnation; zero means that it is not told.
+// incarnationStep is one event at endpoint "a".
+type incarnationStep struct {
+	// List lists the endpoint and Report applies a load report, both with an incarnation;
+	// zero means unknown.
 	List, Report *int64
-	// AgeMS is how old the report is, and with Hear what another VM tells of it.
+	// AgeMS is the age in milliseconds of the report, or of what another VM reports if
+	// Hear is set.
 	AgeMS int64 `json:"age_ms"`
-	// Running is the report's load.
+	// Running is the report's number of running calls.
 	Running int
-	// Send is the number of calls with the shared prompt that are sent and stay in flight.
+	// Send is the number of calls with the shared prefix to send and keep in flight.
 	Send int
-	// Fail is the number of calls that are sent and fail.
+	// Fail is the number of calls to send and fail.
 	Fail int
-	// Hear lets another VM tell that it sent the prompt there, and that its own
-	// prompt waits there.
+	// Hear lets another VM report that it sent the shared prefix there and has a prompt
+	// queued there.
 	Hear bool
 	// End ends the calls in flight.
 	End bool
-	// Wait is in milliseconds.
+	// Wait is the time to the next step, in milliseconds.
 	Wait int64
 }
 
-type lifeWant struct {
+type incarnationWant struct {
 	Incarnation int64
 	InFlight    int  `json:"in_flight"`
 	Holds       bool // the shared prompt
@@ -43,29 +44,29 @@
 	Eligible    bool
 }
 
-// TestLives holds that what an endpoint was in an earlier life says nothing of a later one.
-func TestLives(t *testing.T) {
+// State of an earlier incarnation must not carry over to a later one.
+func TestIncarnations(t *testing.T) {
 	for _, c := range datatest.Read[[]struct {
 		Name  string
-		Steps []lifeStep
-		Want  lifeWant
+		Steps []incarnationStep
+		Want  incarnationWant
 	}](t, "testdata/lives.json") {
 		t.Run(c.Name, func(t *testing.T) {
 			now := time.Unix(1e9, 0)
 			p := New(Options{Rand: func() uint64 { return 0 }})
 			var open []Choice
 			for _, s := range c.Steps {
-				now = s.play(t, p, &open, now)
+				now = s.apply(t, p, &open, now)
 			}
 			e := p.byID["a"]
-			got := lifeWant{
+			got := incarnationWant{
 				Incarnation: e.Incarnation,
 				InFlight:    e.inFlight,
-				Holds:       e.cache.warm(lifeRequest().Prefixes, now) > 0,
+				Holds:       e.prefixCache.cachedTokens(sharedPromptRequest().Prefixes, now) > 0,
 				Running:     e.load.Running,
-				Eligible:    e.place >= 0,
+				Eligible:    e.eligibleIndex >= 0,
 			}
-			for _, o := range e.reading.others {
+			for _, o := range e.prefillQueue.peers {
 				got.Waiting += len(o.prompts)
 			}
 			assert.DeepEqual(t, got, c.Want)
@@ -73,14 +74,14 @@
 	}
 }
 
-func (s lifeStep) play(t *testing.T, p *Pool, open *[]Choice, now time.Time) time.Time {
+func (s incarnationStep) apply(t *testing.T, p *Pool, open *[]Choice, now time.Time) time.Time {
 	t.Helper()
 	ago := now.Add(-time.Duration(s.AgeMS) * time.Millisecond)
-	prefixes := lifeRequest().Prefixes
+	prefixes := sharedPromptRequest().Prefixes
 	longest := prefixes[len(prefixes)-1]
 	switch {
 	case s.List != nil:
-		p.SetEndpoints([]fleet.Endpoint{lifeOf("a", *s.List), lifeOf("b", 1)}, now)
+		p.SetEndpoints([]fleet.Endpoint{endpointIncarnation("a", *s.List), endpointIncarnation("b", 1)}, now)
 	case s.Report != nil:
 		p.Report("a", Load{At: ago, Running: s.Running, Incarnation: *s.Report}, now)
 	case s.Hear:
@@ -88,7 +89,7 @@
 		p.TakeUnread("other", []Unread{{Endpoint: "a", MovedAt: ago, Prompts: []UnreadPrompt{{Tokens: 500, SentAt: ago}}}}, now, now)
 	}
 	for range s.Send + s.Fail {
-		r := lifeRequest()
+		r := sharedPromptRequest()
 		r.Exclude[0] = "b"
 		choice, ok := p.Choose(r, now)
 		assert.Assert(t, ok)
@@ -108,7 +109,7 @@
 	return now.Add(time.Duration(s.Wait) * time.Millisecond)
 }
 
-func lifeOf(id string, incarnation int64) fleet.Endpoint {
+func endpointIncarnation(id string, incarnation int64) fleet.Endpoint {
 	return fleet.Endpoint{
 		ID:          id,
 		Addr:        "addr-" + id,
@@ -118,26 +119,26 @@
 	}
 }
 
-func lifeRequest() Request {
+func sharedPromptRequest() Request {
 	return Request{
-		PrefixHash:   call.SharedPrefix("", parts(9)),
-		Prefixes:     Prefixes("", parts(9)),
+		PrefixHash:   call.SharedPrefix("", promptParts(9)),
+		Prefixes:     Prefixes("", promptParts(9)),
 		PromptTokens: 6000,
 	}
 }
 
-// TestFarLife holds that an engine of another region that started again holds nothing.
-func TestFarLife(t *testing.T) {
+// A restarted engine of another region must not count as holding prefixes.
+func TestRemoteRestart(t *testing.T) {
 	now := time.Unix(1e9, 0)
 	p := New(Options{})
-	p.SetEndpoints([]fleet.Endpoint{lifeOf("a", 1)}, now)
-	p.SetFar([]fleet.Endpoint{lifeOf("x", 1), lifeOf("y", 1)})
-	prefixes := lifeRequest().Prefixes
+	p.SetEndpoints([]fleet.Endpoint{endpointIncarnation("a", 1)}, now)
+	p.SetFar([]fleet.Endpoint{endpointIncarnation("x", 1), endpointIncarnation("y", 1)})
+	prefixes := sharedPromptRequest().Prefixes
 	p.Learn([]Holding{
 		{Hash: prefixes[0].Hash, Tokens: prefixes[0].Tokens, Endpoint: "y", UsedAt: now},
 		{Hash: prefixes[1].Hash, Tokens: prefixes[1].Tokens, Endpoint: "x", UsedAt: now},
 	}, now)
-	assert.Equal(t, p.far.source(prefixes, nil, now).addr, "addr-x")
-	p.SetFar([]fleet.Endpoint{lifeOf("x", 2), lifeOf("y", 1)})
-	assert.Equal(t, p.far.source(prefixes, nil, now).addr, "addr-y")
+	assert.Equal(t, p.remote.bestSource(prefixes, nil, now).addr, "addr-x")
+	p.SetFar([]fleet.Endpoint{endpointIncarnation("x", 2), endpointIncarnation("y", 1)})
+	assert.Equal(t, p.remote.bestSource(prefixes, nil, now).addr, "addr-y")
 }
--- a/routing/many_vms_test.go
+++ b/routing/many_vms_test.go
@@ -15,55 +15,56 @@
 	"github.com/fuchsianotch/fuchsianotch/routing/enginetest"
 )
 
-// manyRow is one row of testdata/many_vms.json: as many VMs choose among engines as
-// a region of a large fleet has, for prompts of which most begin like others.
-type manyRow struct {
+// manyVMsRow is one row of testdata/many_vms.json: the VMs and engines of a large region,
+// with prompts that mostly share prefixes.
+type manyVMsRow struct {
 	Name      string
 	VMs       int     `json:"vms"`
 	Engines   int     `json:"engines"`
 	PerSecond float64 `json:"per_second"`
-	// Hears is the part of the VMs that hear each report, which engines give every second.
+	// Hears is the fraction of the VMs that receive each report; engines report every
+	// second.
 	Hears float64 `json:"hears"`
-	// MostLate bounds the part of the calls whose first token comes after manyLate.
+	// MostLate bounds the fraction of the calls whose first token arrives after
+	// manyVMsTTFTObjective.
 	MostLate float64 `json:"most_late"`
 }
 
 const (
-	manyLate     = time.Second
-	manyFor      = 20 * time.Second
-	manyPrefixes = 540
-	manyShared   = 5000
-	manyOwn      = 1200.0
+	manyVMsTTFTObjective    = time.Second
+	manyVMsDuration         = 20 * time.Second
+	manyVMsPrefixes         = 540
+	manyVMsPrefixTokens     = 5000
+	manyVMsMeanSuffixTokens = 1200.0
 )
 
-// TestManyVMs plays the rows. Where all VMs hear each report and their own calls weigh as
-// much as among eight of them, 39.7% of the calls of the last row are late, and 35.5% with
-// a weight by the VM's part of the load.
+// With many VMs the extrapolation from one VM's few calls must not outweigh the load
+// reports.
 func TestManyVMs(t *testing.T) {
-	for _, row := range datatest.Read[[]manyRow](t, "testdata/many_vms.json") {
+	for _, row := range datatest.Read[[]manyVMsRow](t, "testdata/many_vms.json") {
 		t.Run(row.Name, row.run)
 	}
 }
 
-type manyWorld struct {
-	row     manyRow
-	clock   *enginetest.Clock
-	random  *rand.Rand
-	engines []*enginetest.Engine
-	pools   []*routing.Pool
-	own     uint64
-	calls   int
-	late    int
+type manyVMsSimulation struct {
+	row        manyVMsRow
+	clock      *enginetest.Clock
+	random     *rand.Rand
+	engines    []*enginetest.Engine
+	pools      []*routing.Pool
+	nextSuffix uint64
+	calls      int
+	late       int
 }
 
-func (row manyRow) run(t *testing.T) {
-	w := &manyWorld{
+func (row manyVMsRow) run(t *testing.T) {
+	w := &manyVMsSimulation{
 		row:    row,
 		clock:  enginetest.NewClock(),
 		random: rand.New(rand.NewPCG(5, 1)),
 	}
 	w.start()
-	end := w.clock.Now().Add(manyFor)
+	end := w.clock.Now().Add(manyVMsDuration)
 	w.clock.Poisson(w.random, row.PerSecond, end, w.call)
 	w.clock.Run(end.Add(time.Minute))
 	late := float64(w.late) / float64(w.calls)
@@ -75,7 +76,7 @@
 	return fmt.Sprintf("engine-%d", i)
 }
 
-func (w *manyWorld) start() {
+func (w *manyVMsSimulation) start() {
 	var ids []string
 	for i := range w.row.Engines {
 		w.engines = append(w.engines, &enginetest.Engine{
@@ -95,7 +96,7 @@
 	}
 }
 
-func (w *manyWorld) report(i int) {
+func (w *manyVMsSimulation) report(i int) {
 	load := w.engines[i].Load()
 	for _, pool := range w.pools {
 		if w.random.Float64() < w.row.Hears {
@@ -104,19 +105,19 @@
 	}
 }
 
-func (w *manyWorld) call() {
+func (w *manyVMsSimulation) call() {
 	pool := w.pools[w.random.IntN(len(w.pools))]
-	w.own++
-	prefix := 1 + w.random.Uint64N(manyPrefixes)
-	own := 100 + int(w.random.ExpFloat64()*manyOwn)
+	w.nextSuffix++
+	prefix := 1 + w.random.Uint64N(manyVMsPrefixes)
+	own := 100 + int(w.random.ExpFloat64()*manyVMsMeanSuffixTokens)
 	if w.random.IntN(20) == 0 {
 		own *= 10
 	}
-	parts := []call.PromptPart{{ID: prefix, Tokens: manyShared}, {ID: 1_000_000 + w.own, Tokens: own}}
+	parts := []call.PromptPart{{ID: prefix, Tokens: manyVMsPrefixTokens}, {ID: 1_000_000 + w.nextSuffix, Tokens: own}}
 	choice, ok := pool.Choose(routing.Request{
 		Prefixes:     routing.Prefixes("", parts),
 		PrefixHash:   call.SharedPrefix("", parts),
-		PromptTokens: manyShared + own,
+		PromptTokens: manyVMsPrefixTokens + own,
 		MaxTokens:    100,
 	}, w.clock.Now())
 	if !ok {
@@ -124,16 +125,16 @@
 	}
 	sentAt := w.clock.Now()
 	var firstAt time.Time
-	w.engines[engineNumber(choice.Endpoint.ID)].Send(enginetest.Job{
+	w.engines[engineIndex(choice.Endpoint.ID)].Send(enginetest.Job{
 		Prefix:       prefix,
-		PrefixTokens: manyShared,
-		PromptTokens: manyShared + own,
+		PrefixTokens: manyVMsPrefixTokens,
+		PromptTokens: manyVMsPrefixTokens + own,
 		Tokens:       100,
 		First: func() {
 			firstAt = w.clock.Now()
 			pool.Began(choice, firstAt)
 			w.calls++
-			if firstAt.Sub(sentAt) > manyLate {
+			if firstAt.Sub(sentAt) > manyVMsTTFTObjective {
 				w.late++
 			}
 		},
@@ -148,7 +149,7 @@
 	})
 }
 
-func engineNumber(id string) int {
+func engineIndex(id string) int {
 	var i int
 	_, _ = fmt.Sscanf(id, "engine-%d", &i)
 	return i
--- a/routing/ring.go
+++ b/routing/ring.go
@@ -10,36 +10,36 @@
 	"github.com/fuchsianotch/fuchsianotch/fleet"
 )
 
-// ringPoints is how many points each endpoint has on the ring.
-const ringPoints = 64
+const pointsPerEndpoint = 64
 
-// ring is a consistent hash ring, the same on all VMs that have the same list.
+// ring is a consistent hash ring, the same on all VMs with the same list.
 type ring struct {
-	points    []point
+	points    []ringPoint
 	endpoints []*endpoint
 }
 
-type point struct {
+type ringPoint struct {
 	hash  uint64
 	index int32
 }
 
-// newRing places all listed endpoints, so that a change of state moves nothing.
+// newRing places all listed endpoints, whatever their state, so that a change of state
+// moves no prefixes.
 func newRing(list []fleet.Endpoint) ring {
-	points := make([]point, 0, len(list)*ringPoints)
+	points := make([]ringPoint, 0, len(list)*pointsPerEndpoint)
 	for i, e := range list {
-		for n := range ringPoints {
-			points = append(points, point{
+		for n := range pointsPerEndpoint {
+			points = append(points, ringPoint{
 				hash:  xxhash.Sum64String(e.ID + "#" + strconv.Itoa(n)),
 				index: int32(i),
 			})
 		}
 	}
-	slices.SortFunc(points, func(a, b point) int { return cmp.Compare(a.hash, b.hash) })
+	slices.SortFunc(points, func(a, b ringPoint) int { return cmp.Compare(a.hash, b.hash) })
 	return ring{points: points}
 }
 
-// bind sets the endpoints that the points' indexes mean.
+// bind sets the endpoints that the points' indexes refer to.
 func (r *ring) bind(endpoints []*endpoint) {
 	r.endpoints = endpoints
 }
@@ -58,17 +58,17 @@
 	return low
 }
 
-// pair returns the first two different eligible endpoints from hash on. Either may
+// lookup returns the first two distinct eligible endpoints at or after hash. Either may
 // be nil; both are for hash zero, which means no prefix.
-func (r *ring) pair(hash uint64) (first, second *endpoint) {
+func (r *ring) lookup(hash uint64) (first, second *endpoint) {
 	if len(r.points) == 0 || hash == 0 {
 		return nil, nil
 	}
 	start := r.search(hash)
-	for i := range min(len(r.points), 2*ringPoints) {
+	for i := range min(len(r.points), 2*pointsPerEndpoint) {
 		e := r.endpoints[r.points[(start+i)%len(r.points)].index]
 		switch {
-		case e.place < 0:
+		case e.eligibleIndex < 0:
 		case first == nil:
 			first = e
 		case e != first:
--- a/routing/routing.go
+++ b/routing/routing.go
@@ -1,5 +1,5 @@
-// Package routing chooses one endpoint of a model or service for each call,
-// from load reports that lag and from the calls that this VM has in flight.
+// Package routing selects an endpoint of a model or service for each call, using delayed
+// load reports and the calls that this VM has in flight.
 package routing
 
 import (
@@ -13,42 +13,44 @@
 	"github.com/fuchsianotch/fuchsianotch/result"
 )
 
-// The policies that Options names. PolicyAffinity is the default; the others
-// are baselines to compare it with.
+// Routing policies. PolicyAffinity is the default; the others are baselines for
+// comparison.
 const (
 	PolicyAffinity      = "affinity"
 	PolicyRoundRobin    = "round_robin"
 	PolicyLeastInFlight = "least_in_flight"
 )
 
-// Options are the settings of a Pool.
+// Options configures a Pool.
 type Options struct {
-	// Policy is one of the constants; empty means PolicyAffinity.
+	// Policy is one of the Policy constants; empty means PolicyAffinity.
 	Policy string
-	// Rand returns random bits; nil means the runtime's generator.
+	// Rand returns 64 random bits; nil means math/rand/v2.
 	Rand func() uint64
-	// Without switches mechanisms off, to measure what each is worth.
+	// Without disables individual mechanisms, for ablation tests.
 	Without Without
 }
 
-// Without are mechanisms that are switched off.
+// Without lists the mechanisms to disable.
 type Without struct {
-	// Affinity weighs what an endpoint need not read of a prompt, beyond the time.
+	// Affinity is the extra score weight of prefill work, which favours endpoints that
+	// have the prompt prefix cached.
 	Affinity bool
-	// Fetches are those between endpoints, FarFetches those from other regions.
+	// Fetches are prefix cache transfers between engines, FarFetches only those from
+	// other regions.
 	Fetches    bool
 	FarFetches bool
-	// LivePace is the pace of streams under way.
+	// LivePace is the time per token measured on open streams.
 	LivePace bool
-	// BackOff is that of endpoints that fail.
+	// BackOff is the backoff of failing endpoints.
 	BackOff bool
-	// Corrections are those of endpoints whose first tokens were late.
+	// Corrections are the latency corrections of endpoints whose first tokens were late.
 	Corrections bool
 }
 
-// Load is one load report of an endpoint. It lags behind the truth.
+// Load is one load report of an endpoint. It is out of date by the report's delay.
 type Load struct {
-	// At is when the endpoint took the figures.
+	// At is the time of measurement by the endpoint's clock.
 	At              time.Time
 	Slots           int
 	Running         int
@@ -56,108 +58,109 @@
 	QueuedTokens    int
 	TokensPerSecond float64
 	Leaving         bool
-	// CacheUsed and CacheTokens are the engine's memory in tokens; zero where
-	// the endpoint does not say.
+	// CacheUsed and CacheTokens are the used and total size of the engine's KV cache in
+	// tokens; zero if the endpoint does not report them.
 	CacheUsed   int
 	CacheTokens int
-	// Incarnation is that of the endpoint, zero where it was not told.
+	// Incarnation identifies the endpoint's process; zero if unknown.
 	Incarnation int64
 }
 
-// Request is what the choice depends on.
+// Request describes a call to be routed.
 type Request struct {
 	// PrefixHash identifies the prompt prefix; zero means none.
 	PrefixHash uint64
-	// Prefixes are the beginnings of the prompt that others share, shortest
-	// first, where the caller names them.
+	// Prefixes are the shared prefixes of the prompt, shortest first, if the caller names
+	// the prompt's parts.
 	Prefixes     []Prefix
 	PromptTokens int
 	MaxTokens    int
-	// AnswerTokens is the caller's estimate of those that will be generated; zero means
-	// that there is none.
+	// AnswerTokens is the caller's estimate of the generated tokens; zero means no
+	// estimate.
 	AnswerTokens int
 	Priority     call.Priority
-	// Turn is the call's place in the order at an endpoint, 0 first; those from
-	// call.Turns on count as the last.
+	// Turn is the call's rank in an endpoint's queue; 0 is served first. Values of
+	// call.Turns or more count as the last rank.
 	Turn int
-	// Exclude names endpoints that were tried already; empty strings mean none.
+	// Exclude holds the IDs of endpoints that were already tried; empty strings are
+	// ignored.
 	Exclude [2]string
-	// Homes are the regions that may hold the prompt; none means all.
+	// Homes are the regions that may hold the prompt; empty means all.
 	Homes []string
-	// Again lets an excluded endpoint be chosen where no other takes work: the
-	// call ran there and failed by itself, which the next run may not.
+	// Again allows an excluded endpoint if no other is available. It is set if the call
+	// ran there and failed by itself, so that a retry may succeed.
 	Again bool
-	// Tentative is set for a call that may yet not be sent where it is chosen to go.
-	// Confirm notes what it leaves there once it is.
+	// Tentative is set for a call that may not be sent to the chosen endpoint after all.
+	// Confirm records the prefixes there once it is sent.
 	Tentative bool
 
-	// home and second are the prefix's endpoints, found once for each choice.
-	home, second *endpoint
-	// source is the engine that holds most of the prompt, found once for each choice.
-	source source
+	// ringPrimary and ringSecondary are the prefix's endpoints on the hash ring.
+	ringPrimary, ringSecondary *endpoint
+	// fetchSource is the engine that holds most of the prompt.
+	fetchSource fetchSource
 }
 
-// Choice is one call counted in flight at one endpoint. It must be given back
-// by Done exactly once.
+// Choice is one call in flight at one endpoint. It must be released by Done exactly once.
 type Choice struct {
 	Endpoint fleet.Endpoint
 	At       time.Time
-	// Wait is the expected time in the endpoint's queue, First the expected time
-	// from sending to the first token, and Service the expected time from the
-	// start of the prefill to the end of the answer.
+	// Wait is the expected time in the endpoint's queue, First the expected time to the
+	// first token, and Service the expected time from the start of the prefill to the end
+	// of the answer.
 	Wait    time.Duration
 	First   time.Duration
 	Service time.Duration
-	// Affine is set when the endpoint is expected to hold the prompt's prefix.
+	// Affine is set if the endpoint is expected to have the prompt's prefix cached.
 	Affine bool
-	// FetchFrom is the address of an engine that holds more of the prompt; empty
-	// where none is worth asking.
+	// FetchFrom is the address of an engine to fetch cached prefixes from; empty if a
+	// fetch would not pay off.
 	FetchFrom string
-	// Cached is how many of the prompt's tokens need not be read.
+	// Cached is the number of prompt tokens that need no prefill.
 	Cached int
-	// ReportAge is how old the endpoint's last load report was; zero without one.
+	// ReportAge is the age of the endpoint's last load report; zero without one.
 	ReportAge time.Duration
-	// Probe is set on the single call that tests an endpoint after its back-off.
+	// Probe is set on the single call that tests an endpoint after its backoff.
 	Probe bool
 
 	state *endpoint
-	// predicted is First in seconds without the correction by observation.
-	predicted float64
-	// unread are the tokens that the endpoint was expected to read before, prompt the
-	// number of the call's own among those that wait there.
-	unread float64
-	prompt uint64
-	// queued says that the call was expected to wait for a slot.
+	// predictedTTFT is First in seconds without the endpoint's latency correction.
+	predictedTTFT float64
+	// tokensAhead is the expected number of tokens in the endpoint's prefill queue before
+	// this call, promptID the call's entry in that queue.
+	tokensAhead float64
+	promptID    uint64
+	// queued is set if the call is expected to wait for a slot.
 	queued bool
-	// tokens are those that it has to read of the call's prompt; known says that the
-	// prompt's parts were named, so that this is no guess.
-	tokens float64
-	known  bool
-	// occupied are the calls at the endpoint, this one included.
-	occupied  float64
-	prefix    bool
+	// prefillTokens is the expected number of the call's own tokens to prefill;
+	// prefixesKnown is set if it was computed from named prefixes.
+	prefillTokens float64
+	prefixesKnown bool
+	// occupancy is the expected number of calls at the endpoint, including this one.
+	occupancy float64
+	hasPrefix bool
 	maxTokens int
-	// yields is set for a call that makes way for all that can be on time.
+	// yields is set for a call that is queued behind all calls that can still be on time.
 	yields bool
 }
 
-// Outcome is what became of a call, as far as routing learns from it.
+// Outcome is the result of a call as reported to Done.
 type Outcome struct {
-	// Code is zero, or one that is not the endpoint's, when nothing is to be learnt.
+	// Code is the call's result. Zero and codes that say nothing about the endpoint leave
+	// its estimates unchanged.
 	Code  result.Code
 	Usage call.Usage
-	// Sent is false when nothing reached the endpoint.
+	// Sent is false if nothing reached the endpoint.
 	Sent bool
-	// Canceled is set when the caller left; nothing is learnt from such a call.
+	// Canceled is set if the caller canceled the call; its outcome is ignored.
 	Canceled bool
-	// Answered is set when the endpoint ran the call and answered with a failure
-	// of its own, which may be the call's fault as well.
+	// Answered is set if the endpoint ran the call and returned an error, which may be
+	// the call's own fault.
 	Answered bool
-	// FirstAt is when the first token or byte of the answer arrived, if any did.
+	// FirstAt is when the first token or byte of the answer arrived; zero if none did.
 	FirstAt time.Time
 }
 
-// Pool holds the endpoints of one target. It is safe for concurrent use.
+// Pool holds the endpoints of one model or service. It is safe for concurrent use.
 type Pool struct {
 	policy  string
 	rand    func() uint64
@@ -167,43 +170,43 @@
 	vms       int
 	endpoints []*endpoint
 	byID      map[string]*endpoint
-	// eligible are the endpoints that may get calls; ejected are in back-off.
-	eligible []*endpoint
-	ejected  []*endpoint
-	ring     ring
-	next     int
-	learnt   learnt
-	total    total
-	// holders returns the engine that was last sent each prefix.
-	holders map[uint64]*endpoint
-	far     far
-	// readingChanges counts the changes of the own prompts that wait, tellers when
-	// other VMs last told theirs.
-	readingChanges uint64
-	tellers        map[string]time.Time
+	// eligible endpoints accept calls; ejected ones are in backoff.
+	eligible       []*endpoint
+	ejected        []*endpoint
+	ring           ring
+	nextRoundRobin int
+	estimates      estimates
+	totals         poolTotals
+	// prefixHolders maps a prefix hash to the engine that was last sent a call with it.
+	prefixHolders map[uint64]*endpoint
+	remote        remoteEngines
+	// queueChanges counts changes to the prefill queues of this VM's calls. peersHeardAt
+	// is when each other VM last reported its queues.
+	queueChanges uint64
+	peersHeardAt map[string]time.Time
 }
 
-// New makes an empty Pool. An unknown policy is treated as PolicyAffinity.
+// New returns an empty Pool. An unknown policy is treated as PolicyAffinity.
 func New(o Options) *Pool {
 	if o.Rand == nil {
 		o.Rand = rand.Uint64
 	}
 	return &Pool{
-		policy:  o.Policy,
-		rand:    o.Rand,
-		without: o.Without,
-		vms:     1,
-		byID:    map[string]*endpoint{},
-		learnt:  newLearnt(),
-		holders: map[uint64]*endpoint{},
-		tellers: map[string]time.Time{},
-		far: far{
+		policy:        o.Policy,
+		rand:          o.Rand,
+		without:       o.Without,
+		vms:           1,
+		byID:          map[string]*endpoint{},
+		estimates:     newEstimates(),
+		prefixHolders: map[uint64]*endpoint{},
+		peersHeardAt:  map[string]time.Time{},
+		remote: remoteEngines{
 			holders: map[uint64]Holding{},
 		},
 	}
 }
 
-// SetVMs says how many VMs of the region choose among the same endpoints.
+// SetVMs sets the number of VMs in the region that route to the same endpoints.
 func (p *Pool) SetVMs(n int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -211,15 +214,15 @@
 		return
 	}
 	p.vms = n
-	p.learnt.share = 1 / float64(p.vms)
+	p.estimates.loadShare = 1 / float64(p.vms)
 }
 
-// SetEndpoints replaces the list. Endpoints that are no longer listed or are
-// leaving get no new call from now on; calls in flight there stay counted.
+// SetEndpoints replaces the list of endpoints. Endpoints that are draining or no longer
+// listed get no new calls; calls in flight there stay counted.
 func (p *Pool) SetEndpoints(list []fleet.Endpoint, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	r := p.ringOf(list)
+	r := p.ringFor(list)
 	byID := make(map[string]*endpoint, len(list))
 	endpoints := make([]*endpoint, 0, len(list))
 	for _, listed := range list {
@@ -228,9 +231,9 @@
 		case !ok || e.Addr != listed.Addr:
 			e = newEndpoint(listed)
 		case listed.Incarnation > e.Incarnation:
-			e = newLife(listed, now)
+			e = newIncarnation(listed, now)
 		default:
-			// A list may be older than what the endpoint itself told.
+			// The list may be older than the incarnation that the endpoint reported.
 			listed.Incarnation = e.Incarnation
 		}
 		e.Endpoint = listed
@@ -246,12 +249,12 @@
 	p.endpoints = endpoints
 	p.ring = r
 	p.ring.bind(endpoints)
-	p.rebuild(now)
+	p.rebuildEligible(now)
 }
 
-// ringOf keeps the ring where the list names the same endpoints, as it does when one
-// becomes warm or leaves: of 80 endpoints it has 5,120 points to be sorted.
-func (p *Pool) ringOf(list []fleet.Endpoint) ring {
+// ringFor reuses the ring if the list has the same endpoints, as building one sorts
+// pointsPerEndpoint entries for each.
+func (p *Pool) ringFor(list []fleet.Endpoint) ring {
 	same := slices.EqualFunc(p.endpoints, list, func(e *endpoint, listed fleet.Endpoint) bool {
 		return e.ID == listed.ID
 	})
@@ -261,27 +264,28 @@
 	return newRing(list)
 }
 
-// rebuild sorts all endpoints into eligible and ejected and sums them up.
-func (p *Pool) rebuild(now time.Time) {
+// rebuildEligible sorts all endpoints into eligible and ejected ones and recomputes the
+// totals.
+func (p *Pool) rebuildEligible(now time.Time) {
 	p.eligible = make([]*endpoint, 0, len(p.endpoints))
 	p.ejected = make([]*endpoint, 0, len(p.endpoints))
-	p.total = total{}
+	p.totals = poolTotals{}
 	for _, e := range p.endpoints {
-		e.counted = counted{}
-		e.place = -1
+		e.contribution = contribution{}
+		e.eligibleIndex = -1
 		switch {
-		case e.leaves():
+		case e.draining():
 		case e.ejected():
 			p.ejected = append(p.ejected, e)
 		default:
-			p.admit(e)
+			p.addEligible(e)
 		}
-		p.refresh(e, now)
+		p.updateTotals(e, now)
 	}
 }
 
-// Report takes a load report of one endpoint. A report that is not newer than
-// the last one is ignored.
+// Report applies a load report of one endpoint. Reports that are not newer than the last
+// one are ignored.
 func (p *Pool) Report(id string, l Load, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -290,23 +294,23 @@
 		return
 	}
 	if l.Incarnation > e.Incarnation {
-		e = p.restart(e, l.Incarnation, now)
+		e = p.restartEndpoint(e, l.Incarnation, now)
 	}
-	if !l.describes(e) || !e.report(l, now) {
+	if !l.isCurrentFor(e) || !e.applyReport(l, now) {
 		return
 	}
-	p.confirm(e, l.At)
-	p.learnt.learnShare(float64(e.ownAt), float64(l.Running+l.Waiting), p.vms)
+	p.clearSuspicion(e, l.At)
+	p.estimates.updateLoadShare(float64(e.ownInReport), float64(l.Running+l.Waiting), p.vms)
 	switch {
-	case e.leaves() && e.place >= 0:
-		p.remove(e)
-	case !e.leaves() && !e.ejected() && e.place < 0:
-		p.admit(e)
+	case e.draining() && e.eligibleIndex >= 0:
+		p.removeEligible(e)
+	case !e.draining() && !e.ejected() && e.eligibleIndex < 0:
+		p.addEligible(e)
 	}
-	p.refresh(e, now)
+	p.updateTotals(e, now)
 }
 
-// Done gives a choice back with its outcome, from which the pool learns.
+// Done releases a choice and updates the estimates from its outcome.
 func (p *Pool) Done(c Choice, o Outcome, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -314,45 +318,46 @@
 	if e == nil {
 		return
 	}
-	e.leave(now)
-	e.reading.leave(c.prompt, now)
-	p.readingChanges++
+	e.callEnded(now)
+	e.prefillQueue.remove(c.promptID, now)
+	p.queueChanges++
 	if c.Probe {
 		e.probing = false
 	}
 	if !o.Canceled {
-		p.learn(e, c, o, now)
+		p.learnOutcome(e, c, o, now)
 	}
-	p.refresh(e, now)
+	p.updateTotals(e, now)
 }
 
-// Began tells that the first token of a call's answer came: its prompt is read.
+// Began records that the first token of a call's answer arrived, so that its prefill is
+// done.
 func (p *Pool) Began(c Choice, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if c.state == nil {
 		return
 	}
-	c.state.reading.leave(c.prompt, now)
-	p.readingChanges++
+	c.state.prefillQueue.remove(c.promptID, now)
+	p.queueChanges++
 	c.state.progressAt = now
 	first := now.Sub(c.At).Seconds()
-	if c.known && !c.queued && first > p.learnt.base.value {
-		p.learnt.read.add(c.unread+c.tokens, first-p.learnt.base.value)
+	if c.prefixesKnown && !c.queued && first > p.estimates.baseTTFT.value {
+		p.estimates.prefillRate.add(c.tokensAhead+c.prefillTokens, first-p.estimates.baseTTFT.value)
 	}
 }
 
-// admit makes an endpoint eligible.
-func (p *Pool) admit(e *endpoint) {
-	e.place = len(p.eligible)
+func (p *Pool) addEligible(e *endpoint) {
+	e.eligibleIndex = len(p.eligible)
 	p.eligible = append(p.eligible, e)
 }
 
-// remove takes an endpoint out of the eligible ones.
-func (p *Pool) remove(e *endpoint) {
+// removeEligible removes an endpoint from the eligible ones in constant time; their order
+// changes.
+func (p *Pool) removeEligible(e *endpoint) {
 	last := p.eligible[len(p.eligible)-1]
-	p.eligible[e.place] = last
-	last.place = e.place
+	p.eligible[e.eligibleIndex] = last
+	last.eligibleIndex = e.eligibleIndex
 	p.eligible = p.eligible[:len(p.eligible)-1]
-	e.place = -1
+	e.eligibleIndex = -1
 }
--- a/routing/routing_test.go
+++ b/routing/routing_test.go
@@ -17,18 +17,18 @@
 	"github.com/fuchsianotch/fuchsianotch/result"
 )
 
-var start = time.Date(2026, time.March, 1, 6, 0, 0, 0, time.UTC)
+var startTime = time.Date(2026, time.March, 1, 6, 0, 0, 0, time.UTC)
 
-type script struct {
+type chooseScript struct {
 	Name      string
 	Policy    string
 	VMs       int
 	Endpoints map[string]int
-	Steps     []step
+	Steps     []scriptStep
 }
 
-// step is one of list, report, choose and done.
-type step struct {
+// scriptStep is one of list, report, choose and done.
+type scriptStep struct {
 	At      string
 	List    map[string]int
 	Leaving string
@@ -44,14 +44,14 @@
 	Done    string
 	Code    result.Code
 	First   string
-	// Canceled is for Done.
+	// Canceled applies to Done.
 	Canceled bool
 }
 
 func TestChooseScripts(t *testing.T) {
 	data, err := os.ReadFile("testdata/choose.json")
 	assert.NilError(t, err)
-	var scripts []script
+	var scripts []chooseScript
 	assert.NilError(t, json.Unmarshal(data, &scripts))
 	for _, s := range scripts {
 		t.Run(s.Name, func(t *testing.T) {
@@ -60,20 +60,20 @@
 				Rand:   func() uint64 { return 0 },
 			})
 			p.SetVMs(s.VMs)
-			p.SetEndpoints(listed(s.Endpoints, ""), start)
+			p.SetEndpoints(endpointList(s.Endpoints, ""), startTime)
 			choices := map[string]Choice{}
 			for i, st := range s.Steps {
-				run(t, p, st, i, choices)
+				runStep(t, p, st, i, choices)
 			}
 		})
 	}
 }
 
-func run(t *testing.T, p *Pool, st step, i int, choices map[string]Choice) {
-	now := start.Add(duration(t, st.At))
+func runStep(t *testing.T, p *Pool, st scriptStep, i int, choices map[string]Choice) {
+	now := startTime.Add(duration(t, st.At))
 	switch {
 	case st.List != nil:
-		p.SetEndpoints(listed(st.List, st.Leaving), now)
+		p.SetEndpoints(endpointList(st.List, st.Leaving), now)
 	case st.Report != "":
 		p.Report(st.Report, Load{
 			At:      now.Add(-duration(t, st.Age)),
@@ -110,7 +110,7 @@
 	}
 }
 
-func listed(slots map[string]int, leaving string) []fleet.Endpoint {
+func endpointList(slots map[string]int, leaving string) []fleet.Endpoint {
 	list := make([]fleet.Endpoint, 0, len(slots))
 	for _, id := range slices.Sorted(maps.Keys(slots)) {
 		e := fleet.Endpoint{
@@ -135,16 +135,15 @@
 	return d
 }
 
-// TestChooseNeverLeaving holds over random histories that a leaving, unlisted
-// or excluded endpoint gets nothing, that a probe is single, and that every
-// call is counted once.
-func TestChooseNeverLeaving(t *testing.T) {
+// Random histories: a draining, unlisted or excluded endpoint must get no calls, an
+// endpoint at most one probe at a time, and each call must be counted once.
+func TestChooseInvariants(t *testing.T) {
 	ids := []string{"a", "b", "c", "d"}
 	rapid.Check(t, func(t *rapid.T) {
 		p := New(Options{Rand: func() uint64 { return uint64(rapid.IntRange(0, 1000).Draw(t, "rand")) }})
-		now := start
+		now := startTime
 		live := map[string]bool{}
-		var flying []Choice
+		var inFlight []Choice
 		t.Repeat(map[string]func(*rapid.T){
 			"list": func(t *rapid.T) {
 				slots := map[string]int{}
@@ -154,7 +153,7 @@
 					slots[id] = 2
 					live[id] = id != leaving
 				}
-				p.SetEndpoints(listed(slots, leaving), now)
+				p.SetEndpoints(endpointList(slots, leaving), now)
 			},
 			"report": func(t *rapid.T) {
 				p.Report(rapid.SampledFrom(ids).Draw(t, "id"), Load{
@@ -173,23 +172,23 @@
 				}
 				assert.Assert(t, live[c.Endpoint.ID])
 				assert.Assert(t, c.Endpoint.ID != r.Exclude[0])
-				for _, f := range flying {
+				for _, f := range inFlight {
 					assert.Assert(t, !c.Probe || !f.Probe || f.state != c.state)
 				}
-				flying = append(flying, c)
+				inFlight = append(inFlight, c)
 			},
 			"done": func(t *rapid.T) {
-				if len(flying) == 0 {
+				if len(inFlight) == 0 {
 					return
 				}
 				now = now.Add(time.Duration(rapid.IntRange(0, 2000).Draw(t, "ms")) * time.Millisecond)
 				code := rapid.SampledFrom([]result.Code{result.Done, result.EndpointFailed}).Draw(t, "code")
-				p.Done(flying[0], Outcome{
+				p.Done(inFlight[0], Outcome{
 					Code:    code,
 					Sent:    true,
 					FirstAt: now,
 				}, now)
-				flying = flying[1:]
+				inFlight = inFlight[1:]
 			},
 			"": func(t *rapid.T) {
 				counted := 0
@@ -197,7 +196,7 @@
 					counted += e.inFlight
 					assert.Assert(t, e.inFlight >= 0)
 				}
-				assert.Assert(t, counted <= len(flying))
+				assert.Assert(t, counted <= len(inFlight))
 				assert.Equal(t, len(p.eligible) > 0, p.Supply(now).Slots > 0)
 			},
 		})
@@ -206,38 +205,38 @@
 
 func TestChooseAllocatesNothing(t *testing.T) {
 	for _, n := range []int{10, 600} {
-		p := large(n)
+		p := newLargePool(n)
 		r := Request{
 			PrefixHash:   7,
 			PromptTokens: 300,
 			MaxTokens:    50,
 		}
 		allocs := testing.AllocsPerRun(200, func() {
-			c, ok := p.Choose(r, start)
+			c, ok := p.Choose(r, startTime)
 			assert.Assert(t, ok)
 			p.Done(c, Outcome{
 				Code:    result.Done,
 				Sent:    true,
-				FirstAt: start,
-			}, start)
+				FirstAt: startTime,
+			}, startTime)
 		})
 		assert.Equal(t, allocs, 0.0)
 	}
 }
 
-func large(n int) *Pool {
+func newLargePool(n int) *Pool {
 	slots := map[string]int{}
 	for i := range n {
 		slots[fmt.Sprintf("e%d", i)] = 16
 	}
 	p := New(Options{})
 	p.SetVMs(8)
-	p.SetEndpoints(listed(slots, ""), start)
+	p.SetEndpoints(endpointList(slots, ""), startTime)
 	for id := range slots {
 		p.Report(id, Load{
-			At:      start,
+			At:      startTime,
 			Running: 4,
-		}, start)
+		}, startTime)
 	}
 	return p
 }
@@ -245,7 +244,7 @@
 func BenchmarkChoose(b *testing.B) {
 	for _, n := range []int{4, 10, 100, 600} {
 		b.Run(fmt.Sprintf("endpoints=%d", n), func(b *testing.B) {
-			p := large(n)
+			p := newLargePool(n)
 			b.ReportAllocs()
 			b.RunParallel(func(pb *testing.PB) {
 				r := Request{
@@ -255,12 +254,12 @@
 				}
 				for pb.Next() {
 					r.PrefixHash += 0x9e3779b97f4a7c15
-					c, _ := p.Choose(r, start)
+					c, _ := p.Choose(r, startTime)
 					p.Done(c, Outcome{
 						Code:    result.Done,
 						Sent:    true,
-						FirstAt: start,
-					}, start)
+						FirstAt: startTime,
+					}, startTime)
 				}
 			})
 		})
@@ -268,12 +267,12 @@
 }
 
 func BenchmarkSetEndpoints(b *testing.B) {
-	p := large(600)
+	p := newLargePool(600)
 	list := make([]fleet.Endpoint, len(p.endpoints))
 	for i, e := range p.endpoints {
 		list[i] = e.Endpoint
 	}
 	for b.Loop() {
-		p.SetEndpoints(list, start)
+		p.SetEndpoints(list, startTime)
 	}
 }
--- a/routing/source.go
+++ b/routing/source.go
@@ -7,24 +7,21 @@
 	"github.com/fuchsianotch/fuchsianotch/fleet"
 )
 
-// farGoodFor is how long an engine of another region counts as holding a prefix
-// after its last use: a region hears of uses there every second, and of the end
-// of one not at all.
-const farGoodFor = 8 * time.Second
+// remoteHoldingTTL is how long an engine of another region counts as holding a prefix
+// after its last use. It is shorter than prefixTTL, as evictions there are not announced.
+const remoteHoldingTTL = 8 * time.Second
 
-// source is an engine from which the beginning of a prompt can be fetched.
-type source struct {
+// fetchSource is an engine from which a cached prompt prefix can be fetched.
+type fetchSource struct {
 	// endpoint is nil for an engine of another region.
 	endpoint *endpoint
 	addr     string
 	tokens   int
 }
 
-// far are the engines of other regions, which get no calls from this one, and
-// which of them was last sent each prefix. With fetches from them 55,000 to 68,000
-// tokens of shared parts were read again on a calm day, 205,000 without (one
-// deployment of 10 engines in 3 regions, one play each).
-type far struct {
+// remoteEngines are the engines of other regions, which are only used as fetch sources,
+// and the engine that was last sent each prefix.
+type remoteEngines struct {
 	endpoints map[string]fleet.Endpoint
 	holders   map[uint64]Holding
 }
@@ -39,100 +36,99 @@
 	defer p.mu.Unlock()
 	restarted := make(map[string]bool)
 	for id, e := range endpoints {
-		if old, ok := p.far.endpoints[id]; ok && old.Incarnation < e.Incarnation {
+		if old, ok := p.remote.endpoints[id]; ok && old.Incarnation < e.Incarnation {
 			restarted[id] = true
 		}
 	}
-	p.far.forgetHoldings(restarted)
-	p.far.endpoints = endpoints
+	p.remote.dropHoldings(restarted)
+	p.remote.endpoints = endpoints
 }
 
-// learn takes that an engine of another region holds a prefix.
-func (f *far) learn(h Holding, now time.Time) {
+// record stores a holding of another region's engine.
+func (f *remoteEngines) record(h Holding, now time.Time) {
 	if _, ok := f.endpoints[h.Endpoint]; !ok || !h.UsedAt.After(f.holders[h.Hash].UsedAt) {
 		return
 	}
 	f.holders[h.Hash] = h
-	if len(f.holders) > holdersMost {
-		f.forget(now)
+	if len(f.holders) > maxHolders {
+		f.prune(now)
 	}
 }
 
-func (f *far) forget(now time.Time) {
+func (f *remoteEngines) prune(now time.Time) {
 	for hash, h := range f.holders {
-		if now.Sub(h.UsedAt) > farGoodFor {
+		if now.Sub(h.UsedAt) > remoteHoldingTTL {
 			delete(f.holders, hash)
 		}
 	}
-	if len(f.holders) > holdersMost {
+	if len(f.holders) > maxHolders {
 		clear(f.holders)
 	}
 }
 
-// source returns the engine from which the most of a prompt can be fetched; homes
-// are the regions that may hold it, none means all.
-func (f *far) source(prefixes []Prefix, homes []string, now time.Time) source {
+// bestSource returns the engine with the longest prefix. homes are the regions that may
+// hold the prompt; empty means all.
+func (f *remoteEngines) bestSource(prefixes []Prefix, homes []string, now time.Time) fetchSource {
 	for i := len(prefixes) - 1; i >= 0; i-- {
 		h, ok := f.holders[prefixes[i].Hash]
-		if !ok || now.Sub(h.UsedAt) > farGoodFor {
+		if !ok || now.Sub(h.UsedAt) > remoteHoldingTTL {
 			continue
 		}
 		e, ok := f.endpoints[h.Endpoint]
 		if !ok || len(homes) > 0 && !slices.Contains(homes, e.Region) {
 			continue
 		}
-		return source{
+		return fetchSource{
 			addr:   e.Addr,
 			tokens: prefixes[i].Tokens,
 		}
 	}
-	return source{}
+	return fetchSource{}
 }
 
-// source returns the engine from which another one may fetch the most of a
-// prompt: the prompt's home on the ring, which all VMs of the region agree on,
-// one of the region that was sent it, or one of another region.
-func (p *Pool) source(home *endpoint, r Request, now time.Time) source {
+// findSource returns the engine with the longest cached prefix: the prefix's primary on
+// the ring, another engine of this region, or one of another region.
+func (p *Pool) findSource(primary *endpoint, r Request, now time.Time) fetchSource {
 	if p.without.Fetches {
-		return source{}
+		return fetchSource{}
 	}
-	near := p.near(home, r.Prefixes, now)
+	local := p.localSource(primary, r.Prefixes, now)
 	if p.without.FarFetches {
-		return near
+		return local
 	}
-	if away := p.far.source(r.Prefixes, r.Homes, now); away.tokens > near.tokens {
-		return away
+	if remote := p.remote.bestSource(r.Prefixes, r.Homes, now); remote.tokens > local.tokens {
+		return remote
 	}
-	return near
+	return local
 }
 
-// near is the engine of this region that was sent the longest beginning of a prompt.
-// The prompt's home may hold no more than its first part: with the home taken
-// whatever it held, 8% more tokens of shared parts were read again and 11% more
-// moved (40 plays of five days with faults).
-func (p *Pool) near(home *endpoint, prefixes []Prefix, now time.Time) source {
-	var best source
-	if home != nil {
-		best = near(home, home.cache.warm(prefixes, now))
+// localSource returns the engine of this region with the longest cached prefix. The
+// primary on the ring is preferred only among equals, as it may hold no more than the
+// first part.
+func (p *Pool) localSource(primary *endpoint, prefixes []Prefix, now time.Time) fetchSource {
+	var best fetchSource
+	if primary != nil {
+		best = newLocalSource(primary, primary.prefixCache.cachedTokens(prefixes, now))
 	}
 	for i := len(prefixes) - 1; i >= 0 && prefixes[i].Tokens > best.tokens; i-- {
-		e := p.holders[prefixes[i].Hash]
+		e := p.prefixHolders[prefixes[i].Hash]
 		if e == nil || e.unlisted {
 			continue
 		}
-		if tokens := e.cache.warm(prefixes[:i+1], now); tokens > best.tokens {
-			best = near(e, tokens)
+		if tokens := e.prefixCache.cachedTokens(prefixes[:i+1], now); tokens > best.tokens {
+			best = newLocalSource(e, tokens)
 		}
 	}
 	return best
 }
 
-// near is an engine of this region as a source; one that holds nothing is none.
-func near(e *endpoint, tokens int) source {
+// newLocalSource returns an engine of this region as a source, or none if it holds
+// nothing.
+func newLocalSource(e *endpoint, tokens int) fetchSource {
 	if tokens == 0 {
-		return source{}
+		return fetchSource{}
 	}
-	return source{
+	return fetchSource{
 		endpoint: e,
 		addr:     e.Addr,
 		tokens:   tokens,
--- a/routing/source_test.go
+++ b/routing/source_test.go
@@ -12,23 +12,23 @@
 	"github.com/fuchsianotch/fuchsianotch/fleet"
 )
 
-// heldRow says that an engine was sent the beginning of a prompt up to a token.
-type heldRow struct {
+// holdingRow states that an engine was sent a prefix of Tokens tokens.
+type holdingRow struct {
 	Endpoint string
 	Tokens   int
 	AgeMS    int64 `json:"age_ms"`
 }
 
-// TestSource looks for a prompt of 500 and 4500 shared tokens in a region with
-// engines a and b, and another one with x and y.
-func TestSource(t *testing.T) {
+// The source must be the allowed engine with the longest prefix. Engines a and b are in
+// this region, x and y in another one.
+func TestFindSource(t *testing.T) {
 	now := time.Unix(1e9, 0)
 	for _, c := range datatest.Read[[]struct {
 		Name  string
-		Held  []heldRow
+		Held  []holdingRow
 		Homes []string
 		Gone  []string
-		// Ring is the engine on whose place on the ring the prompt falls.
+		// Ring is the prefix's primary on the ring.
 		Ring string
 		Want struct {
 			Addr   string
@@ -37,23 +37,23 @@
 	}](t, "testdata/source.json") {
 		t.Run(c.Name, func(t *testing.T) {
 			p := New(Options{})
-			p.SetEndpoints(enginesIn("near", "a", "b"), now)
-			p.SetFar(enginesIn("far", "x", "y"))
-			prefixes := Prefixes("", parts(9))
+			p.SetEndpoints(enginesInRegion("near", "a", "b"), now)
+			p.SetFar(enginesInRegion("far", "x", "y"))
+			prefixes := Prefixes("", promptParts(9))
 			for _, h := range c.Held {
-				p.Learn([]Holding{holdingOf(h, prefixes, now)}, now)
+				p.Learn([]Holding{newHolding(h, prefixes, now)}, now)
 			}
-			p.SetFar(slices.DeleteFunc(enginesIn("far", "x", "y"), func(e fleet.Endpoint) bool {
+			p.SetFar(slices.DeleteFunc(enginesInRegion("far", "x", "y"), func(e fleet.Endpoint) bool {
 				return slices.Contains(c.Gone, e.ID)
 			}))
-			got := p.source(p.byID[c.Ring], Request{Prefixes: prefixes, Homes: c.Homes}, now)
+			got := p.findSource(p.byID[c.Ring], Request{Prefixes: prefixes, Homes: c.Homes}, now)
 			assert.Equal(t, got.addr, c.Want.Addr)
 			assert.Equal(t, got.tokens, c.Want.Tokens)
 		})
 	}
 }
 
-func enginesIn(region string, ids ...string) []fleet.Endpoint {
+func enginesInRegion(region string, ids ...string) []fleet.Endpoint {
 	var out []fleet.Endpoint
 	for _, id := range ids {
 		out = append(out, fleet.Endpoint{
@@ -66,7 +66,7 @@
 	return out
 }
 
-func holdingOf(h heldRow, prefixes []Prefix, now time.Time) Holding {
+func newHolding(h holdingRow, prefixes []Prefix, now time.Time) Holding {
 	i := slices.IndexFunc(prefixes, func(p Prefix) bool { return p.Tokens == h.Tokens })
 	return Holding{
 		Hash:     prefixes[i].Hash,
@@ -76,18 +76,18 @@
 	}
 }
 
-// TestFetchFar holds that an engine fetches from another region what none of
-// its own was sent, also the engine that such prompts go to, and that what
-// another region holds is passed on and gets no calls.
-func TestFetchFar(t *testing.T) {
+// A prefix that no local engine holds must be fetched from another region, even by its
+// primary on the ring. Remote holdings must be passed on, and remote engines get no
+// calls.
+func TestFetchFromOtherRegion(t *testing.T) {
 	now := time.Unix(1e9, 0)
 	p := New(Options{})
-	p.SetEndpoints(enginesIn("near", "a", "b"), now)
-	p.SetFar(enginesIn("far", "x"))
-	prefixes := Prefixes("", parts(9))
-	p.Learn([]Holding{holdingOf(heldRow{Endpoint: "x", Tokens: 5000}, prefixes, now)}, now)
+	p.SetEndpoints(enginesInRegion("near", "a", "b"), now)
+	p.SetFar(enginesInRegion("far", "x"))
+	prefixes := Prefixes("", promptParts(9))
+	p.Learn([]Holding{newHolding(holdingRow{Endpoint: "x", Tokens: 5000}, prefixes, now)}, now)
 	r := Request{
-		PrefixHash:   call.SharedPrefix("", parts(9)),
+		PrefixHash:   call.SharedPrefix("", promptParts(9)),
 		Prefixes:     prefixes,
 		PromptTokens: 6000,
 	}
@@ -104,16 +104,16 @@
 	assert.Equal(t, len(p.FarHoldings(now.Add(time.Millisecond), 10)), 0)
 }
 
-// TestFarForgets holds that what other regions hold stays within its bound, and
-// that the old is dropped first.
-func TestFarForgets(t *testing.T) {
+// The index of remote holdings must stay within its bound, and expired entries must be
+// dropped first.
+func TestRemoteHoldingsPruned(t *testing.T) {
 	now := time.Unix(1e9, 0)
 	p := New(Options{})
-	p.SetFar(enginesIn("far", "x"))
-	for i := range uint64(holdersMost) {
+	p.SetFar(enginesInRegion("far", "x"))
+	for i := range uint64(maxHolders) {
 		p.Learn([]Holding{{Hash: i + 1, Tokens: 5000, Endpoint: "x", UsedAt: now}}, now)
 	}
-	later := now.Add(farGoodFor + time.Millisecond)
-	p.Learn([]Holding{{Hash: holdersMost + 1, Tokens: 5000, Endpoint: "x", UsedAt: later}}, later)
-	assert.Equal(t, len(p.far.holders), 1)
+	later := now.Add(remoteHoldingTTL + time.Millisecond)
+	p.Learn([]Holding{{Hash: maxHolders + 1, Tokens: 5000, Endpoint: "x", UsedAt: later}}, later)
+	assert.Equal(t, len(p.remote.holders), 1)
 }
--- a/routing/unread.go
+++ b/routing/unread.go
@@ -6,40 +6,39 @@
 	"github.com/fuchsianotch/fuchsianotch/call"
 )
 
-// Unread are the prompts that one endpoint has not read yet for one VM's calls.
+// Unread is the prefill queue of one endpoint for one VM's calls.
 type Unread struct {
 	Endpoint string
-	// MovedAt is when the endpoint last came to another of them.
+	// MovedAt is when a prompt last left the queue.
 	MovedAt time.Time
 	Prompts []UnreadPrompt
 }
 
-// UnreadPrompt is what an endpoint has to read of one call.
+// UnreadPrompt is the part of a call's prompt that an endpoint has to prefill.
 type UnreadPrompt struct {
 	Tokens int
-	// Turn is the call's place in the order at the endpoint.
+	// Turn is the call's rank in the endpoint's queue.
 	Turn   int
 	SentAt time.Time
 }
 
-// tellerGoodFor is how long a VM that told of its prompts counts as one that
-// tells them: it tells every second while it lives.
-const tellerGoodFor = 3 * time.Second
+// peerTTL is how long a VM counts as reporting its queues; it reports every second.
+const peerTTL = 3 * time.Second
 
-// Unread returns what waits for this VM's calls; changes says how often that has
-// changed so far.
+// Unread returns the prefill queues of this VM's calls; changes counts how often they
+// have changed.
 func (p *Pool) Unread() (list []Unread, changes uint64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, e := range p.endpoints {
-		if len(e.reading.prompts) == 0 {
+		if len(e.prefillQueue.prompts) == 0 {
 			continue
 		}
 		u := Unread{
 			Endpoint: e.ID,
-			MovedAt:  e.reading.movedAt,
+			MovedAt:  e.prefillQueue.headChangedAt,
 		}
-		for _, q := range e.reading.prompts {
+		for _, q := range e.prefillQueue.prompts {
 			u.Prompts = append(u.Prompts, UnreadPrompt{
 				Tokens: int(q.tokens),
 				Turn:   q.turn,
@@ -48,46 +47,47 @@
 		}
 		list = append(list, u)
 	}
-	return list, p.readingChanges
+	return list, p.queueChanges
 }
 
-// TakeUnread takes what another VM of the region tells, all of it as of a moment.
+// TakeUnread stores another VM's prefill queues as of at. Endpoints that are not in the
+// list have empty ones.
 func (p *Pool) TakeUnread(vm string, list []Unread, at, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.tellers[vm] = now
-	p.forgetTellers(now)
+	p.peersHeardAt[vm] = now
+	p.dropSilentPeers(now)
 	byEndpoint := make(map[string]Unread, len(list))
 	for _, u := range list {
 		byEndpoint[u.Endpoint] = u
 	}
 	for _, e := range p.endpoints {
-		e.reading.hear(byEndpoint[e.ID].of(vm, at).since(e.restartedAt))
+		e.prefillQueue.setPeer(byEndpoint[e.ID].toPeerQueue(vm, at).sentSince(e.restartedAt))
 	}
 }
 
-// forgetTellers drops VMs that tell no more: those that are replaced come back under
-// other names, 230 a day of a large fleet.
-func (p *Pool) forgetTellers(now time.Time) {
-	for vm, at := range p.tellers {
-		if now.Sub(at) <= tellerGoodFor {
+// dropSilentPeers removes VMs that no longer report. VMs are replaced under new names, so
+// they would accumulate.
+func (p *Pool) dropSilentPeers(now time.Time) {
+	for vm, at := range p.peersHeardAt {
+		if now.Sub(at) <= peerTTL {
 			continue
 		}
-		delete(p.tellers, vm)
+		delete(p.peersHeardAt, vm)
 		for _, e := range p.endpoints {
-			e.reading.forget(vm)
+			e.prefillQueue.removePeer(vm)
 		}
 	}
 }
 
-func (u Unread) of(vm string, at time.Time) otherReading {
-	o := otherReading{
-		vm:      vm,
-		movedAt: u.MovedAt,
-		at:      at,
+func (u Unread) toPeerQueue(vm string, at time.Time) peerQueue {
+	o := peerQueue{
+		vm:            vm,
+		headChangedAt: u.MovedAt,
+		reportedAt:    at,
 	}
 	for _, q := range u.Prompts {
-		o.prompts = append(o.prompts, prompt{
+		o.prompts = append(o.prompts, queuedPrompt{
 			tokens: float64(q.Tokens),
 			turn:   min(max(q.Turn, 0), call.Turns-1),
 			sentAt: q.SentAt,
@@ -96,16 +96,16 @@
 	return o
 }
 
-// untold is the part of the other VMs that do not tell their prompts.
-func (p *Pool) untold(now time.Time) float64 {
+// silentPeerFraction is the fraction of the other VMs that do not report their queues.
+func (p *Pool) silentPeerFraction(now time.Time) float64 {
 	if p.vms <= 1 {
 		return 1
 	}
-	told := 0
-	for _, at := range p.tellers {
-		if now.Sub(at) <= tellerGoodFor {
-			told++
+	reporting := 0
+	for _, at := range p.peersHeardAt {
+		if now.Sub(at) <= peerTTL {
+			reporting++
 		}
 	}
-	return float64(max(p.vms-1-told, 0)) / float64(p.vms-1)
+	return float64(max(p.vms-1-reporting, 0)) / float64(p.vms-1)
 }
--- a/routing/weights.go
+++ b/routing/weights.go
@@ -1,27 +1,28 @@
 package routing
 
-// The weights of the decision, as measured by BenchmarkDecision.
+// Weights of the affinity policy; BenchmarkDecision compares it with the baselines.
 const (
-	// scanAll is the number of endpoints up to which all are weighed.
-	scanAll = 12
-	// randomDraws is how many others are weighed in a larger pool, extraDraws how
-	// many more while no free slot was found.
-	randomDraws = 4
-	extraDraws  = 6
-	// loadWeight is what a full batch adds to the score, as a part of the hold
-	// time: a fuller batch decodes slower and is fuller than its report says.
+	// maxFullScan is the largest pool in which all endpoints are evaluated.
+	maxFullScan = 12
+	// randomCandidates is the size of the random sample in a larger pool, extraCandidates
+	// the size of its extension while no free slot is found.
+	randomCandidates = 4
+	extraCandidates  = 6
+	// loadWeight is the score of a full batch as a fraction of the slot time: a fuller
+	// batch decodes slower, and its report underestimates it.
 	loadWeight = 0.2
-	// coldWeight multiplies the prefill time in the score, as it also delays the
-	// other calls of the endpoint.
-	coldWeight = 10.0
-	// alikeWeight is how far other VMs' calls are guessed from the own ones; the
-	// rest is left to the load report.
-	alikeWeight = 0.8
-	// alikeMost bounds how many calls of others one own call stands for.
-	alikeMost = 7.0
-	// lateSlack is how many times the usual lateness an endpoint may have before
-	// it counts against it.
-	lateSlack = 2.0
-	// reportTrust is the age in seconds at which a report counts for 1/e.
-	reportTrust = 1.0
+	// prefillWeight multiplies the prefill time in the score, as a prefill also delays
+	// the endpoint's other calls.
+	prefillWeight = 10.0
+	// maxExtrapolationWeight is the largest weight of the extrapolation from this VM's
+	// calls to other VMs'; the load report has the rest.
+	maxExtrapolationWeight = 0.8
+	// maxExtrapolationRatio bounds how many calls of other VMs are assumed for each of
+	// this VM's calls.
+	maxExtrapolationRatio = 7.0
+	// latenessTolerance is how many times the mean lateness an endpoint's bias may reach
+	// before it counts.
+	latenessTolerance = 2.0
+	// reportDecaySeconds is the age at which a report's weight has fallen to 1/e.
+	reportDecaySeconds = 1.0
 )
--- a/routing/yields_test.go
+++ b/routing/yields_test.go
@@ -10,14 +10,12 @@
 	"github.com/fuchsianotch/fuchsianotch/common/datatest"
 )
 
-// TestYields lets calls of a late turn hold up an engine with two slots and looks at
-// what a call that is on time may expect: the first token of one that does not
-// wait for them.
-func TestYields(t *testing.T) {
+// A call that can be on time must not be expected to wait for queued late calls.
+func TestLateCallsYield(t *testing.T) {
 	late := call.Routed{Late: true}
 	for _, c := range datatest.Read[[]struct {
 		Name string
-		// Waiting calls have no first token.
+		// Waiting is the number of calls without a first token.
 		Waiting int
 		OnTime  bool  `json:"on_time"`
 		Least   int64 `json:"least_ms"`
@@ -26,11 +24,11 @@
 		t.Run(c.Name, func(t *testing.T) {
 			now := time.Unix(1e9, 0)
 			p := New(Options{})
-			list := enginesIn("near", "a")
+			list := enginesInRegion("near", "a")
 			list[0].Slots = 2
 			p.SetEndpoints(list, now)
 			r := Request{
-				Prefixes:     Prefixes("", parts(9)),
+				Prefixes:     Prefixes("", promptParts(9)),
 				PromptTokens: 5100,
 			}
 			if !c.OnTime {
