--- a/routing/incarnation_test.go
+++ b/routing/incarnation_test.go
@@ -50,7 +50,7 @@
 		Name  string
 		Steps []incarnationStep
 		Want  incarnationWant
-	}](t, "testdata/lives.json") {
+	}](t, "testdata/incarnations.json") {
 		t.Run(c.Name, func(t *testing.T) {
 			now := time.Unix(1e9, 0)
 			p := New(Options{Rand: func() uint64 { return 0 }})
--- a/routing/prefill_queue_test.go
+++ b/routing/prefill_queue_test.go
@@ -10,7 +10,7 @@
 	"github.com/fuchsianotch/fuchsianotch/common/datatest"
 )
 
-// prefillQueueRow is one row of testdata/reading.json: queued prompts of this VM and
+// prefillQueueRow is one row of testdata/prefill_queue.json: queued prompts of this VM and
 // others, and the tokens expected ahead of a call at an engine that prefills 50 tokens
 // per millisecond.
 type prefillQueueRow struct {
@@ -32,7 +32,7 @@
 }
 
 func TestPrefillQueue(t *testing.T) {
-	for _, row := range datatest.Read[[]prefillQueueRow](t, "testdata/reading.json") {
+	for _, row := range datatest.Read[[]prefillQueueRow](t, "testdata/prefill_queue.json") {
 		t.Run(row.Name, row.run)
 	}
 }
