--- a/routing/choose.go
+++ b/routing/choose.go
@@ -59,7 +59,7 @@
 		return 0, 0
 	}
 	choice := p.newChoice(c, r, now)
-	return choice.Wait, choice.Service
+	return choice.Wait, choice.ServiceTime
 }
 
 // Expectation is the expected latency and size of a call that is sent now.
@@ -306,7 +306,7 @@
 		At:            now,
 		Wait:          seconds(c.ttft - c.predictedTTFT + c.wait),
 		First:         seconds(c.ttft),
-		Service:       seconds(service),
+		ServiceTime:   seconds(service),
 		Affine:        c.affine,
 		state:         c.endpoint,
 		predictedTTFT: c.predictedTTFT,
--- a/routing/decision_test.go
+++ b/routing/decision_test.go
@@ -172,7 +172,7 @@
 	prompt, cold := 0, 0
 	for _, e := range r.engines {
 		prompt += e.PromptTokens
-		cold += e.ColdTokens
+		cold += e.UncachedTokens
 	}
 	return runResult{
 		p50:  r.ttft.Milliseconds(50),
--- a/routing/enginetest/enginetest.go
+++ b/routing/enginetest/enginetest.go
@@ -104,9 +104,9 @@
 	prefillEndsAt time.Time
 	cache         map[uint64]*list.Element
 	lru           *list.List
-	// PromptTokens and ColdTokens count the received and the uncached prompt tokens.
-	PromptTokens int
-	ColdTokens   int
+	// PromptTokens and UncachedTokens count the received and the uncached prompt tokens.
+	PromptTokens   int
+	UncachedTokens int
 }
 
 // Send runs a job if a slot is free and queues it by priority otherwise.
@@ -126,7 +126,7 @@
 	}
 	cold := j.PromptTokens - cached
 	e.PromptTokens += j.PromptTokens
-	e.ColdTokens += cold
+	e.UncachedTokens += cold
 	if e.prefillEndsAt.Before(e.Clock.now) {
 		e.prefillEndsAt = e.Clock.now
 	}
--- a/routing/routing.go
+++ b/routing/routing.go
@@ -105,11 +105,11 @@
 	Endpoint fleet.Endpoint
 	At       time.Time
 	// Wait is the expected time in the endpoint's queue, First the expected time to the
-	// first token, and Service the expected time from the start of the prefill to the end
+	// first token, and ServiceTime the expected time from the start of the prefill to the end
 	// of the answer.
-	Wait    time.Duration
-	First   time.Duration
-	Service time.Duration
+	Wait        time.Duration
+	First       time.Duration
+	ServiceTime time.Duration
 	// Affine is set if the endpoint is expected to have the prompt's prefix cached.
 	Affine bool
 	// FetchFrom is the address of an engine to fetch cached prefixes from; empty if a
