--- a/site/control.go
+++ b/site/control.go
@@ -16,61 +16,61 @@
 
 const (
 	// inboxLength is how many messages may wait for the control goroutine.
-	inboxLength = 256
+	inboxCapacity = 256
 	// gossipEvery is the interval between two exchanges: with two misses, a
 	// suspicion of three intervals and the ways between regions, a lost VM counts
 	// as dead after about 3 s.
-	gossipEvery = 500 * time.Millisecond
+	gossipInterval = 500 * time.Millisecond
 	// defaultWay stands in for the time there and back to a region until an
 	// exchange has measured it: regions are some 100 ms apart as a rule.
-	defaultWay = 200 * time.Millisecond
+	defaultRTT = 200 * time.Millisecond
 	// wayWeight is the weight of one exchange in that time.
-	wayWeight = 0.2
+	rttSmoothing = 0.2
 )
 
 // message is one event for the control goroutine.
-type message func(c *control, now time.Time)
+type command func(c *control, now time.Time)
 
 // picture is what traffic reads. It never changes.
-type picture struct {
+type snapshot struct {
 	table     *route.Table
 	endpoints []discovery.Ready
 	members   *roster.Picture
 	// fleet is what the meter needs to know of the members.
-	fleet metering.Fleet
+	meteringFleet metering.Fleet
 	// loads are those of other regions by their own word, by service.
-	loads map[string][]regionLoad
+	regionLoads map[string][]regionLoad
 	// revision is the store's revision that this VM holds.
 	revision uint64
 }
 
 // control owns all control state. Only its goroutine touches it.
 type control struct {
-	node      *Node
-	inbox     mailbox.Mailbox[message]
-	roster    *roster.Roster
-	mirror    *discovery.Mirror
-	discovery *discovery.State
-	loads     map[loadKey]regionLoad
+	node        *Node
+	inbox       mailbox.Mailbox[command]
+	roster      *roster.Roster
+	mirror      *discovery.Mirror
+	discovery   *discovery.State
+	regionLoads map[loadKey]regionLoad
 	// ways are the times there and back to other regions, as exchanges took.
-	ways      map[string]time.Duration
-	published atomic.Pointer[picture]
+	rtts      map[string]time.Duration
+	published atomic.Pointer[snapshot]
 	// endpointsAt is when the endpoints change by themselves.
-	endpointsAt time.Time
-	changed     bool
+	nextEndpointChange time.Time
+	endpointsChanged   bool
 	// waking is what the roster said of a pause of the process at the last step.
-	waking bool
+	resuming bool
 }
 
 func newControl(n *Node) *control {
 	c := &control{
 		node:  n,
-		inbox: mailbox.New[message](inboxLength),
+		inbox: mailbox.New[command](inboxCapacity),
 		roster: roster.New(roster.Options{
 			Self:        n.self(),
 			Incarnation: n.incarnation,
 			Seeds:       n.deployment.Seeds,
-			Every:       gossipEvery,
+			Every:       gossipInterval,
 			Regions:     regionsOf(n.deployment.Regions),
 			Rand:        rand.Uint64,
 		}),
@@ -78,13 +78,13 @@
 		discovery: discovery.New(discovery.Options{
 			Grace: n.deployment.Bounds.LapseWithin,
 		}),
-		loads: make(map[loadKey]regionLoad),
-		ways:  make(map[string]time.Duration),
+		regionLoads: make(map[loadKey]regionLoad),
+		rtts:        make(map[string]time.Duration),
 	}
-	first := &picture{
+	first := &snapshot{
 		members: c.roster.Picture(),
 	}
-	first.fleet = c.fleet(first)
+	first.meteringFleet = c.buildMeteringFleet(first)
 	c.published.Store(first)
 	return c
 }
@@ -100,20 +100,20 @@
 	return out
 }
 
-func (c *control) picture() *picture {
+func (c *control) snapshot() *snapshot {
 	return c.published.Load()
 }
 
 // send passes a message to the control goroutine; it is lost when ctx ends first.
-func (c *control) send(ctx context.Context, m message) bool {
+func (c *control) send(ctx context.Context, m command) bool {
 	return c.inbox.Send(ctx, m)
 }
 
 // ask has a question answered by the control goroutine.
-func ask[T any](ctx context.Context, c *control, question func(c *control, now time.Time) T) (T, error) {
-	return mailbox.Ask(ctx, c.inbox, func(reply chan<- T) message {
+func query[T any](ctx context.Context, c *control, request func(c *control, now time.Time) T) (T, error) {
+	return mailbox.Ask(ctx, c.inbox, func(reply chan<- T) command {
 		return func(c *control, now time.Time) {
-			reply <- question(c, now)
+			reply <- request(c, now)
 		}
 	})
 }
@@ -131,61 +131,61 @@
 		case <-timer.C:
 		}
 		now := c.node.now()
-		c.exchange(ctx, c.roster.Step(now), now)
-		c.askAfterPause(ctx, now)
+		c.startExchanges(ctx, c.roster.Step(now), now)
+		c.probeAfterPause(ctx, now)
 		c.publish(now)
-		timer.Reset(max(c.next(now).Sub(now), time.Millisecond))
+		timer.Reset(max(c.nextDeadline(now).Sub(now), time.Millisecond))
 	}
 }
 
 // next is when the state changes by itself.
-func (c *control) next(now time.Time) time.Time {
-	next := c.roster.Next(now)
-	if !c.endpointsAt.IsZero() && c.endpointsAt.Before(next) {
-		return c.endpointsAt
+func (c *control) nextDeadline(now time.Time) time.Time {
+	deadline := c.roster.Next(now)
+	if !c.nextEndpointChange.IsZero() && c.nextEndpointChange.Before(deadline) {
+		return c.nextEndpointChange
 	}
-	return next
+	return deadline
 }
 
 // publish makes the state visible to traffic.
 func (c *control) publish(now time.Time) {
-	if !c.endpointsAt.IsZero() && !now.Before(c.endpointsAt) {
-		c.changed = true
+	if !c.nextEndpointChange.IsZero() && !now.Before(c.nextEndpointChange) {
+		c.endpointsChanged = true
 	}
 	c.discovery.Step(now)
-	c.endpointsAt = c.discovery.Next(now)
-	before := c.picture()
-	after := &picture{
-		table:     c.discovery.Table(),
-		endpoints: before.endpoints,
-		loads:     c.loadsByService(now),
-		revision:  c.mirror.Revision(),
+	c.nextEndpointChange = c.discovery.Next(now)
+	before := c.snapshot()
+	after := &snapshot{
+		table:       c.discovery.Table(),
+		endpoints:   before.endpoints,
+		regionLoads: c.regionLoadsByService(now),
+		revision:    c.mirror.Revision(),
 	}
-	c.roster.SetReady(after.table != nil && !c.node.leaving.Load())
+	c.roster.SetReady(after.table != nil && !c.node.draining.Load())
 	after.members = c.roster.Picture()
-	after.fleet = before.fleet
+	after.meteringFleet = before.meteringFleet
 	if before.members.Generation != after.members.Generation {
-		after.fleet = c.fleet(after)
+		after.meteringFleet = c.buildMeteringFleet(after)
 	}
-	if c.changed {
+	if c.endpointsChanged {
 		after.endpoints = c.discovery.Endpoints(now)
-		c.forgetEndpointLimits(after.endpoints, now)
+		c.pruneEndpointLimits(after.endpoints, now)
 	}
 	c.published.Store(after)
-	if c.changed {
-		c.reportEndpoints(before, after)
+	if c.endpointsChanged {
+		c.logEndpointChanges(before, after)
 	}
 	switch {
-	case c.changed:
-		c.node.pools.update(after, now)
+	case c.endpointsChanged:
+		c.node.pools.applySnapshot(after, now)
 	case before.members.Generation != after.members.Generation:
 		c.node.pools.updateMembers(after)
 	}
 	if before.members.Generation != after.members.Generation {
-		c.node.crashes.MembersChanged()
+		c.node.quarantine.MembersChanged()
 	}
-	c.changed = false
-	c.reportChanges(before, after)
+	c.endpointsChanged = false
+	c.logChanges(before, after)
 }
 
 // endpointCount is how many endpoints of one service take work.
@@ -194,22 +194,22 @@
 }
 
 // reportEndpoints logs the services of the own region whose endpoints changed.
-func (c *control) reportEndpoints(before, after *picture) {
-	was, is := c.countEndpoints(before), c.countEndpoints(after)
-	for service, count := range is {
-		if was[service] != count {
+func (c *control) logEndpointChanges(before, after *snapshot) {
+	beforeCounts, afterCounts := c.countEndpoints(before), c.countEndpoints(after)
+	for service, count := range afterCounts {
+		if beforeCounts[service] != count {
 			c.node.log.Info("endpoints_changed", "service", service, "warm", count.warm, "cold", count.cold)
 		}
-		delete(was, service)
+		delete(beforeCounts, service)
 	}
-	for service := range was {
+	for service := range beforeCounts {
 		c.node.log.Warn("endpoints_changed", "service", service, "warm", 0, "cold", 0)
 	}
 }
 
-func (c *control) countEndpoints(pic *picture) map[string]endpointCount {
+func (c *control) countEndpoints(snap *snapshot) map[string]endpointCount {
 	out := make(map[string]endpointCount)
-	for _, e := range pic.endpoints {
+	for _, e := range snap.endpoints {
 		if e.Region != c.node.deployment.Region {
 			continue
 		}
@@ -225,48 +225,48 @@
 }
 
 // tookWay notes how long an exchange with a region took.
-func (c *control) tookWay(region string, took time.Duration) {
-	known, ok := c.ways[region]
+func (c *control) observeRTT(region string, measured time.Duration) {
+	known, ok := c.rtts[region]
 	if !ok {
-		c.ways[region] = took
+		c.rtts[region] = measured
 		return
 	}
-	c.ways[region] = known + time.Duration(wayWeight*float64(took-known))
+	c.rtts[region] = known + time.Duration(rttSmoothing*float64(measured-known))
 }
 
-func (c *control) wayTo(region string) time.Duration {
-	if way, ok := c.ways[region]; ok {
+func (c *control) rtt(region string) time.Duration {
+	if way, ok := c.rtts[region]; ok {
 		return way
 	}
-	return defaultWay
+	return defaultRTT
 }
 
 // reportChanges logs what this VM believes differently.
-func (c *control) reportChanges(before, after *picture) {
+func (c *control) logChanges(before, after *snapshot) {
 	if before.table != after.table {
 		c.node.log.Info("configuration_taken", "version", after.table.Version, "revision", after.revision)
 	}
 	if before.members.Generation == after.members.Generation {
 		return
 	}
-	was := make(map[string]roster.Member, len(before.members.Members))
+	previous := make(map[string]roster.Member, len(before.members.Members))
 	for _, m := range before.members.Members {
-		was[m.VM.ID] = m
+		previous[m.VM.ID] = m
 	}
 	for _, m := range after.members.Members {
-		old, known := was[m.VM.ID]
-		if !known || old.Reachable != m.Reachable || old.Ready != m.Ready || old.Incarnation != m.Incarnation {
+		prev, known := previous[m.VM.ID]
+		if !known || prev.Reachable != m.Reachable || prev.Ready != m.Ready || prev.Incarnation != m.Incarnation {
 			c.node.log.Info("member_changed", "peer", m.VM.ID, "incarnation", m.Incarnation, "reachable", m.Reachable, "ready", m.Ready)
 		}
-		delete(was, m.VM.ID)
+		delete(previous, m.VM.ID)
 	}
-	for id, m := range was {
+	for id, m := range previous {
 		c.node.log.Info("member_lost", "peer", id, "incarnation", m.Incarnation)
 	}
 }
 
 // take applies changes of the store, wherever they came from.
-func (c *control) take(items []discovery.Item, now time.Time) {
+func (c *control) applyItems(items []discovery.Item, now time.Time) {
 	for _, item := range items {
 		change, err := c.node.decoder.Decode(item)
 		if err != nil {
@@ -276,7 +276,7 @@
 			}
 		}
 		if c.discovery.Take(change, now) {
-			c.changed = true
+			c.endpointsChanged = true
 		}
 	}
 }
--- a/site/entries_test.go
+++ b/site/entries_test.go
@@ -29,9 +29,9 @@
 		Now:      func() time.Time { return now },
 	})
 	c := n.control
-	for _, far := range fleetRumorsOf() {
-		if far.VM.Region == "r2" {
-			c.roster.Heard(far, []roster.Rumor{far}, now)
+	for _, remote := range fleetRumors() {
+		if remote.VM.Region == "r2" {
+			c.roster.Heard(remote, []roster.Rumor{remote}, now)
 			break
 		}
 	}
@@ -41,13 +41,13 @@
 		Region:     "r0",
 		DataCentre: "r0-a",
 	}
-	assert.Equal(t, len(n.entries(lookup)), 0)
+	assert.Equal(t, len(n.entryAddrs(lookup)), 0)
 
-	c.take([]discovery.Item{{
+	c.applyItems([]discovery.Item{{
 		Key:      "op/config",
 		Revision: 1,
 		Value:    []byte(`{"Version":1,"Routes":[{"Host":"h","PathPrefix":"/p/","Kind":"idempotent"}]}`),
 	}}, now)
 	c.publish(now)
-	assert.Assert(t, len(n.entries(lookup)) > 0)
+	assert.Assert(t, len(n.entryAddrs(lookup)) > 0)
 }
--- a/site/fleet_test.go
+++ b/site/fleet_test.go
@@ -41,20 +41,20 @@
 		Now:      now,
 	})
 	c := n.control
-	c.take([]discovery.Item{{
+	c.applyItems([]discovery.Item{{
 		Key:      "op/config",
 		Revision: 1,
 		Value:    []byte(`{"Version":1,"Routes":[],"Services":[{"Name":"s","Engine":{"Slots":64}}]}`),
 	}}, now())
 	for i := range fleetEngines {
 		region := i % 4 % 3
-		c.take([]discovery.Item{{
+		c.applyItems([]discovery.Item{{
 			Key:      fmt.Sprintf("servers/i-%d", i),
 			Revision: uint64(2 + i),
 			Value:    fmt.Appendf(nil, `{"Service":"s","Addr":"10.0.0.1:%d","Zone":"r%d-a","Slots":64,"State":"ready"}`, 1000+i, region),
 		}}, now())
 	}
-	c.roster.Heard(fleetRumor(1), fleetRumorsOf(), now())
+	c.roster.Heard(fleetRumor(1), fleetRumors(), now())
 	c.publish(now())
 	n.fillPool(now())
 	return n
@@ -63,18 +63,18 @@
 // fillPool lets the pool know of prompts and reports as after some seconds of traffic.
 func (n *Node) fillPool(now time.Time) {
 	pool := n.pools.table.Load().byService["s"].Endpoints
-	var held []routing.Holding
+	var holdings []routing.Holding
 	for i := range fleetPrompts {
-		held = append(held, routing.Holding{
+		holdings = append(holdings, routing.Holding{
 			Hash:     uint64(i + 1),
 			Tokens:   400 + i,
 			Endpoint: fmt.Sprintf("i-%d", i%fleetEngines),
 			UsedAt:   now.Add(-time.Duration(i) * time.Millisecond),
 		})
 	}
-	pool.Learn(held, now)
+	pool.Learn(holdings, now)
 	for i, e := range n.pools.table.Load().engines {
-		n.pools.takeReport(e.ID, heldReport{
+		n.pools.recordReport(e.ID, loadReport{
 			service: "s",
 			load:    routing.Load{At: now.Add(-time.Duration(i) * time.Millisecond), Running: i % 20, CacheTokens: 340_000},
 		})
@@ -97,7 +97,7 @@
 	}
 }
 
-func fleetRumorsOf() []roster.Rumor {
+func fleetRumors() []roster.Rumor {
 	var out []roster.Rumor
 	for i := range fleetVMs {
 		out = append(out, fleetRumor(1+i))
@@ -106,15 +106,15 @@
 }
 
 // asked has a VM take a question as it comes over the wire, and gives the answer's bytes.
-func asked(tb testing.TB, n *Node, question *peerpb.GossipMessage, now time.Time) []byte {
+func gossipRoundTrip(tb testing.TB, n *Node, request *peerpb.GossipMessage, now time.Time) []byte {
 	tb.Helper()
-	data, err := proto.Marshal(question)
+	data, err := proto.Marshal(request)
 	assert.NilError(tb, err)
 	var in peerpb.GossipMessage
 	assert.NilError(tb, proto.Unmarshal(data, &in))
 	c := n.control
-	c.heard(tb.Context(), &in, now, now)
-	answer, err := proto.Marshal(c.message(in.GetFrom().GetRegion(), c.roster.Differing(digestOf(&in)), now))
+	c.applyGossip(tb.Context(), &in, now, now)
+	answer, err := proto.Marshal(c.gossipMessage(in.GetFrom().GetRegion(), c.roster.Differing(digestOf(&in)), now))
 	assert.NilError(tb, err)
 	c.publish(now)
 	return answer
@@ -129,12 +129,12 @@
 	now := time.Unix(1e9, 0)
 	clock := func() time.Time { return now }
 	n, other := newFleetNode(clock), newFleetNode(clock)
-	question := other.control.question("r0", now)
-	question.From = rumorMessage(fleetRumor(3))
+	request := other.control.gossipRequest("r0", now)
+	request.From = rumorMessage(fleetRumor(3))
 	bytes := 0
 	b.ReportAllocs()
 	for b.Loop() {
-		bytes = len(asked(b, n, question, now))
+		bytes = len(gossipRoundTrip(b, n, request, now))
 	}
 	b.ReportMetric(float64(bytes), "bytes/answer")
 }
@@ -143,10 +143,10 @@
 func TestFleetNode(t *testing.T) {
 	now := time.Unix(1e9, 0)
 	n := newFleetNode(func() time.Time { return now })
-	pic := n.control.picture()
-	assert.Equal(t, len(pic.members.Members), fleetVMs+1)
+	snap := n.control.snapshot()
+	assert.Equal(t, len(snap.members.Members), fleetVMs+1)
 	assert.Equal(t, len(n.pools.table.Load().engines), fleetEngines/2)
-	_, ok := pic.table.Service("s")
+	_, ok := snap.table.Service("s")
 	assert.Assert(t, ok)
-	assert.Equal(t, pic.table.Version, uint64(1))
+	assert.Equal(t, snap.table.Version, uint64(1))
 }
--- a/site/forward.go
+++ b/site/forward.go
@@ -23,34 +23,34 @@
 
 // forward runs a call on another VM and tells the control goroutine of a lost one.
 func (n *Node) forward(ctx context.Context, vm fleet.VM, c *call.Call, sink call.Sink) call.Outcome {
-	trip, cancel := clock.WithDeadline(ctx, n.now(), c.WholeBy.Add(forwardGrace))
+	timeoutCtx, cancel := clock.WithDeadline(ctx, n.now(), c.WholeBy.Add(forwardGrace))
 	defer cancel()
-	out := n.peers.Forward(trip, vm, &peerpb.ForwardRequest{
+	outcome := n.peers.Forward(timeoutCtx, vm, &peerpb.ForwardRequest{
 		From: n.identity(),
-		Call: peer.CallMessage(n.asSeenAway(c, vm), n.now()),
+		Call: peer.CallMessage(n.withRemoteObjective(c, vm), n.now()),
 	}, sink, func(uint64) {})
-	if ctx.Err() != nil && out.Code == result.PeerLost {
+	if ctx.Err() != nil && outcome.Code == result.PeerLost {
 		return call.Refused(result.Refuse(result.EndpointTimeout, "VM %s had the call as its time ended or the caller left", vm.ID).Because(ctx.Err()))
 	}
-	if ctx.Err() == nil && out.Code == result.PeerUnreachable {
+	if ctx.Err() == nil && outcome.Code == result.PeerUnreachable {
 		n.control.send(ctx, func(c *control, now time.Time) {
-			c.missed(vm, out.Refusal, now)
+			c.recordFailure(vm, outcome.Refusal, now)
 		})
 	}
-	return out
+	return outcome
 }
 
 // asSeenAway is a call as a VM of another region gets it: the way there and back is
 // taken from its objective, as what is told of deadlines does not count the way.
 // Without this the mean worth of five days with faults was 0.7168 in place of
 // 0.7203: what was expected in time there came late here.
-func (n *Node) asSeenAway(c *call.Call, vm fleet.VM) *call.Call {
+func (n *Node) withRemoteObjective(c *call.Call, vm fleet.VM) *call.Call {
 	if c.FirstBy.IsZero() {
 		return c
 	}
-	away := *c
-	away.FirstBy = c.FirstBy.Add(-n.control.picture().wayTo(c.Target(), vm.Region))
-	return &away
+	remote := *c
+	remote.FirstBy = c.FirstBy.Add(-n.control.snapshot().rttTo(c.Target(), vm.Region))
+	return &remote
 }
 
 func (n *Node) identity() *peerpb.Identity {
@@ -62,20 +62,20 @@
 }
 
 // handlers are this VM's answers to its peers.
-func (n *Node) handlers() peer.Handlers {
+func (n *Node) peerHandlers() peer.Handlers {
 	return peer.Handlers{
-		Gossip:    n.answerGossip,
-		Published: n.puller.published,
-		Reports:   n.pools.takeReportNote,
-		Unread:    n.pools.takeUnread,
-		Crashes:   n.crashes.Take,
-		Limits:    n.takeLimits,
-		Permit:    n.decidePermit,
+		Gossip:    n.handleGossip,
+		Published: n.puller.handlePublished,
+		Reports:   n.pools.handleReportNote,
+		Unread:    n.pools.handlePendingNote,
+		Crashes:   n.quarantine.Take,
+		Limits:    n.handleLimitNote,
+		Permit:    n.handlePermitRequest,
 		Forward:   n.serveForwarded,
 		Stamp:     func() uint64 { return 0 },
 		Witness:   func(uint64) {},
 
-		CountBytes: n.countBytes,
+		CountBytes: n.countPeerBytes,
 		Now:        n.now,
 		Transit:    n.transit,
 	}
@@ -84,31 +84,31 @@
 // serveForwarded runs a call that another VM sent. A newer table than the
 // sender's may have moved its route, so the call then goes where that says.
 func (n *Node) serveForwarded(ctx context.Context, _ *peerpb.Identity, c *call.Call, sink call.Sink) call.Outcome {
-	table := n.control.picture().table
+	table := n.control.snapshot().table
 	if c.Kind != call.KindRouted || table == nil {
-		return call.Refused(n.servesNot())
+		return call.Refused(n.notServed())
 	}
 	if table.Version > c.Routed.Version {
-		if refusal := n.judgeAnew(c, table); refusal != nil {
+		if refusal := n.readmit(c, table); refusal != nil {
 			return call.Refused(refusal)
 		}
 	}
 	if !c.Routed.Allows(n.deployment.Region) {
-		return call.Refused(n.servesNot())
+		return call.Refused(n.notServed())
 	}
 	ctx, cancel := clock.WithDeadline(ctx, n.now(), c.WholeBy)
 	defer cancel()
-	c.Routed.Late = n.yields(c)
+	c.Routed.Late = n.isLate(c)
 	return n.serve(ctx, c, sink)
 }
 
-func (n *Node) servesNot() *result.Refusal {
+func (n *Node) notServed() *result.Refusal {
 	return result.Refuse(result.NotReady, "VM %s does not serve the call", n.deployment.VM)
 }
 
 // judgeAnew puts a call under a table that is newer than its sender's: its key may
 // have been taken away, and its route may lead elsewhere.
-func (n *Node) judgeAnew(c *call.Call, table *route.Table) *result.Refusal {
+func (n *Node) readmit(c *call.Call, table *route.Table) *result.Refusal {
 	path, _, _ := strings.Cut(c.Path, "?")
 	terms, refusal := table.Admit(route.Ask{
 		Host: c.Routed.Host,
@@ -140,7 +140,7 @@
 // have to read now. Where the sender decided, the mean worth of five days with
 // faults was 0.7156 in place of 0.7203, of the heaviest one 0.554 in place of 0.565
 // (eight plays a day).
-func (n *Node) yields(c *call.Call) bool {
+func (n *Node) isLate(c *call.Call) bool {
 	now := n.now()
-	return n.settings.Has(settings.Yielding) && placement.Yields(n.ownLoad(c, now), c.FirstBy, now)
+	return n.settings.Has(settings.Yielding) && placement.Yields(n.localLoad(c, now), c.FirstBy, now)
 }
--- a/site/complete_test.go
+++ b/site/freshness_test.go
@@ -16,7 +16,7 @@
 
 // endsCase is a call with a key that comes some milliseconds after this VM last heard,
 // itself or from another VM, what the store holds.
-type endsCase struct {
+type keyRevocationCase struct {
 	Name string
 	// WithinMs is the time in which keys must end, zero where the last table counts.
 	WithinMs int64 `json:"within_ms"`
@@ -33,25 +33,25 @@
 // TestKeysEnd holds that a VM which does not hear of the store serves no keys for longer
 // than the operators allow, where they bound that, and serves on where they do not.
 func TestKeysEnd(t *testing.T) {
-	for _, c := range datatest.Read[[]endsCase](t, "testdata/keys_end.json") {
+	for _, c := range datatest.Read[[]keyRevocationCase](t, "testdata/keys_end.json") {
 		t.Run(c.Name, func(t *testing.T) {
 			now := time.Unix(1e9, 0)
 			at := func(ms int64) time.Time { return time.Unix(1e9, 0).Add(time.Duration(ms) * time.Millisecond) }
 			n := newFleetNode(func() time.Time { return now })
 			n.bounds.Load().KeysEndWithin = time.Duration(c.WithinMs) * time.Millisecond
-			n.control.take([]discovery.Item{{
+			n.control.applyItems([]discovery.Item{{
 				Key:      "op/config",
 				Revision: 900,
 				Value:    []byte(`{"Version":9,"Routes":[{"Host":"h","PathPrefix":"/p/","Kind":"idempotent"}],"Tenants":[{"Name":"w","ApiKeys":["k"]}]}`),
 			}}, now)
 			n.control.publish(now)
-			n.completeAsOf(at(c.OwnMs))
+			n.advanceFreshness(at(c.OwnMs))
 			if c.HeardMs > 0 {
 				m := &peerpb.GossipMessage{
 					PublishedRevision: n.control.mirror.Revision() + c.Ahead,
 					CompleteMs:        uint32(c.AgeMs) + 1,
 				}
-				n.control.heardComplete(m.GetPublishedRevision(), m.GetCompleteMs(), at(c.HeardMs))
+				n.control.applyPeerFreshness(m.GetPublishedRevision(), m.GetCompleteMs(), at(c.HeardMs))
 			}
 			now = at(c.NowMs)
 			_, refusal := n.admit(route.Ask{
@@ -68,10 +68,10 @@
 }
 
 // TestCompleteWatch holds that a watch tells of the moment up to which it surely waited.
-func TestCompleteWatch(t *testing.T) {
-	began := time.Unix(1e9, 0)
-	until := began.Add(time.Second)
-	assert.Equal(t, completeWatch(began, until, until.Add(time.Millisecond), 0), until)
-	assert.Equal(t, completeWatch(began, until, until.Add(time.Millisecond), 2), began)
-	assert.Equal(t, completeWatch(began, until, until.Add(-time.Millisecond), 0), began)
+func TestWatchFreshness(t *testing.T) {
+	startedAt := time.Unix(1e9, 0)
+	deadline := startedAt.Add(time.Second)
+	assert.Equal(t, watchFreshness(startedAt, deadline, deadline.Add(time.Millisecond), 0), deadline)
+	assert.Equal(t, watchFreshness(startedAt, deadline, deadline.Add(time.Millisecond), 2), startedAt)
+	assert.Equal(t, watchFreshness(startedAt, deadline, deadline.Add(-time.Millisecond), 0), startedAt)
 }
--- a/site/measure.go
+++ b/site/gauges.go
@@ -3,10 +3,10 @@
 import "time"
 
 // measure brings the gauges up to date for one question for the metrics.
-func (n *Node) measure() {
-	pic := n.control.picture()
+func (n *Node) updateGauges() {
+	snap := n.control.snapshot()
 	reached, suspected := make(map[string]int), make(map[string]int)
-	for _, m := range pic.members.Members {
+	for _, m := range snap.members.Members {
 		if m.Reachable {
 			reached[m.VM.Region]++
 		} else {
@@ -15,7 +15,7 @@
 	}
 	n.metrics.SetMembers(reached, suspected)
 	warm, cold := 0, 0
-	for _, e := range pic.endpoints {
+	for _, e := range snap.endpoints {
 		switch {
 		case e.Region != n.deployment.Region:
 		case e.ColdUntil.IsZero():
@@ -25,19 +25,19 @@
 		}
 	}
 	n.metrics.SetEndpoints(warm, cold)
-	if pic.table != nil {
-		n.metrics.SetRoutes(pic.table.Version)
+	if snap.table != nil {
+		n.metrics.SetRoutes(snap.table.Version)
 	}
-	if at := n.currentAt.Load(); at > 0 {
+	if at := n.inSyncAt.Load(); at > 0 {
 		n.metrics.SetPublishedAge(n.now().Sub(time.Unix(0, at)))
 	}
-	if n.dropped != nil {
-		dropped := n.dropped()
-		n.metrics.LinesDropped(dropped - n.droppedTold.Swap(dropped))
+	if n.droppedLines != nil {
+		dropped := n.droppedLines()
+		n.metrics.LinesDropped(dropped - n.droppedReported.Swap(dropped))
 	}
 }
 
 // current notes that this VM holds what the store or its reader holds.
-func (n *Node) current() {
-	n.currentAt.Store(n.now().UnixNano())
+func (n *Node) markInSync() {
+	n.inSyncAt.Store(n.now().UnixNano())
 }
--- a/site/gossip.go
+++ b/site/gossip.go
@@ -17,12 +17,12 @@
 const (
 	// exchangeWithin bounds one exchange: the way there and back between regions
 	// with a new connection, several times over.
-	exchangeWithin = time.Second
+	exchangeTimeout = time.Second
 )
 
 // question begins an exchange with a VM of a region.
-func (c *control) question(region string, now time.Time) *peerpb.GossipMessage {
-	m := c.message(region, c.roster.Recent(now), now)
+func (c *control) gossipRequest(region string, now time.Time) *peerpb.GossipMessage {
+	m := c.gossipMessage(region, c.roster.Recent(now), now)
 	digest := c.roster.Digest()
 	m.Digest = digest[:]
 	return m
@@ -30,39 +30,39 @@
 
 // brief is what is told at once when something changed. It holds what other VMs must
 // not act without, and not the loads and prefixes that make up most of a message.
-func (c *control) brief(region string, now time.Time) *peerpb.GossipMessage {
+func (c *control) urgentMessage(region string, now time.Time) *peerpb.GossipMessage {
 	m := &peerpb.GossipMessage{
 		From:              rumorMessage(c.roster.Self()),
 		PublishedRevision: c.mirror.Revision(),
-		CompleteMs:        c.node.completeMilli(now),
+		CompleteMs:        c.node.freshnessAgeMs(now),
 	}
 	if region == c.node.deployment.Region {
-		held := c.heldHere(now)
-		m.Cold = coldMessage(held, now)
-		m.Unreached = unreachedMessage(held, now)
-		m.Limits = endpointLimitsMessage(c.node.throttle.Recent(now))
+		unavailable := c.localUnavailable(now)
+		m.Cold = coldEndpointMessages(unavailable, now)
+		m.Unreached = unreachableMessages(unavailable, now)
+		m.Limits = endpointLimitMessages(c.node.throttle.Recent(now))
 		m.LimitsDigest = c.node.throttle.Digest()
 	}
 	return m
 }
 
 // heldHere are the endpoints of the own region that are cold or do not answer.
-func (c *control) heldHere(now time.Time) []discovery.Ready {
+func (c *control) localUnavailable(now time.Time) []discovery.Ready {
 	return slices.DeleteFunc(c.discovery.Held(now), func(e discovery.Ready) bool {
 		return e.Region != c.node.deployment.Region
 	})
 }
 
 // message is this VM's side of an exchange, with rumors of members.
-func (c *control) message(region string, rumors []roster.Rumor, now time.Time) *peerpb.GossipMessage {
-	m := c.brief(region, now)
+func (c *control) gossipMessage(region string, rumors []roster.Rumor, now time.Time) *peerpb.GossipMessage {
+	m := c.urgentMessage(region, now)
 	if region == c.node.deployment.Region {
-		m.Reports = c.node.pools.heldReports(now)
-		m.Holdings = append(c.node.pools.ownHoldings(now), c.node.pools.farHoldings(now)...)
-		m.Loads = c.loadsMessage(now)
+		m.Reports = c.node.pools.recentReports(now)
+		m.Holdings = append(c.node.pools.regionHoldings(now), c.node.pools.remoteHoldings(now)...)
+		m.Loads = c.remoteLoadMessages(now)
 	} else {
-		m.Loads = c.node.pools.loads(now)
-		m.Holdings = c.node.pools.holdings(now)
+		m.Loads = c.node.pools.localLoadMessages(now)
+		m.Holdings = c.node.pools.crossRegionHoldings(now)
 	}
 	for _, r := range rumors {
 		m.Rumors = append(m.Rumors, rumorMessage(r))
@@ -71,25 +71,25 @@
 }
 
 // exchange sends this VM's message to a target and takes the answer.
-func (n *Node) exchange(ctx context.Context, target roster.Target, m *peerpb.GossipMessage) {
-	trip, cancel := context.WithTimeout(ctx, exchangeWithin)
+func (n *Node) exchangeGossip(ctx context.Context, target roster.Target, m *peerpb.GossipMessage) {
+	timeoutCtx, cancel := context.WithTimeout(ctx, exchangeTimeout)
 	defer cancel()
 	sentAt := n.now()
-	reply, err := n.peers.Gossip(trip, target.VM, m)
-	came := n.now()
+	reply, err := n.peers.Gossip(timeoutCtx, target.VM, m)
+	receivedAt := n.now()
 	repliedAt := n.sentAt(reply)
 	n.control.send(ctx, func(c *control, now time.Time) {
 		if err != nil {
-			c.missed(target.VM, err, now)
+			c.recordFailure(target.VM, err, now)
 			return
 		}
-		c.tookWay(reply.GetFrom().GetRegion(), came.Sub(sentAt))
-		c.heard(ctx, reply, repliedAt, now)
+		c.observeRTT(reply.GetFrom().GetRegion(), receivedAt.Sub(sentAt))
+		c.applyGossip(ctx, reply, repliedAt, now)
 	})
 }
 
 // missed records that a VM did not answer.
-func (c *control) missed(vm fleet.VM, err error, now time.Time) {
+func (c *control) recordFailure(vm fleet.VM, err error, now time.Time) {
 	if vm.ID == "" {
 		return
 	}
@@ -102,25 +102,25 @@
 
 // heard takes a message that was sent at a moment: its ages and what is left of
 // times count from there.
-func (c *control) heard(ctx context.Context, m *peerpb.GossipMessage, sentAt, now time.Time) {
+func (c *control) applyGossip(ctx context.Context, m *peerpb.GossipMessage, sentAt, now time.Time) {
 	rumors := make([]roster.Rumor, 0, len(m.GetRumors()))
 	for _, r := range m.GetRumors() {
 		rumors = append(rumors, rumorFromMessage(r))
 	}
 	from := rumorFromMessage(m.GetFrom())
 	c.roster.Heard(from, rumors, now)
-	c.takeLoads(m.GetLoads(), sentAt)
-	c.takeCold(ctx, m.GetCold(), sentAt, now)
-	c.takeUnreached(ctx, m.GetUnreached(), sentAt, now)
-	c.takeEndpointLimits(m.GetLimits(), now)
-	c.node.pools.takeReports(m.GetReports(), sentAt)
-	c.node.pools.takeHoldings(m.GetHoldings(), sentAt, now)
-	c.heardComplete(m.GetPublishedRevision(), m.GetCompleteMs(), sentAt)
+	c.applyRegionLoads(m.GetLoads(), sentAt)
+	c.applyCold(ctx, m.GetCold(), sentAt, now)
+	c.applyUnreachable(ctx, m.GetUnreached(), sentAt, now)
+	c.applyEndpointLimits(m.GetLimits(), now)
+	c.node.pools.applyReports(m.GetReports(), sentAt)
+	c.node.pools.applyHoldings(m.GetHoldings(), sentAt, now)
+	c.applyPeerFreshness(m.GetPublishedRevision(), m.GetCompleteMs(), sentAt)
 	if m.GetPublishedRevision() == c.mirror.Revision() && !m.GetFrom().GetTurnedAway() {
-		c.node.current()
+		c.node.markInSync()
 	}
 	if m.GetPublishedRevision() > c.mirror.Revision() {
-		c.node.puller.hear(ctx, offer{
+		c.node.puller.notify(ctx, revisionNotice{
 			vm:       from.VM,
 			revision: m.GetPublishedRevision(),
 		})
@@ -128,16 +128,16 @@
 }
 
 // answerGossip takes a peer's message and gives this VM's.
-func (n *Node) answerGossip(ctx context.Context, in *peerpb.GossipMessage) (*peerpb.GossipMessage, error) {
+func (n *Node) handleGossip(ctx context.Context, in *peerpb.GossipMessage) (*peerpb.GossipMessage, error) {
 	sentAt := n.sentAt(in)
-	return ask(ctx, n.control, func(c *control, now time.Time) *peerpb.GossipMessage {
-		c.heard(context.WithoutCancel(ctx), in, sentAt, now)
+	return query(ctx, n.control, func(c *control, now time.Time) *peerpb.GossipMessage {
+		c.applyGossip(context.WithoutCancel(ctx), in, sentAt, now)
 		if len(in.GetDigest()) == 0 {
-			return c.brief(in.GetFrom().GetRegion(), now)
+			return c.urgentMessage(in.GetFrom().GetRegion(), now)
 		}
-		m := c.message(in.GetFrom().GetRegion(), c.roster.Differing(digestOf(in)), now)
+		m := c.gossipMessage(in.GetFrom().GetRegion(), c.roster.Differing(digestOf(in)), now)
 		if m.GetLimitsDigest() != in.GetLimitsDigest() {
-			m.Limits = endpointLimitsMessage(c.node.throttle.Limits())
+			m.Limits = endpointLimitMessages(c.node.throttle.Limits())
 		}
 		return m
 	})
@@ -160,27 +160,27 @@
 
 // spreadTo is how many VMs of the region are told of a change at once: the
 // rumor then reaches 30 of them in three steps of a few milliseconds.
-const spreadTo = 2
+const gossipFanout = 2
 
 // takeNew takes changes and tells some others of the region that there are any.
-func (c *control) takeNew(ctx context.Context, items []discovery.Item, now time.Time) {
+func (c *control) applyAndSpread(ctx context.Context, items []discovery.Item, now time.Time) {
 	if len(items) == 0 {
 		return
 	}
-	c.take(items, now)
-	c.spread(ctx, spreadTo, now)
+	c.applyItems(items, now)
+	c.spread(ctx, gossipFanout, now)
 }
 
 // spread tells some other VMs of the region at once what must not wait.
 func (c *control) spread(ctx context.Context, count int, now time.Time) {
 	for _, target := range c.roster.Spread(count) {
-		go c.node.exchange(ctx, target, c.brief(target.VM.Region, now))
+		go c.node.exchangeGossip(ctx, target, c.urgentMessage(target.VM.Region, now))
 	}
 }
 
-func (c *control) exchange(ctx context.Context, targets []roster.Target, now time.Time) {
+func (c *control) startExchanges(ctx context.Context, targets []roster.Target, now time.Time) {
 	for _, target := range targets {
-		go c.node.exchange(ctx, target, c.question(target.VM.Region, now))
+		go c.node.exchangeGossip(ctx, target, c.gossipRequest(target.VM.Region, now))
 	}
 }
 
--- a/site/holdings.go
+++ b/site/holdings.go
@@ -10,43 +10,43 @@
 const (
 	// holdingNew is how recent a use must be to be told: what is older was told
 	// in the exchanges before.
-	holdingNew = 1500 * time.Millisecond
+	holdingMaxAge = 1500 * time.Millisecond
 	// farHoldingNew is the same for uses in other regions, of which only a few VMs
 	// hear at first: 30 VMs pass them on to all in some three seconds.
-	farHoldingNew = 3 * time.Second
+	remoteHoldingMaxAge = 3 * time.Second
 	// holdingsSent bounds the entries of one message to another region, at some 40
 	// bytes each, and ownHoldingsSent those of one within the region.
-	holdingsSent    = 32
-	ownHoldingsSent = 64
+	maxCrossRegionHoldings = 32
+	maxRegionHoldings      = 64
 )
 
 // ownHoldings tell another VM of this region which of its engines were sent which
 // shared beginnings of prompts of late, so that others can fetch from them.
-func (p *pools) ownHoldings(now time.Time) []*peerpb.PrefixHolding {
-	return p.holdingMessages(ownHoldingsSent, now, func(pool *pool) []routing.Holding {
-		return pool.Endpoints.Holdings(routing.HoldingLeast, now.Add(-holdingNew), ownHoldingsSent)
+func (p *pools) regionHoldings(now time.Time) []*peerpb.PrefixHolding {
+	return p.holdingMessages(maxRegionHoldings, now, func(pool *pool) []routing.Holding {
+		return pool.Endpoints.Holdings(routing.HoldingLeast, now.Add(-holdingMaxAge), maxRegionHoldings)
 	})
 }
 
 // holdings tell the same, as far as it is worth it, to a VM of another region.
-func (p *pools) holdings(now time.Time) []*peerpb.PrefixHolding {
-	return p.holdingMessages(holdingsSent, now, func(pool *pool) []routing.Holding {
-		return pool.Endpoints.Holdings(routing.FarHoldingLeast, now.Add(-holdingNew), holdingsSent)
+func (p *pools) crossRegionHoldings(now time.Time) []*peerpb.PrefixHolding {
+	return p.holdingMessages(maxCrossRegionHoldings, now, func(pool *pool) []routing.Holding {
+		return pool.Endpoints.Holdings(routing.FarHoldingLeast, now.Add(-holdingMaxAge), maxCrossRegionHoldings)
 	})
 }
 
 // farHoldings tell another VM of this region the same of other regions.
-func (p *pools) farHoldings(now time.Time) []*peerpb.PrefixHolding {
-	return p.holdingMessages(holdingsSent, now, func(pool *pool) []routing.Holding {
-		return pool.Endpoints.FarHoldings(now.Add(-farHoldingNew), holdingsSent)
+func (p *pools) remoteHoldings(now time.Time) []*peerpb.PrefixHolding {
+	return p.holdingMessages(maxCrossRegionHoldings, now, func(pool *pool) []routing.Holding {
+		return pool.Endpoints.FarHoldings(now.Add(-remoteHoldingMaxAge), maxCrossRegionHoldings)
 	})
 }
 
-func (p *pools) holdingMessages(most int, now time.Time, of func(*pool) []routing.Holding) []*peerpb.PrefixHolding {
+func (p *pools) holdingMessages(limit int, now time.Time, list func(*pool) []routing.Holding) []*peerpb.PrefixHolding {
 	var out []*peerpb.PrefixHolding
 	for service, pool := range p.table.Load().byService {
-		for _, h := range of(pool) {
-			if len(out) == most {
+		for _, h := range list(pool) {
+			if len(out) == limit {
 				return out
 			}
 			out = append(out, &peerpb.PrefixHolding{
@@ -61,7 +61,7 @@
 	return out
 }
 
-func (p *pools) takeHoldings(list []*peerpb.PrefixHolding, sentAt, now time.Time) {
+func (p *pools) applyHoldings(list []*peerpb.PrefixHolding, sentAt, now time.Time) {
 	byService := make(map[string][]routing.Holding)
 	for _, m := range list {
 		byService[m.GetService()] = append(byService[m.GetService()], routing.Holding{
--- a/site/keys_test.go
+++ b/site/keys_test.go
@@ -19,7 +19,7 @@
 
 // judgedCase is a call that another VM admitted under an older table, and what the
 // newer one makes of it.
-type judgedCase struct {
+type readmitCase struct {
 	Name       string
 	Keys       []string
 	Key        string
@@ -37,13 +37,13 @@
 func TestJudgeAnew(t *testing.T) {
 	now := time.Unix(1e9, 0)
 	n := newFleetNode(func() time.Time { return now })
-	for _, c := range datatest.Read[[]judgedCase](t, "testdata/judged_anew.json") {
+	for _, c := range datatest.Read[[]readmitCase](t, "testdata/judged_anew.json") {
 		t.Run(c.Name, func(t *testing.T) {
 			forwarded := routedCall(c.Key)
 			if c.Path != "" {
 				forwarded.Path = c.Path
 			}
-			refusal := n.judgeAnew(forwarded, c.table())
+			refusal := n.readmit(forwarded, c.table())
 			if c.Code != 0 {
 				assert.Assert(t, refusal != nil)
 				assert.Equal(t, refusal.Code, c.Code)
@@ -57,7 +57,7 @@
 	}
 }
 
-func (c judgedCase) table() *route.Table {
+func (c readmitCase) table() *route.Table {
 	w := route.Workspace{
 		Name:  "renamed",
 		Homes: c.Homes,
--- a/site/limits.go
+++ b/site/limits.go
@@ -13,11 +13,11 @@
 
 const (
 	// askLimitWithin bounds the question for one call, within the region.
-	askLimitWithin = 150 * time.Millisecond
+	limitRequestTimeout = 150 * time.Millisecond
 	// tellLimitsWithin bounds one note: a new connection between the most distant regions.
-	tellLimitsWithin = time.Second
+	limitNoteTimeout = time.Second
 	// notesPause gathers uses that come together into one note.
-	notesPause = 20 * time.Millisecond
+	minLimitNoteInterval = 20 * time.Millisecond
 )
 
 func newMeter(n *Node) *metering.Meter {
@@ -35,23 +35,23 @@
 }
 
 // limited returns the workspace of a call that counts against a limit.
-func (pic *picture) limited(c *call.Call) (*route.Workspace, bool) {
-	if c.Workspace == "" || c.Routed.Cost <= 0 || pic.table == nil {
+func (snap *snapshot) limitedWorkspace(c *call.Call) (*route.Workspace, bool) {
+	if c.Workspace == "" || c.Routed.Cost <= 0 || snap.table == nil {
 		return nil, false
 	}
-	return pic.table.Workspace(c.Workspace)
+	return snap.table.Workspace(c.Workspace)
 }
 
 // takeLimit charges a call to the limit of its workspace.
-func (n *Node) takeLimit(ctx context.Context, c *call.Call) *result.Refusal {
-	pic := n.control.picture()
-	w, ok := pic.limited(c)
+func (n *Node) chargeLimit(ctx context.Context, c *call.Call) *result.Refusal {
+	snap := n.control.snapshot()
+	w, ok := snap.limitedWorkspace(c)
 	if !ok {
 		return nil
 	}
-	verdict := n.meter.Take(w, c.Routed.Cost, pic.fleet, n.now())
+	verdict := n.meter.Take(w, c.Routed.Cost, snap.meteringFleet, n.now())
 	if verdict.Keeper != nil {
-		verdict = n.askKeeper(ctx, w, *verdict.Keeper, c.Routed.Cost)
+		verdict = n.requestCharge(ctx, w, *verdict.Keeper, c.Routed.Cost)
 	}
 	if verdict.Refusal != nil {
 		n.metrics.LimitRefused(w.Name)
@@ -60,10 +60,10 @@
 }
 
 // askKeeper has the VM that keeps a limit decide on a call.
-func (n *Node) askKeeper(ctx context.Context, w *route.Workspace, keeper fleet.VM, cost float64) metering.Verdict {
-	trip, cancel := context.WithTimeout(context.WithoutCancel(ctx), askLimitWithin)
+func (n *Node) requestCharge(ctx context.Context, w *route.Workspace, keeper fleet.VM, cost float64) metering.Verdict {
+	timeoutCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), limitRequestTimeout)
 	defer cancel()
-	reply, err := n.peers.Limits(trip, keeper, n.identity(), metering.Note{
+	reply, err := n.peers.Limits(timeoutCtx, keeper, n.identity(), metering.Note{
 		Uses: []metering.Use{{
 			Workspace: w.Name,
 			Wanted:    cost,
@@ -81,15 +81,15 @@
 }
 
 // giveBackLimit returns what a call was charged that certainly did not run.
-func (n *Node) giveBackLimit(c *call.Call) {
-	pic := n.control.picture()
-	if w, ok := pic.limited(c); ok {
-		n.meter.GiveBack(w, c.Routed.Cost, pic.fleet, n.now())
+func (n *Node) refundLimit(c *call.Call) {
+	snap := n.control.snapshot()
+	if w, ok := snap.limitedWorkspace(c); ok {
+		n.meter.GiveBack(w, c.Routed.Cost, snap.meteringFleet, n.now())
 	}
 }
 
 // tellLimits sends notes as they fall due, until ctx ends.
-func (n *Node) tellLimits(ctx context.Context) error {
+func (n *Node) sendLimitNotes(ctx context.Context) error {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
@@ -99,21 +99,21 @@
 		case <-n.meter.Due:
 		case <-timer.C:
 		}
-		pic := n.control.picture()
-		if pic.table != nil && pic.table.Keyed() {
-			for _, note := range n.meter.Notes(pic.table, pic.fleet, n.now()) {
-				go n.sendLimits(ctx, note)
+		snap := n.control.snapshot()
+		if snap.table != nil && snap.table.Keyed() {
+			for _, note := range n.meter.Notes(snap.table, snap.meteringFleet, n.now()) {
+				go n.sendLimitNote(ctx, note)
 			}
 		}
 		now := n.now()
-		timer.Reset(max(n.meter.NextNote(now).Sub(now), notesPause))
+		timer.Reset(max(n.meter.NextNote(now).Sub(now), minLimitNoteInterval))
 	}
 }
 
-func (n *Node) sendLimits(ctx context.Context, note metering.Outgoing) {
-	trip, cancel := context.WithTimeout(ctx, tellLimitsWithin)
+func (n *Node) sendLimitNote(ctx context.Context, note metering.Outgoing) {
+	timeoutCtx, cancel := context.WithTimeout(ctx, limitNoteTimeout)
 	defer cancel()
-	reply, err := n.peers.Limits(trip, note.To, n.identity(), note.Note)
+	reply, err := n.peers.Limits(timeoutCtx, note.To, n.identity(), note.Note)
 	if err != nil {
 		n.log.Debug("limits_not_told", "peer", note.To.ID, "reason", err.Error())
 		n.meter.Failed(note, n.now())
@@ -123,28 +123,28 @@
 }
 
 // takeLimits answers another VM's note.
-func (n *Node) takeLimits(note metering.Note) metering.Reply {
-	pic := n.control.picture()
-	if pic.table == nil {
+func (n *Node) handleLimitNote(note metering.Note) metering.Reply {
+	snap := n.control.snapshot()
+	if snap.table == nil {
 		return metering.Reply{}
 	}
-	return n.meter.Receive(note, pic.table, pic.fleet, n.now())
+	return n.meter.Receive(note, snap.table, snap.meteringFleet, n.now())
 }
 
 // fleet is what the meter needs to know of the members.
-func (c *control) fleet(pic *picture) metering.Fleet {
+func (c *control) buildMeteringFleet(snap *snapshot) metering.Fleet {
 	own := c.node.deployment.Region
 	out := metering.Fleet{
-		Near: pic.members.Reached(own),
+		Near: snap.members.Reached(own),
 		Far:  make(map[string][]fleet.VM),
 	}
-	for _, m := range pic.members.Members {
+	for _, m := range snap.members.Members {
 		if m.VM.Region == own {
 			out.Known++
 		}
 	}
 	for _, region := range regionsOf(c.node.deployment.Regions) {
-		if vms := pic.members.Reached(region); region != own && len(vms) > 0 {
+		if vms := snap.members.Reached(region); region != own && len(vms) > 0 {
 			out.Far[region] = vms
 		}
 	}
--- a/site/place.go
+++ b/site/place.go
@@ -20,15 +20,15 @@
 
 // leastAnswer is the part of the bound on generated tokens that is expected
 // where the own region has not learnt it.
-const leastAnswer = 0.25
+const minAnswerRatio = 0.25
 
 // serve carries a caller's call.
 func (n *Node) serve(ctx context.Context, c *call.Call, sink call.Sink) call.Outcome {
-	c.Trail = logs.NewTrail(n.log, c.ID, n.sampled())
+	c.Trail = logs.NewTrail(n.log, c.ID, n.sampleLog())
 	if !n.settings.Has(settings.RankOrder) {
 		c.Routed.Rank = 0
 	}
-	if refusal := n.awaitNews(ctx); refusal != nil {
+	if refusal := n.awaitFreshState(ctx); refusal != nil {
 		c.Trail.Fail("request_refused", slog.Int("code", int(refusal.Code)), slog.String("reason", refusal.Error()))
 		return call.Refused(refusal)
 	}
@@ -36,7 +36,7 @@
 		Kind: serving.PlaceHere,
 	}, sink)
 	if c.Routed.Late && !c.Forwarded && out.Code != result.DeadlineUnmeetable {
-		n.late.Ended(lateGroup(c), out.Code.Class() == result.ClassDone, n.now())
+		n.lateOutcomes.Ended(lateGroup(c), out.Code.Class() == result.ClassDone, n.now())
 	}
 	return out
 }
@@ -49,77 +49,77 @@
 }
 
 // sampled draws the requests that are logged though they go well.
-func (n *Node) sampled() bool {
+func (n *Node) sampleLog() bool {
 	every := n.settings.LogSampleEvery
 	return every > 0 && rand.IntN(every) == 0
 }
 
 // place decides where a call is served.
 func (n *Node) place(ctx context.Context, c *call.Call, tried []string) (vm fleet.VM, away bool, refusal *result.Refusal) {
-	p := n.weigh(c, tried)
-	for p.decision.Refused == placement.ReasonNoRegion && n.learns(ctx, c) {
-		p = n.weigh(c, tried)
+	res := n.evaluatePlacement(c, tried)
+	for res.decision.Refused == placement.ReasonNoRegion && n.waitForMembers(ctx, c) {
+		res = n.evaluatePlacement(c, tried)
 	}
-	c.Routed.Late = p.decision.Late
-	region := p.decision.Region
-	if p.decision.Refused != "" {
-		p.trace(c)
-		return vm, false, n.unlessClosed(c, refusalOf(p.decision))
+	c.Routed.Late = res.decision.Late
+	region := res.decision.Region
+	if res.decision.Refused != "" {
+		res.logPlacement(c)
+		return vm, false, n.withReopenTime(c, placementRefusal(res.decision))
 	}
 	if region == n.deployment.Region {
 		return vm, false, nil
 	}
-	p.trace(c)
-	n.sent.Add(region, c.Target(), p.own.ToRead, n.now())
-	return p.vm, true, nil
+	res.logPlacement(c)
+	n.sentAway.Add(region, c.Target(), res.local.ToRead, n.now())
+	return res.vm, true, nil
 }
 
 // weighed is a decision with what it was made from.
-type weighed struct {
-	own      placement.Load
-	others   []placement.Load
+type placementResult struct {
+	local    placement.Load
+	remotes  []placement.Load
 	decision placement.Decision
 	// vm is where the call goes if it goes to another region.
 	vm fleet.VM
 }
 
-func (n *Node) weigh(c *call.Call, tried []string) weighed {
+func (n *Node) evaluatePlacement(c *call.Call, tried []string) placementResult {
 	now := n.now()
-	pic := n.control.picture()
-	own := n.ownLoad(c, now)
+	snap := n.control.snapshot()
+	local := n.localLoad(c, now)
 	if c.Routed.AnswerTokens == 0 {
-		own.Answer = max(own.Answer, leastAnswer*float64(c.MaxTokens))
+		local.Answer = max(local.Answer, minAnswerRatio*float64(c.MaxTokens))
 	}
-	others := n.otherLoads(c, pic, tried, own)
+	remotes := n.remoteLoads(c, snap, tried, local)
 	decision := placement.Decide(placement.Request{
-		Own:        own,
+		Own:        local,
 		OwnAllowed: c.Routed.Allows(n.deployment.Region) && !slices.Contains(tried, n.deployment.VM),
-		Others:     others,
+		Others:     remotes,
 		Moved:      len(tried) > 0,
 		FirstBy:    c.FirstBy,
 		WholeBy:    c.WholeBy,
-		Rank:       pic.standing(c.Routed.Rank),
-		Missed:     n.late.Missed(lateGroup(c), now),
+		Rank:       snap.rankPosition(c.Routed.Rank),
+		Missed:     n.lateOutcomes.Missed(lateGroup(c), now),
 		EndDraw:    rand.Float64(),
 		LateDraw:   rand.Float64(),
 		WaitDraw:   rand.Float64(),
-		Without:    n.withoutPlacement(),
+		Without:    n.disabledPlacement(),
 	}, now)
-	vm, _ := pickVM(pic.members.Taking(decision.Region), tried)
-	return weighed{
-		own:      own,
-		others:   others,
+	vm, _ := pickVM(snap.members.Taking(decision.Region), tried)
+	return placementResult{
+		local:    local,
+		remotes:  remotes,
 		decision: decision,
 		vm:       vm,
 	}
 }
 
 // standing returns where a rank stands among those in force.
-func (pic *picture) standing(rank int) int {
-	if pic.table == nil {
+func (snap *snapshot) rankPosition(rank int) int {
+	if snap.table == nil {
 		return rank
 	}
-	return int(pic.table.Standing(rank))
+	return int(snap.table.Standing(rank))
 }
 
 // pickVM draws one of the VMs that take calls, but for those tried. It is false
@@ -141,29 +141,29 @@
 	// learnsFor is how long after its start a VM may not know yet who takes calls:
 	// two reads of the store from the most distant region, or the exchange with a
 	// VM there that has to start as well.
-	learnsFor = 3 * time.Second
+	startupWindow = 3 * time.Second
 	// learnsWithin is how long a call waits for that, which is when its caller would
 	// else be told to come back; learnsEvery is the interval between two looks.
-	learnsWithin = 500 * time.Millisecond
-	learnsEvery  = 10 * time.Millisecond
+	startupWait         = 500 * time.Millisecond
+	startupPollInterval = 10 * time.Millisecond
 )
 
 // learns waits a little for what a VM that has just started does not know yet. It
 // is false where there is nothing to wait for, and the call is refused.
-func (n *Node) learns(ctx context.Context, c *call.Call) bool {
+func (n *Node) waitForMembers(ctx context.Context, c *call.Call) bool {
 	now := n.now()
-	by := c.FirstBy
-	if arrivedAt := c.Routed.ArrivedAt; by.IsZero() || arrivedAt.Add(learnsWithin).Before(by) {
-		by = arrivedAt.Add(learnsWithin)
+	deadline := c.FirstBy
+	if arrivedAt := c.Routed.ArrivedAt; deadline.IsZero() || arrivedAt.Add(startupWait).Before(deadline) {
+		deadline = arrivedAt.Add(startupWait)
 	}
-	if c.Forwarded || ctx.Err() != nil || now.Sub(n.startedAt) > learnsFor || !now.Before(by) {
+	if c.Forwarded || ctx.Err() != nil || now.Sub(n.startedAt) > startupWindow || !now.Before(deadline) {
 		return false
 	}
-	worker.SleepUntil(ctx, now, now.Add(learnsEvery))
+	worker.SleepUntil(ctx, now, now.Add(startupPollInterval))
 	return true
 }
 
-func refusalOf(d placement.Decision) *result.Refusal {
+func placementRefusal(d placement.Decision) *result.Refusal {
 	code := result.DeadlineUnmeetable
 	if d.Refused == placement.ReasonNoRegion {
 		code = result.NoEndpoint
@@ -173,7 +173,7 @@
 
 // unlessClosed tells the caller when an endpoint of the own region takes a call again, where
 // all of them are closed and no other region takes it.
-func (n *Node) unlessClosed(c *call.Call, refusal *result.Refusal) *result.Refusal {
+func (n *Node) withReopenTime(c *call.Call, refusal *result.Refusal) *result.Refusal {
 	pool, ok := n.pools.find(c.Target())
 	if !ok || !c.Routed.Allows(n.deployment.Region) {
 		return refusal
@@ -182,7 +182,7 @@
 }
 
 // withoutPlacement are the mechanisms of placement that the settings switch off.
-func (n *Node) withoutPlacement() placement.Without {
+func (n *Node) disabledPlacement() placement.Without {
 	return placement.Without{
 		Yielding:    !n.settings.Has(settings.Yielding),
 		LateRefusal: !n.settings.Has(settings.LateRefusal),
@@ -191,26 +191,26 @@
 }
 
 // trace logs what sent a call to another region, or had it refused.
-func (p weighed) trace(c *call.Call) {
-	own, region := p.own, p.decision.Region
+func (res placementResult) logPlacement(c *call.Call) {
+	local, region := res.local, res.decision.Region
 	var chosen placement.Load
-	for _, o := range p.others {
+	for _, o := range res.remotes {
 		if o.Region == region {
 			chosen = o
 		}
 	}
 	c.Trail.Add("region_chosen",
 		slog.String("region", region),
-		slog.Int("own_endpoints", own.Endpoints),
-		slog.Int64("own_first_ms", own.First.Milliseconds()),
-		slog.Int64("own_whole_ms", own.Whole.Milliseconds()),
+		slog.Int("own_endpoints", local.Endpoints),
+		slog.Int64("own_first_ms", local.First.Milliseconds()),
+		slog.Int64("own_whole_ms", local.Whole.Milliseconds()),
 		slog.Int64("other_whole_ms", (chosen.Whole+chosen.Way).Milliseconds()),
 		slog.Int64("other_first_ms", (chosen.First+chosen.Way).Milliseconds()),
 	)
 }
 
 // ownLoad is what this region expects of the call.
-func (n *Node) ownLoad(c *call.Call, now time.Time) placement.Load {
+func (n *Node) localLoad(c *call.Call, now time.Time) placement.Load {
 	load := placement.Load{
 		Region: n.deployment.Region,
 	}
@@ -244,22 +244,22 @@
 
 // otherLoads are those of the regions that may serve the call and have a VM in
 // reach. own says how many tokens are expected to be generated.
-func (n *Node) otherLoads(c *call.Call, pic *picture, tried []string, own placement.Load) []placement.Load {
-	if !n.settings.Has(settings.Borrowing) && own.Endpoints > 0 && c.Routed.Allows(n.deployment.Region) {
+func (n *Node) remoteLoads(c *call.Call, snap *snapshot, tried []string, local placement.Load) []placement.Load {
+	if !n.settings.Has(settings.Borrowing) && local.Endpoints > 0 && c.Routed.Allows(n.deployment.Region) {
 		return nil
 	}
 	var out []placement.Load
-	for _, l := range pic.loads[c.Target()] {
-		if !c.Routed.Allows(l.Region) {
+	for _, reported := range snap.regionLoads[c.Target()] {
+		if !c.Routed.Allows(reported.Region) {
 			continue
 		}
-		if _, ok := pickVM(pic.members.Taking(l.Region), tried); !ok {
+		if _, ok := pickVM(snap.members.Taking(reported.Region), tried); !ok {
 			continue
 		}
-		load := l.Load
-		load.First += n.laterThere(c, l, own, len(pic.members.Taking(n.deployment.Region)))
-		load.Whole = load.First + time.Duration(own.Answer*float64(l.token))
-		load.LongWhole = load.First + time.Duration(own.Long*float64(l.token))
+		load := reported.Load
+		load.First += n.remoteDelay(c, reported, local, len(snap.members.Taking(n.deployment.Region)))
+		load.Whole = load.First + time.Duration(local.Answer*float64(reported.timePerToken))
+		load.LongWhole = load.First + time.Duration(local.Long*float64(reported.timePerToken))
 		out = append(out, load)
 	}
 	return out
@@ -268,15 +268,15 @@
 // laterThere is how much later than a region's word says the first token of a
 // call comes there: the word is of a usual prompt, and of before the calls that
 // this region has sent since.
-func (n *Node) laterThere(c *call.Call, l regionLoad, own placement.Load, vms int) time.Duration {
-	if l.readsPerSecond <= 0 || c.PromptTokens == 0 {
+func (n *Node) remoteDelay(c *call.Call, reported regionLoad, local placement.Load, vms int) time.Duration {
+	if reported.prefillTokensPerSecond <= 0 || c.PromptTokens == 0 {
 		return 0
 	}
-	sent := 0.0
+	sentTokens := 0.0
 	if n.settings.Has(settings.SentAway) {
-		sent = n.sent.Since(l.Region, c.Target(), l.at.Add(-l.Way/2), vms)
+		sentTokens = n.sentAway.Since(reported.Region, c.Target(), reported.reportedAt.Add(-reported.Way/2), vms)
 	}
-	queued := placement.Queued(sent, l.Endpoints, l.readsPerSecond, n.now().Sub(l.at))
-	tokens := own.ToRead - usualPrompt + queued
-	return time.Duration(tokens / l.readsPerSecond * float64(time.Second))
+	queued := placement.Queued(sentTokens, reported.Endpoints, reported.prefillTokensPerSecond, n.now().Sub(reported.reportedAt))
+	tokens := local.ToRead - referencePromptTokens + queued
+	return time.Duration(tokens / reported.prefillTokensPerSecond * float64(time.Second))
 }
--- a/site/pools.go
+++ b/site/pools.go
@@ -18,7 +18,7 @@
 // updates them; traffic reads an immutable table.
 type pools struct {
 	node    *Node
-	reports reports
+	reports loadReports
 	table   atomic.Pointer[poolTable]
 }
 
@@ -26,8 +26,8 @@
 	byService map[string]*pool
 	// listed are the endpoints that take work; engines are those that report
 	// their load, also those that do not answer.
-	listed  []fleet.Endpoint
-	engines []fleet.Endpoint
+	available []fleet.Endpoint
+	engines   []fleet.Endpoint
 }
 
 type pool struct {
@@ -39,8 +39,8 @@
 	p := &pools{
 		node: n,
 	}
-	p.reports.held = make(map[string]heldReport)
-	p.reports.told = make(map[string]routing.Load)
+	p.reports.latest = make(map[string]loadReport)
+	p.reports.lastBroadcast = make(map[string]routing.Load)
 	p.table.Store(&poolTable{
 		byService: make(map[string]*pool),
 	})
@@ -48,20 +48,20 @@
 }
 
 // update takes the endpoints and members of a picture.
-func (p *pools) update(pic *picture, now time.Time) {
+func (p *pools) applySnapshot(snap *snapshot, now time.Time) {
 	before := p.table.Load()
 	after := &poolTable{
 		byService: make(map[string]*pool),
 	}
 	warm := make(map[string][]fleet.Endpoint)
-	silent := silentServices(pic.endpoints, p.node.deployment.Region)
-	for _, e := range pic.endpoints {
-		service, named := pic.service(e.Service)
+	unreachableServices := mostlyUnreachable(snap.endpoints, p.node.deployment.Region)
+	for _, e := range snap.endpoints {
+		service, named := snap.service(e.Service)
 		if e.Region != p.node.deployment.Region || !named {
 			continue
 		}
 		if after.byService[e.Service] == nil {
-			after.byService[e.Service] = p.poolOf(before, e.Service)
+			after.byService[e.Service] = p.poolFor(before, e.Service)
 		}
 		if !e.ColdUntil.IsZero() {
 			continue
@@ -69,53 +69,53 @@
 		if service.IsEngine {
 			after.engines = append(after.engines, e.Endpoint)
 		}
-		listed := e.Endpoint
-		if e.UnreachedUntil.IsZero() || silent[e.Service] {
-			after.listed = append(after.listed, listed)
+		endpoint := e.Endpoint
+		if e.UnreachedUntil.IsZero() || unreachableServices[e.Service] {
+			after.available = append(after.available, endpoint)
 		} else {
 			// The pool keeps what it knows of it.
-			listed.State = fleet.StateLeaving
+			endpoint.State = fleet.StateLeaving
 		}
-		warm[e.Service] = append(warm[e.Service], listed)
+		warm[e.Service] = append(warm[e.Service], endpoint)
 	}
-	for service, old := range before.byService {
+	for service, existing := range before.byService {
 		if after.byService[service] == nil {
-			after.byService[service] = old
+			after.byService[service] = existing
 		}
 	}
 	for service, pool := range after.byService {
 		pool.Endpoints.SetEndpoints(warm[service], now)
 	}
 	p.table.Store(after)
-	p.updateMembers(pic)
+	p.updateMembers(snap)
 }
 
 // silentServices returns the services of a region of which more than half of the
 // endpoints do not answer: that says more of the VMs that ask than of the endpoints,
 // and they go on being used.
-func silentServices(endpoints []discovery.Ready, region string) map[string]bool {
-	all, unreached := make(map[string]int), make(map[string]int)
+func mostlyUnreachable(endpoints []discovery.Ready, region string) map[string]bool {
+	total, unreached := make(map[string]int), make(map[string]int)
 	for _, e := range endpoints {
 		if e.Region != region {
 			continue
 		}
-		all[e.Service]++
+		total[e.Service]++
 		if !e.UnreachedUntil.IsZero() {
 			unreached[e.Service]++
 		}
 	}
 	out := make(map[string]bool)
 	for service, count := range unreached {
-		out[service] = 2*count > all[service]
+		out[service] = 2*count > total[service]
 	}
 	return out
 }
 
 // updateMembers takes the members alone. While a fleet starts they change with each
 // message, and its endpoints do not.
-func (p *pools) updateMembers(pic *picture) {
-	far := p.farEndpoints(pic)
-	vms := p.countVMs(pic)
+func (p *pools) updateMembers(snap *snapshot) {
+	far := p.remoteEndpoints(snap)
+	vms := p.countRegionVMs(snap)
 	for service, pool := range p.table.Load().byService {
 		pool.Endpoints.SetFar(far[service])
 		pool.Endpoints.SetVMs(vms)
@@ -124,10 +124,10 @@
 
 // farEndpoints are those of the other regions in reach, by service: engines
 // fetch parts of prompts from them.
-func (p *pools) farEndpoints(pic *picture) map[string][]fleet.Endpoint {
+func (p *pools) remoteEndpoints(snap *snapshot) map[string][]fleet.Endpoint {
 	out := make(map[string][]fleet.Endpoint)
-	for _, e := range pic.endpoints {
-		if e.Region != p.node.deployment.Region && len(pic.members.Reached(e.Region)) > 0 {
+	for _, e := range snap.endpoints {
+		if e.Region != p.node.deployment.Region && len(snap.members.Reached(e.Region)) > 0 {
 			out[e.Service] = append(out[e.Service], e.Endpoint)
 		}
 	}
@@ -136,18 +136,18 @@
 
 // service returns a service that the configuration names: an entry in the store of one
 // that it does not is no endpoint of ours.
-func (pic *picture) service(name string) (route.Service, bool) {
-	if pic.table == nil {
+func (snap *snapshot) service(name string) (route.Service, bool) {
+	if snap.table == nil {
 		return route.Service{}, false
 	}
-	return pic.table.Service(name)
+	return snap.table.Service(name)
 }
 
 // countVMs counts the VMs of this region, which choose among the same endpoints.
-func (p *pools) countVMs(pic *picture) int {
+func (p *pools) countRegionVMs(snap *snapshot) int {
 	n := 0
-	for i := range pic.members.Members {
-		m := &pic.members.Members[i]
+	for i := range snap.members.Members {
+		m := &snap.members.Members[i]
 		if m.VM.Region == p.node.deployment.Region {
 			n++
 		}
@@ -155,12 +155,12 @@
 	return max(n, 1)
 }
 
-func (p *pools) poolOf(before *poolTable, service string) *pool {
-	if old := before.byService[service]; old != nil {
-		return old
+func (p *pools) poolFor(before *poolTable, service string) *pool {
+	if existing := before.byService[service]; existing != nil {
+		return existing
 	}
 	endpoints := routing.New(routing.Options{
-		Without: p.without(),
+		Without: p.disabledRouting(),
 	})
 	return &pool{
 		Pool: serving.Pool{
@@ -170,12 +170,12 @@
 				Now:    p.node.now,
 			}, endpoints),
 		},
-		budget: p.newWindow(),
+		budget: p.newRetryWindow(),
 	}
 }
 
 // without are the mechanisms of routing that the settings switch off.
-func (p *pools) without() routing.Without {
+func (p *pools) disabledRouting() routing.Without {
 	s := p.node.settings
 	return routing.Without{
 		Affinity:    !s.Has(settings.Affinity),
@@ -187,13 +187,13 @@
 	}
 }
 
-func (p *pools) newWindow() *retry.Window {
+func (p *pools) newRetryWindow() *retry.Window {
 	bounds := p.node.bounds.Load()
 	return retry.NewWindow(retry.WindowOptions{
 		Ratio:  bounds.RetryRatio,
 		Slack:  bounds.RetrySlack,
 		Length: bounds.RetryWindow,
-		VMs:    func() int { return p.node.control.picture().members.Most },
+		VMs:    func() int { return p.node.control.snapshot().members.Most },
 		Now:    p.node.now,
 
 		SlackFrom: p.node.startedAt.Add(bounds.RetryWindow),
@@ -201,7 +201,7 @@
 }
 
 // budget bounds the repeats to each service.
-func (p *pools) budget() serving.Budget {
+func (p *pools) retryBudget() serving.Budget {
 	return serving.Budget{
 		OnRequest: func(service string) {
 			if pool := p.table.Load().byService[service]; pool != nil {
--- a/site/pull.go
+++ b/site/pull.go
@@ -14,10 +14,10 @@
 
 const (
 	// pullWithin bounds the pull of what a peer holds of the store.
-	pullWithin = 2 * time.Second
+	pullTimeout = 2 * time.Second
 	// pullAfter is how long this VM waits for its own read, or for a VM of its region,
 	// before it pulls from one further away: all are told at nearly the same time.
-	pullAfter = 300 * time.Millisecond
+	pullDelay = 300 * time.Millisecond
 )
 
 // puller pulls what other VMs hold of the store, from one at a time: many tell of a
@@ -27,42 +27,42 @@
 
 	mu sync.Mutex
 	// pulling is set while a pull is under way; next is what was heard meanwhile.
-	pulling bool
-	next    offer
+	pulling    bool
+	nextNotice revisionNotice
 	// whole is the last reply that held everything.
-	whole *peerpb.PublishedReply
+	fullReply *peerpb.PublishedReply
 }
 
 // offer is a VM's word that it holds the store up to a revision.
-type offer struct {
+type revisionNotice struct {
 	vm       fleet.VM
 	revision uint64
 }
 
 // hear takes an offer, and pulls unless that is under way.
-func (p *puller) hear(ctx context.Context, o offer) {
+func (p *puller) notify(ctx context.Context, notice revisionNotice) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.pulling {
-		if o.revision > p.next.revision || o.vm.Region == p.node.deployment.Region {
-			p.next = o
+		if notice.revision > p.nextNotice.revision || notice.vm.Region == p.node.deployment.Region {
+			p.nextNotice = notice
 		}
 		return
 	}
 	p.pulling = true
-	go p.pullAll(ctx, o)
+	go p.pullPending(ctx, notice)
 }
 
 // pullAll takes one offer after the other until none is left.
-func (p *puller) pullAll(ctx context.Context, o offer) {
+func (p *puller) pullPending(ctx context.Context, notice revisionNotice) {
 	for {
-		p.pull(ctx, o)
+		p.pull(ctx, notice)
 		p.mu.Lock()
-		o = p.next
-		p.next = offer{}
-		p.pulling = o.revision > 0
+		notice = p.nextNotice
+		p.nextNotice = revisionNotice{}
+		p.pulling = notice.revision > 0
 		p.mu.Unlock()
-		if o.revision == 0 {
+		if notice.revision == 0 {
 			return
 		}
 	}
@@ -76,78 +76,78 @@
 }
 
 // pull asks a peer for what it holds of the store, unless it comes sooner otherwise.
-func (p *puller) pull(ctx context.Context, o offer) {
+func (p *puller) pull(ctx context.Context, notice revisionNotice) {
 	n := p.node
-	if n.isReader() || p.isFarther(o.vm) {
-		worker.SleepUntil(ctx, n.now(), n.now().Add(pullAfter))
+	if n.isReader() || p.prefersLocal(notice.vm) {
+		worker.SleepUntil(ctx, n.now(), n.now().Add(pullDelay))
 	}
-	after := n.control.picture().revision
-	if after >= o.revision {
+	after := n.control.snapshot().revision
+	if after >= notice.revision {
 		return
 	}
-	trip, cancel := context.WithTimeout(ctx, pullWithin)
+	timeoutCtx, cancel := context.WithTimeout(ctx, pullTimeout)
 	defer cancel()
-	reply, err := n.peers.Published(trip, o.vm, &peerpb.PublishedRequest{
+	reply, err := n.peers.Published(timeoutCtx, notice.vm, &peerpb.PublishedRequest{
 		AfterRevision: after,
 	})
 	if err != nil {
-		n.log.Warn("pull_failed", "peer", o.vm.ID, "reason", err.Error())
+		n.log.Warn("pull_failed", "peer", notice.vm.ID, "reason", err.Error())
 		return
 	}
-	got := read{
+	read := storeRead{
 		items:    itemsFromMessage(reply.GetItems()),
 		revision: reply.GetRevision(),
-		whole:    reply.GetWhole(),
+		full:     reply.GetWhole(),
 	}
 	// An error means that ctx ended.
-	_, _ = ask(trip, n.control, func(c *control, now time.Time) bool {
+	_, _ = query(timeoutCtx, n.control, func(c *control, now time.Time) bool {
 		c.discovery.SettleUntil(now.Add(time.Duration(reply.GetSettlingMs()) * time.Millisecond))
-		c.takeNew(ctx, c.merge(got), now)
+		c.applyAndSpread(ctx, c.mergeRead(read), now)
 		return true
 	})
 }
 
 // isFarther reports whether a VM is in another region while there are VMs in the own
 // one, which soon hold the same.
-func (p *puller) isFarther(vm fleet.VM) bool {
+func (p *puller) prefersLocal(vm fleet.VM) bool {
 	own := p.node.deployment.Region
-	return vm.Region != own && len(p.node.control.picture().members.Reached(own)) > 1
+	return vm.Region != own && len(p.node.control.snapshot().members.Reached(own)) > 1
 }
 
 // published answers a peer with what this VM holds of the store.
-func (p *puller) published(ctx context.Context, in *peerpb.PublishedRequest) (*peerpb.PublishedReply, error) {
-	reply, err := ask(ctx, p.node.control, func(c *control, now time.Time) *peerpb.PublishedReply {
-		return c.publishedAfter(in.GetAfterRevision(), now)
+func (p *puller) handlePublished(ctx context.Context, in *peerpb.PublishedRequest) (*peerpb.PublishedReply, error) {
+	reply, err := query(ctx, p.node.control, func(c *control, now time.Time) *peerpb.PublishedReply {
+		return c.publishedReply(in.GetAfterRevision(), now)
 	})
 	if err != nil {
 		return nil, err
 	}
-	return p.packed(reply)
+	return p.packReply(reply)
 }
 
 // packed packs a reply. One that holds everything is packed once for all that ask.
-func (p *puller) packed(r *peerpb.PublishedReply) (*peerpb.PublishedReply, error) {
+func (p *puller) packReply(r *peerpb.PublishedReply) (*peerpb.PublishedReply, error) {
 	if !r.GetWhole() {
 		return peer.Pack(r)
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.whole.GetRevision() == r.GetRevision() && p.whole.GetSettlingMs() == r.GetSettlingMs() {
-		return p.whole, nil
+	if p.fullReply.GetRevision() == r.GetRevision() && p.fullReply.GetSettlingMs() == r.GetSettlingMs() {
+		return p.fullReply, nil
 	}
 	packed, err := peer.Pack(r)
 	if err != nil {
 		return nil, err
 	}
-	p.whole = packed
+	p.fullReply = packed
 	return packed, nil
 }
 
-func (c *control) publishedAfter(revision uint64, now time.Time) *peerpb.PublishedReply {
-	items, whole := c.mirror.Since(revision)
+func (c *control) publishedReply(revision uint64, now time.Time) *peerpb.PublishedReply {
+	items, full := c.mirror.Since(revision)
 	reply := &peerpb.PublishedReply{
 		Revision:   c.mirror.Revision(),
-		Whole:      whole,
+		Whole:      full,
 		SettlingMs: uint32(c.discovery.Settling(now).Milliseconds()),
 	}
 	for _, item := range items {
--- a/site/pull_test.go
+++ b/site/pull_test.go
@@ -16,26 +16,26 @@
 
 // TestOnePull holds that a VM which hears of a new revision from a hundred others at
 // once pulls it from one of them, and a later one from one more.
-func TestOnePull(t *testing.T) {
+func TestSinglePull(t *testing.T) {
 	n := newFleetNode(time.Now)
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	go func() { _ = n.control.run(ctx) }()
-	var asked atomic.Int64
+	var pulls atomic.Int64
 	var latest atomic.Uint64
 	release := make(chan struct{})
 	addr := servePublished(ctx, t, func() *peerpb.PublishedReply {
-		asked.Add(1)
+		pulls.Add(1)
 		<-release
 		return &peerpb.PublishedReply{
 			Revision: latest.Load(),
 		}
 	})
-	held := n.control.picture().revision
-	hear := func(revision uint64) {
+	initial := n.control.snapshot().revision
+	notify := func(revision uint64) {
 		latest.Store(revision)
 		for range 100 {
-			n.puller.hear(ctx, offer{
+			n.puller.notify(ctx, revisionNotice{
 				vm: fleet.VM{
 					ID:       "vm-far",
 					Region:   n.deployment.Region,
@@ -45,11 +45,11 @@
 			})
 		}
 	}
-	hear(held + 1)
-	hear(held + 2)
+	notify(initial + 1)
+	notify(initial + 2)
 	close(release)
-	waitFor(t, func() bool { return n.control.picture().revision == held+2 && !n.puller.isPulling() })
-	assert.Assert(t, asked.Load() <= 2, "asked %d times", asked.Load())
+	waitFor(t, func() bool { return n.control.snapshot().revision == initial+2 && !n.puller.isPulling() })
+	assert.Assert(t, pulls.Load() <= 2, "asked %d times", pulls.Load())
 }
 
 func servePublished(ctx context.Context, t *testing.T, reply func() *peerpb.PublishedReply) string {
--- a/site/crashes.go
+++ b/site/quarantine.go
@@ -12,14 +12,14 @@
 )
 
 // newCrashes makes the agent that keeps calls from endpoints that these crash under.
-func (n *Node) newCrashes() *agent.Agent {
+func (n *Node) newQuarantineAgent() *agent.Agent {
 	return agent.New(agent.Options{
 		VM:     n.deployment.VM,
 		Log:    n.log,
 		Now:    n.now,
 		Dial:   tcp.Reach,
-		Listed: n.listed,
-		VMs:    n.vmsInReach,
+		Listed: n.isPublished,
+		VMs:    n.reachableMembers,
 		Tell: func(ctx context.Context, to fleet.VM, note quarantine.Note) error {
 			return n.peers.Crashes(ctx, to, n.identity(), note)
 		},
@@ -28,15 +28,15 @@
 }
 
 // listed reports whether this life of an endpoint takes work by what is published.
-func (n *Node) listed(e fleet.Endpoint) bool {
-	return slices.ContainsFunc(n.control.picture().endpoints, func(known discovery.Ready) bool {
+func (n *Node) isPublished(e fleet.Endpoint) bool {
+	return slices.ContainsFunc(n.control.snapshot().endpoints, func(known discovery.Ready) bool {
 		return known.ID == e.ID && known.Incarnation == e.Incarnation
 	})
 }
 
 // vmsInReach returns this VM and those in reach, and whether there have been more.
-func (n *Node) vmsInReach() (vms []quarantine.Peer, parted bool) {
-	members := n.control.picture().members
+func (n *Node) reachableMembers() (vms []quarantine.Peer, partitioned bool) {
+	members := n.control.snapshot().members
 	for _, m := range members.Members {
 		if m.Reachable || m.VM.ID == n.deployment.VM {
 			vms = append(vms, quarantine.Peer{
--- a/site/reports.go
+++ b/site/reports.go
@@ -15,74 +15,74 @@
 	// for its load, which it tells some 100 ms late. Twice as often gained nothing,
 	// as VMs know what waits for their own calls: the mean worth of five days with
 	// faults was 0.7204, with this 0.7218 (eight plays each), with 90 VMs 0.655 and 0.656.
-	reportEvery = survey.BusyEvery
+	reportInterval = survey.BusyEvery
 	// coldEvery is the same while the store is away, which else tells at once that an
 	// endpoint is cold: one that bears five requests a second may get ten.
-	coldEvery = 150 * time.Millisecond
+	storeLostReportInterval = 150 * time.Millisecond
 	// reportWithin bounds one question: an engine answers it beside its work in some
 	// milliseconds, and a lost packet is sent again after 0.3 s.
-	reportWithin = 600 * time.Millisecond
+	reportTimeout = 600 * time.Millisecond
 	// healthWithin bounds a health check, which waits for a slot like a call.
-	healthWithin = time.Second
+	healthTimeout = time.Second
 	// reportGoodFor is how long a report is passed on to other VMs.
-	reportGoodFor = 1200 * time.Millisecond
+	reportMaxAge = 1200 * time.Millisecond
 	// newerBy is by how much another VM's word must be newer to replace one that
 	// is held: a word's age does not count the way between the two, so that one
 	// which comes back to its teller looks newer by some milliseconds.
-	newerBy = 50 * time.Millisecond
+	newerMargin = 50 * time.Millisecond
 )
 
 // reports are the engines' latest loads, asked by this VM or heard from others
 // of the region. So each engine is asked by one VM, however many there are.
-type reports struct {
-	mu   sync.Mutex
-	held map[string]heldReport
+type loadReports struct {
+	mu     sync.Mutex
+	latest map[string]loadReport
 	// told is what the other VMs were told last, by this VM.
-	told map[string]routing.Load
+	lastBroadcast map[string]routing.Load
 }
 
-type heldReport struct {
+type loadReport struct {
 	service string
 	load    routing.Load
 }
 
 // isDue reports whether an engine is to be asked for its load.
-func (p *pools) isDue(e fleet.Endpoint) bool {
+func (p *pools) reportDue(e fleet.Endpoint) bool {
 	inFlight := false
 	if pool := p.table.Load().byService[e.Service]; pool != nil {
 		inFlight = pool.Endpoints.InFlight(e.ID) > 0
 	}
 	p.reports.mu.Lock()
 	defer p.reports.mu.Unlock()
-	return survey.IsDue(p.reports.held[e.ID].load, inFlight, p.node.now())
+	return survey.IsDue(p.reports.latest[e.ID].load, inFlight, p.node.now())
 }
 
 // takeReport keeps a report if it is newer than the one held.
-func (p *pools) takeReport(id string, r heldReport) {
+func (p *pools) recordReport(id string, r loadReport) {
 	p.reports.mu.Lock()
-	old, ok := p.reports.held[id]
-	fresh := !ok || r.load.At.Sub(old.load.At) > newerBy
-	if fresh {
-		p.reports.held[id] = r
+	existing, ok := p.reports.latest[id]
+	newer := !ok || r.load.At.Sub(existing.load.At) > newerMargin
+	if newer {
+		p.reports.latest[id] = r
 	}
 	p.reports.mu.Unlock()
-	if pool := p.table.Load().byService[r.service]; fresh && pool != nil {
+	if pool := p.table.Load().byService[r.service]; newer && pool != nil {
 		pool.Endpoints.Report(id, r.load, p.node.now())
 	}
 }
 
 // heldReports are the recent ones, for another VM of the region, where those that ask
 // do not tell all others themselves.
-func (p *pools) heldReports(now time.Time) []*peerpb.EngineReport {
-	if p.tellsAll() {
+func (p *pools) recentReports(now time.Time) []*peerpb.EngineReport {
+	if p.broadcastsReports() {
 		return nil
 	}
 	p.reports.mu.Lock()
 	defer p.reports.mu.Unlock()
 	var out []*peerpb.EngineReport
-	for id, r := range p.reports.held {
-		if now.Sub(r.load.At) > reportGoodFor {
-			delete(p.reports.held, id)
+	for id, r := range p.reports.latest {
+		if now.Sub(r.load.At) > reportMaxAge {
+			delete(p.reports.latest, id)
 			continue
 		}
 		out = append(out, r.message(id, now))
@@ -92,22 +92,22 @@
 
 // newsSince are the reports of some engines that were asked since a moment and of
 // which others are to hear.
-func (p *pools) newsSince(engines []fleet.Endpoint, since time.Time) []*peerpb.EngineReport {
+func (p *pools) changedReports(engines []fleet.Endpoint, since time.Time) []*peerpb.EngineReport {
 	p.reports.mu.Lock()
 	defer p.reports.mu.Unlock()
 	now := p.node.now()
 	var out []*peerpb.EngineReport
 	for _, e := range engines {
-		r, ok := p.reports.held[e.ID]
-		if ok && !r.load.At.Before(since) && survey.IsNews(p.reports.told[e.ID], r.load) {
-			p.reports.told[e.ID] = r.load
+		r, ok := p.reports.latest[e.ID]
+		if ok && !r.load.At.Before(since) && survey.IsNews(p.reports.lastBroadcast[e.ID], r.load) {
+			p.reports.lastBroadcast[e.ID] = r.load
 			out = append(out, r.message(e.ID, now))
 		}
 	}
 	return out
 }
 
-func (r heldReport) message(id string, now time.Time) *peerpb.EngineReport {
+func (r loadReport) message(id string, now time.Time) *peerpb.EngineReport {
 	return &peerpb.EngineReport{
 		Endpoint:    id,
 		Service:     r.service,
@@ -120,9 +120,9 @@
 }
 
 // takeReports takes what another VM of the region has heard.
-func (p *pools) takeReports(list []*peerpb.EngineReport, sentAt time.Time) {
+func (p *pools) applyReports(list []*peerpb.EngineReport, sentAt time.Time) {
 	for _, m := range list {
-		p.takeReport(m.GetEndpoint(), heldReport{
+		p.recordReport(m.GetEndpoint(), loadReport{
 			service: m.GetService(),
 			load: routing.Load{
 				At:          sentAt.Add(-time.Duration(m.GetAgeMs()) * time.Millisecond),
--- a/site/fronts.go
+++ b/site/servers.go
@@ -16,30 +16,30 @@
 )
 
 // front is one HTTP server with its address.
-type front struct {
+type httpServer struct {
 	addr   string
 	server *http.Server
 }
 
 // metricsFront serves the metrics, with what is measured only when asked.
-func (n *Node) metricsFront(port int) front {
+func (n *Node) metricsServer(port int) httpServer {
 	mux := http.NewServeMux()
 	handler := n.metrics.Handler()
 	mux.HandleFunc("GET /metrics", func(w http.ResponseWriter, r *http.Request) {
-		n.measure()
+		n.updateGauges()
 		handler.ServeHTTP(w, r)
 	})
-	return front{
+	return httpServer{
 		addr: net.JoinHostPort(n.deployment.IP, strconv.Itoa(port)),
 		server: &http.Server{
 			Handler:           mux,
-			ReadHeaderTimeout: headerWithin,
+			ReadHeaderTimeout: readHeaderTimeout,
 		},
 	}
 }
 
-func (n *Node) addFronts(group *run.Group) error {
-	server, err := peer.NewServer(n.handlers())
+func (n *Node) addServers(group *run.Group) error {
+	server, err := peer.NewServer(n.peerHandlers())
 	if err != nil {
 		return err
 	}
@@ -52,33 +52,33 @@
 	})
 	directory := &http.Server{
 		Handler: platform.NewDirectory(platform.DirectoryOptions{
-			Entries: n.entries,
-			GoodFor: n.entriesGoodFor(),
+			Entries: n.entryAddrs,
+			GoodFor: n.entriesTTL(),
 		}),
-		ReadHeaderTimeout: headerWithin,
+		ReadHeaderTimeout: readHeaderTimeout,
 	}
 	checks := &http.Server{
 		Handler:           platform.NewReady(n.ready),
-		ReadHeaderTimeout: headerWithin,
+		ReadHeaderTimeout: readHeaderTimeout,
 	}
-	fronts := []front{
-		{addr: n.deployment.CallerAddr, server: n.callers},
+	servers := []httpServer{
+		{addr: n.deployment.CallerAddr, server: n.callerServer},
 		{addr: n.deployment.EntryAddr, server: directory},
 		{addr: n.deployment.ReadyAddr, server: checks},
 	}
 	if port := n.settings.MetricsPort; port > 0 {
-		fronts = append(fronts, n.metricsFront(port))
+		servers = append(servers, n.metricsServer(port))
 	}
-	for _, front := range fronts {
-		inner, err := net.Listen("tcp", front.addr)
+	for _, srv := range servers {
+		inner, err := net.Listen("tcp", srv.addr)
 		if err != nil {
 			return err
 		}
 		ln := listen.NewStopping(inner)
-		if front.server == n.callers {
-			n.callersListener.Store(ln)
+		if srv.server == n.callerServer {
+			n.callerListener.Store(ln)
 		}
-		worker.AddHTTP(group, n.gone, func() error { return front.server.Serve(ln) }, front.server.Close)
+		worker.AddHTTP(group, n.stopped, func() error { return srv.server.Serve(ln) }, srv.server.Close)
 	}
 	return nil
 }
--- a/site/site.go
+++ b/site/site.go
@@ -43,23 +43,23 @@
 const (
 	// timelineEvents bounds the ring of events: some seconds of the calls of a
 	// small VM, at about 150 bytes each.
-	timelineEvents = 2048
+	timelineCapacity = 2048
 	// headerWithin and idleWithin bound a caller's connection. Callers may reuse
 	// one that was idle for most of the published time, which comes only later.
-	headerWithin   = 5 * time.Second
-	idleWithin     = 75 * time.Second
-	maxHeaderBytes = 64 << 10
+	readHeaderTimeout = 5 * time.Second
+	idleTimeout       = 75 * time.Second
+	maxHeaderBytes    = 64 << 10
 	// entriesFor is how long a caller may use an answer: a VM that stops or
 	// is lost gets no new connection after that.
-	entriesFor = time.Second
+	maxEntriesTTL = time.Second
 	// storeReplyWithin bounds a reply of the store, which answers in milliseconds.
-	storeReplyWithin = 1500 * time.Millisecond
+	storeTimeout = 1500 * time.Millisecond
 	// memoryShare is the part of the VM's memory at which the garbage collector
 	// works harder; the rest is for stacks, buffers of sockets and the C library.
-	memoryShare = 0.6
+	memoryLimitRatio = 0.6
 	// collectAt is the growth, in percent, after which garbage is collected. The
 	// live heap is some megabytes, so collecting often costs little.
-	collectAt = 50
+	gcPercent = 50
 )
 
 // Options set up a Node. Every field but Now is required.
@@ -76,49 +76,49 @@
 
 // Node is one VM's process.
 type Node struct {
-	deployment  *platform.Deployment
-	log         *slog.Logger
-	settings    *settings.Platform
-	dropped     func() int64
-	now         func() time.Time
-	incarnation uint64
-	startedAt   time.Time
+	deployment   *platform.Deployment
+	log          *slog.Logger
+	settings     *settings.Platform
+	droppedLines func() int64
+	now          func() time.Time
+	incarnation  uint64
+	startedAt    time.Time
 
-	ring     *timeline.Ring
-	metrics  *metrics.Metrics
-	store    *platform.Client
-	decoder  platform.Decoder
-	peers    *peer.Client
-	transit  *peer.Transit
-	client   *endpoint.Client
-	pools    *pools
-	sent     *placement.Sent
-	late     *placement.Late
-	crashes  *agent.Agent
-	serving  *serving.Server
-	meter    *metering.Meter
-	throttle *throttle.Throttle
+	timeline       *timeline.Ring
+	metrics        *metrics.Metrics
+	store          *platform.Client
+	decoder        platform.Decoder
+	peers          *peer.Client
+	transit        *peer.Transit
+	endpointClient *endpoint.Client
+	pools          *pools
+	sentAway       *placement.Sent
+	lateOutcomes   *placement.Late
+	quarantine     *agent.Agent
+	serving        *serving.Server
+	meter          *metering.Meter
+	throttle       *throttle.Throttle
 	// endpointLimitsDue is set while the control goroutine is to tell others of endpoints' limits.
-	endpointLimitsDue atomic.Bool
-	puller            *puller
-	control           *control
-	callers           *http.Server
+	endpointLimitsPending atomic.Bool
+	puller                *puller
+	control               *control
+	callerServer          *http.Server
 
 	// bounds are those of the settings in force; they may change while the process runs.
-	bounds  atomic.Pointer[platform.Bounds]
-	leaving atomic.Bool
+	bounds   atomic.Pointer[platform.Bounds]
+	draining atomic.Bool
 	// callersListener takes callers' connections, openConns counts those that are open.
-	callersListener atomic.Pointer[listen.Stopping]
-	openConns       atomic.Int64
+	callerListener atomic.Pointer[listen.Stopping]
+	openConns      atomic.Int64
 	// currentAt is when this VM last knew that it holds what the store holds, in
 	// nanoseconds since the epoch, and droppedTold the dropped lines counted so far.
-	currentAt   atomic.Int64
-	droppedTold atomic.Int64
+	inSyncAt        atomic.Int64
+	droppedReported atomic.Int64
 	// completeAt is when the store held nothing beyond what this VM holds, by the word of
 	// the store or of VMs that heard it, in nanoseconds since the epoch.
-	completeAt atomic.Int64
+	freshAsOf atomic.Int64
 	// gone is closed when the planned stop is over.
-	gone chan struct{}
+	stopped chan struct{}
 }
 
 // New makes a node that does not listen yet.
@@ -130,43 +130,43 @@
 	}
 	d := o.Deployment
 	n := &Node{
-		deployment:  d,
-		log:         o.Logger.With("vm", d.VM),
-		settings:    o.Settings,
-		dropped:     o.Dropped,
-		now:         o.Now,
-		incarnation: newIncarnation(o.Now()),
-		startedAt:   o.Now(),
-		metrics:     metrics.New(),
+		deployment:   d,
+		log:          o.Logger.With("vm", d.VM),
+		settings:     o.Settings,
+		droppedLines: o.Dropped,
+		now:          o.Now,
+		incarnation:  newIncarnation(o.Now()),
+		startedAt:    o.Now(),
+		metrics:      metrics.New(),
 		decoder: platform.Decoder{
 			Regions: d.Regions,
 		},
-		gone: make(chan struct{}),
-		sent: placement.NewSent(),
-		late: placement.NewLate(),
+		stopped:      make(chan struct{}),
+		sentAway:     placement.NewSent(),
+		lateOutcomes: placement.NewLate(),
 	}
 	n.bounds.Store(&d.Bounds)
-	n.ring = timeline.New(timeline.Options{
+	n.timeline = timeline.New(timeline.Options{
 		VM:       d.VM,
-		Capacity: timelineEvents,
+		Capacity: timelineCapacity,
 		Now:      n.now,
 	})
 	n.store = platform.New(platform.Options{
 		URL:         d.StoreURL,
-		ReplyWithin: storeReplyWithin,
+		ReplyWithin: storeTimeout,
 		Now:         n.now,
 	})
 	n.transit = peer.NewTransit(n.now)
 	n.peers = peer.New(peer.Options{
 		Dial:       dialPeer,
-		CountBytes: n.countBytes,
+		CountBytes: n.countPeerBytes,
 		Now:        n.now,
 		Transit:    n.transit,
 
-		CountMessage: n.countMessage,
+		CountMessage: n.countPeerMessage,
 		Region:       d.Region,
 	})
-	n.client = endpoint.New(endpoint.Options{
+	n.endpointClient = endpoint.New(endpoint.Options{
 		Now:     n.now,
 		Dialect: platform.Dialect(),
 	})
@@ -175,30 +175,30 @@
 	}
 	n.control = newControl(n)
 	n.pools = newPools(n)
-	n.crashes = n.newCrashes()
+	n.quarantine = n.newQuarantineAgent()
 	n.meter = newMeter(n)
 	n.throttle = throttle.New(throttle.Options{
 		VM:        d.VM,
 		StartedAt: n.startedAt,
-		Changed:   n.limitChanged,
+		Changed:   n.endpointLimitChanged,
 	})
 	n.serving = n.newServing()
-	n.callers = n.newCallers()
+	n.callerServer = n.newCallerServer()
 	limitMemory(d.MemoryBytes)
 	if own != nil {
-		own.OnWake(n.woke)
+		own.OnWake(n.onResume)
 	}
 	return n
 }
 
 // countBytes counts those on the connections between VMs.
-func (n *Node) countBytes(sent, received int) {
+func (n *Node) countPeerBytes(sent, received int) {
 	n.metrics.Control(metrics.DirectionOut, sent)
 	n.metrics.Control(metrics.DirectionIn, received)
 }
 
 // countMessage counts those that this VM asked with and those that it was answered.
-func (n *Node) countMessage(kind string, far bool, sent, received int) {
+func (n *Node) countPeerMessage(kind string, far bool, sent, received int) {
 	n.metrics.ControlPayload(kind, far, sent, received)
 }
 
@@ -212,18 +212,18 @@
 }
 
 func limitMemory(bytes int64) {
-	debug.SetGCPercent(collectAt)
+	debug.SetGCPercent(gcPercent)
 	if bytes > 0 {
-		debug.SetMemoryLimit(int64(math.Round(float64(bytes) * memoryShare)))
+		debug.SetMemoryLimit(int64(math.Round(float64(bytes) * memoryLimitRatio)))
 	}
 }
 
 // peerDialWithin bounds a connection to another VM: one trip there and back
 // between the most distant regions, and a lost packet.
-const peerDialWithin = 700 * time.Millisecond
+const peerDialTimeout = 700 * time.Millisecond
 
 func dialPeer(ctx context.Context, addr string) (net.Conn, error) {
-	return tcp.Dialer(peerDialWithin).DialContext(ctx, "tcp", addr)
+	return tcp.Dialer(peerDialTimeout).DialContext(ctx, "tcp", addr)
 }
 
 func (n *Node) newServing() *serving.Server {
@@ -234,29 +234,29 @@
 		Pool:        n.pools.find,
 		Forward:     n.forward,
 		PlaceRouted: n.place,
-		Endpoint:    n.client,
-		Budget:      n.pools.budget(),
+		Endpoint:    n.endpointClient,
+		Budget:      n.pools.retryBudget(),
 		Crashes: serving.Crashes{
-			Admit:     n.crashes.Admit,
-			Cut:       n.crashes.Cut,
-			EndedWell: n.crashes.EndedWell,
+			Admit:     n.quarantine.Admit,
+			Cut:       n.quarantine.Cut,
+			EndedWell: n.quarantine.EndedWell,
 		},
 		Limits: serving.Limits{
-			Take:     n.takeLimit,
-			GiveBack: n.giveBackLimit,
+			Take:     n.chargeLimit,
+			GiveBack: n.refundLimit,
 		},
 		Throttle: serving.Throttle{
-			Take:       n.takePermit,
+			Take:       n.acquirePermit,
 			Sending:    n.usePermit,
-			Answered:   n.answeredRate,
-			ComeBackAt: n.comeBackAt,
+			Answered:   n.observeRate,
+			ComeBackAt: n.retryAt,
 		},
-		Ring:    n.ring,
+		Ring:    n.timeline,
 		Metrics: n.metrics,
 	})
 }
 
-func (n *Node) newCallers() *http.Server {
+func (n *Node) newCallerServer() *http.Server {
 	ingress := platform.NewIngress(platform.IngressOptions{
 		Now:    n.now,
 		Log:    n.log,
@@ -265,12 +265,12 @@
 		Draw:   mathrand.Uint64,
 		Serve:  n.serve,
 
-		Closing: n.leaving.Load,
+		Closing: n.draining.Load,
 	})
 	return &http.Server{
 		Handler:           ingress,
-		ReadHeaderTimeout: headerWithin,
-		IdleTimeout:       idleWithin,
+		ReadHeaderTimeout: readHeaderTimeout,
+		IdleTimeout:       idleTimeout,
 		MaxHeaderBytes:    maxHeaderBytes,
 		ErrorLog:          slog.NewLogLogger(n.log.Handler(), slog.LevelDebug),
 		ConnState:         n.countConn,
@@ -279,22 +279,22 @@
 
 // admit finds the terms of a request in the table in force.
 func (n *Node) admit(a route.Ask) (route.Terms, *result.Refusal) {
-	table := n.control.picture().table
+	table := n.control.snapshot().table
 	if table == nil {
-		return route.Terms{}, result.Refuse(result.NotReady, "no configuration is known yet").Until(n.now().Add(notReadyFor))
+		return route.Terms{}, result.Refuse(result.NotReady, "no configuration is known yet").Until(n.now().Add(notReadyRetryAfter))
 	}
-	if table.Keyed() && n.keysMayHaveEnded() {
-		return route.Terms{}, result.Refuse(result.NotReady, "VM %s has not heard of the store for too long to know which keys have ended", n.deployment.VM).Until(n.now().Add(notReadyFor))
+	if table.Keyed() && n.keysTooStale() {
+		return route.Terms{}, result.Refuse(result.NotReady, "VM %s has not heard of the store for too long to know which keys have ended", n.deployment.VM).Until(n.now().Add(notReadyRetryAfter))
 	}
 	return table.Admit(a)
 }
 
 // notReadyFor is when a VM without a configuration may be asked again: a read
 // of the store takes milliseconds.
-const notReadyFor = 300 * time.Millisecond
+const notReadyRetryAfter = 300 * time.Millisecond
 
 func (n *Node) limits() route.Limits {
-	table := n.control.picture().table
+	table := n.control.snapshot().table
 	if table == nil {
 		return route.Limits{}
 	}
@@ -303,16 +303,16 @@
 
 // ready reports whether this VM takes calls.
 func (n *Node) ready() bool {
-	return !n.leaving.Load() && n.control.picture().table != nil
+	return !n.draining.Load() && n.control.snapshot().table != nil
 }
 
 // entries returns the addresses of the VMs that a client may use: those of its region
 // that take calls, or those of others where none of the client's is known.
-func (n *Node) entries(l platform.Lookup) []string {
-	pic := n.control.picture()
-	vms := pic.members.Taking(l.Region)
+func (n *Node) entryAddrs(l platform.Lookup) []string {
+	snap := n.control.snapshot()
+	vms := snap.members.Taking(l.Region)
 	if len(vms) == 0 {
-		vms = n.entriesElsewhere(l.Host, pic)
+		vms = n.entryVMsElsewhere(l.Host, snap)
 	}
 	var out []string
 	for _, vm := range entry.Near(l.Addr, l.DataCentre, vms, platform.MaxEntries) {
@@ -323,13 +323,13 @@
 
 // entriesElsewhere returns VMs of other regions. Without a table none: which regions are
 // homes is not known yet, and a caller that gets no answer asks another VM.
-func (n *Node) entriesElsewhere(host string, pic *picture) []fleet.VM {
-	if pic.table == nil {
+func (n *Node) entryVMsElsewhere(host string, snap *snapshot) []fleet.VM {
+	if snap.table == nil {
 		return nil
 	}
 	var out []fleet.VM
-	for _, other := range entry.Elsewhere(n.deployment.Region, pic.table.Bound(host), pic.members.TakingRegions()) {
-		out = append(out, pic.members.Taking(other)...)
+	for _, other := range entry.Elsewhere(n.deployment.Region, snap.table.Bound(host), snap.members.TakingRegions()) {
+		out = append(out, snap.members.Taking(other)...)
 	}
 	return out
 }
@@ -349,16 +349,16 @@
 // Run listens and serves until ctx ends, and then stops gracefully.
 func (n *Node) Run(ctx context.Context) error {
 	var group run.Group
-	if err := n.addFronts(&group); err != nil {
+	if err := n.addServers(&group); err != nil {
 		return err
 	}
 	worker.Add(&group, n.control.run)
-	worker.Add(&group, n.readStore)
+	worker.Add(&group, n.followStore)
 	worker.Add(&group, n.pools.run)
-	worker.Add(&group, n.pools.tellUnread)
-	worker.Add(&group, n.crashes.Run)
-	worker.Add(&group, n.tellLimits)
-	worker.AddStop(ctx, &group, n.gone, n.stop)
+	worker.Add(&group, n.pools.sharePendingPrompts)
+	worker.Add(&group, n.quarantine.Run)
+	worker.Add(&group, n.sendLimitNotes)
+	worker.AddStop(ctx, &group, n.stopped, n.stop)
 	n.log.Info("started",
 		"region", n.deployment.Region,
 		"incarnation", n.incarnation,
@@ -367,11 +367,11 @@
 }
 
 // entriesGoodFor is how long callers may use an answer, within the platform's bound.
-func (n *Node) entriesGoodFor() time.Duration {
+func (n *Node) entriesTTL() time.Duration {
 	if bound := n.bounds.Load().EntriesGoodFor; bound > 0 {
-		return min(bound, entriesFor)
+		return min(bound, maxEntriesTTL)
 	}
-	return entriesFor
+	return maxEntriesTTL
 }
 
 // self is this VM as others are to reach it.
--- a/site/stop.go
+++ b/site/stop.go
@@ -13,33 +13,33 @@
 const (
 	// tellFor is how long a stopping VM still takes new connections: callers use
 	// an answer to where to connect for that long.
-	tellFor = 1200 * time.Millisecond
+	acceptGrace = 1200 * time.Millisecond
 	// stopMargin is what is left of the time to stop when connections are cut.
 	stopMargin = 400 * time.Millisecond
 	// defaultStopWithin stands in where the platform names no time.
-	defaultStopWithin = 8 * time.Second
+	defaultStopTimeout = 8 * time.Second
 )
 
 // stop ends the process gracefully: it tells peers and callers to go
 // elsewhere, and lets the calls in flight end.
 func (n *Node) stop() {
-	within := n.bounds.Load().StopWithin
-	if within <= 0 {
-		within = defaultStopWithin
+	timeout := n.bounds.Load().StopWithin
+	if timeout <= 0 {
+		timeout = defaultStopTimeout
 	}
-	begunAt := n.now()
-	deadline := begunAt.Add(within - stopMargin)
-	ctx, cancel := clock.WithDeadline(context.Background(), begunAt, deadline)
+	startedAt := n.now()
+	deadline := startedAt.Add(timeout - stopMargin)
+	ctx, cancel := clock.WithDeadline(context.Background(), startedAt, deadline)
 	defer cancel()
-	n.leaving.Store(true)
+	n.draining.Store(true)
 	n.log.Info("stopping", "in_flight", n.serving.InFlight())
 	n.control.send(ctx, func(c *control, _ time.Time) {
 		c.roster.Leave()
 	})
-	worker.SleepUntil(ctx, n.now(), n.now().Add(tellFor))
-	n.endConnections(ctx, begunAt.Add(min(idleFor, within/2)))
-	err := n.callers.Shutdown(ctx)
-	n.awaitIdle(ctx)
+	worker.SleepUntil(ctx, n.now(), n.now().Add(acceptGrace))
+	n.drainConnections(ctx, startedAt.Add(min(idleConnGrace, timeout/2)))
+	err := n.callerServer.Shutdown(ctx)
+	n.awaitInFlight(ctx)
 	n.log.Info("stopped", "in_flight", n.serving.InFlight(), "cut", err != nil)
 }
 
@@ -48,20 +48,20 @@
 // it says, and send on connections that they have. A connection that is closed
 // while a request is under way on it loses that: one request in 80 days was cut
 // when idle ones were closed after 1.2 s and 50 ms without a pause.
-const idleFor = 3*entriesFor + 400*time.Millisecond
+const idleConnGrace = 3*maxEntriesTTL + 400*time.Millisecond
 
 // endConnections takes no more connections, answers what comes on the others,
 // and closes them when callers use none any more: a server that is shut down
 // drops a request that it reads after that.
-func (n *Node) endConnections(ctx context.Context, idleUntil time.Time) {
-	if err := n.callersListener.Load().Stop(); err != nil {
+func (n *Node) drainConnections(ctx context.Context, idleDeadline time.Time) {
+	if err := n.callerListener.Load().Stop(); err != nil {
 		n.log.Warn("listener_failed", "reason", err.Error())
 	}
-	for n.openConns.Load() > 0 && ctx.Err() == nil && n.now().Before(idleUntil) {
-		worker.SleepUntil(ctx, n.now(), n.now().Add(idleEvery))
+	for n.openConns.Load() > 0 && ctx.Err() == nil && n.now().Before(idleDeadline) {
+		worker.SleepUntil(ctx, n.now(), n.now().Add(drainPollInterval))
 	}
-	n.awaitSteady(ctx, idleUntil.Add(steadyWithin))
-	n.callers.SetKeepAlivesEnabled(false)
+	n.awaitSteady(ctx, idleDeadline.Add(steadyTimeout))
+	n.callerServer.SetKeepAlivesEnabled(false)
 }
 
 const (
@@ -75,16 +75,16 @@
 	// steadySlack is how late a step may end in a process that runs.
 	steadySlack = 5 * time.Millisecond
 	// steadyWithin bounds the wait for that.
-	steadyWithin = 500 * time.Millisecond
+	steadyTimeout = 500 * time.Millisecond
 )
 
 // awaitSteady waits until the process has run without a pause for a while.
-func (n *Node) awaitSteady(ctx context.Context, by time.Time) {
-	for steps := 0; steps < steadySteps && ctx.Err() == nil && n.now().Before(by); {
-		until := n.now().Add(steadyStep)
-		worker.SleepUntil(ctx, n.now(), until)
+func (n *Node) awaitSteady(ctx context.Context, deadline time.Time) {
+	for steps := 0; steps < steadySteps && ctx.Err() == nil && n.now().Before(deadline); {
+		stepEnd := n.now().Add(steadyStep)
+		worker.SleepUntil(ctx, n.now(), stepEnd)
 		steps++
-		if n.now().Sub(until) > steadySlack {
+		if n.now().Sub(stepEnd) > steadySlack {
 			steps = 0
 		}
 	}
@@ -101,11 +101,11 @@
 }
 
 // idleEvery is how often a stopping VM looks whether its calls have ended.
-const idleEvery = 20 * time.Millisecond
+const drainPollInterval = 20 * time.Millisecond
 
 // awaitIdle waits for the calls that other VMs sent.
-func (n *Node) awaitIdle(ctx context.Context) {
+func (n *Node) awaitInFlight(ctx context.Context) {
 	for n.serving.InFlight() > 0 && ctx.Err() == nil {
-		worker.SleepUntil(ctx, n.now(), n.now().Add(idleEvery))
+		worker.SleepUntil(ctx, n.now(), n.now().Add(drainPollInterval))
 	}
 }
--- a/site/throttle.go
+++ b/site/throttle.go
@@ -13,27 +13,27 @@
 
 const (
 	// askPermitWithin bounds the question for one permit, within the region.
-	askPermitWithin = 100 * time.Millisecond
+	permitTimeout = 100 * time.Millisecond
 	// limitTellTo is how many VMs of the region are told at once of a new limit of an
 	// endpoint. They tell as many others.
-	limitTellTo = 8
+	endpointLimitFanout = 8
 )
 
 // takePermit asks for a permit to send one request to an endpoint. Without one it returns
 // when the endpoint takes the next.
-func (n *Node) takePermit(ctx context.Context, e fleet.Endpoint) (permit *throttle.Permit, opensAt time.Time) {
-	v := n.throttle.Take(e, n.control.picture().nearRegion(), n.now())
+func (n *Node) acquirePermit(ctx context.Context, e fleet.Endpoint) (permit *throttle.Permit, opensAt time.Time) {
+	v := n.throttle.Take(e, n.control.snapshot().throttleRegion(), n.now())
 	if v.Keeper != nil {
-		v = n.askPermit(ctx, v)
+		v = n.requestPermit(ctx, v)
 	}
 	return v.Permit, v.OpensAt
 }
 
 // askPermit has the VM decide that keeps an endpoint's rate.
-func (n *Node) askPermit(ctx context.Context, v throttle.Verdict) throttle.Verdict {
-	trip, cancel := context.WithTimeout(ctx, askPermitWithin)
+func (n *Node) requestPermit(ctx context.Context, v throttle.Verdict) throttle.Verdict {
+	timeoutCtx, cancel := context.WithTimeout(ctx, permitTimeout)
 	defer cancel()
-	a, err := n.peers.Permit(trip, *v.Keeper, v.Limit)
+	a, err := n.peers.Permit(timeoutCtx, *v.Keeper, v.Limit)
 	if err != nil && ctx.Err() != nil {
 		// The caller left, or others were asked for too long: that says nothing of this one.
 		return throttle.Verdict{
@@ -69,8 +69,8 @@
 }
 
 // decidePermit answers another VM's question for a permit.
-func (n *Node) decidePermit(l throttle.Limit) throttle.Answer {
-	return n.throttle.Ask(l, n.control.picture().nearRegion(), n.now())
+func (n *Node) handlePermitRequest(l throttle.Limit) throttle.Answer {
+	return n.throttle.Ask(l, n.control.snapshot().throttleRegion(), n.now())
 }
 
 // usePermit is asked right before the first byte of a request goes to an endpoint.
@@ -85,19 +85,19 @@
 }
 
 // comeBackAt is when a caller may come back for whom all endpoints of a service are closed.
-func (n *Node) comeBackAt(service string, endpointIDs []string, opensAt time.Time) time.Time {
-	return n.throttle.ComeBackAt(service, endpointIDs, opensAt, n.control.picture().nearRegion(), n.now())
+func (n *Node) retryAt(service string, endpointIDs []string, opensAt time.Time) time.Time {
+	return n.throttle.ComeBackAt(service, endpointIDs, opensAt, n.control.snapshot().throttleRegion(), n.now())
 }
 
 // mayAsk reports whether an endpoint may be asked for its load or health now, by a request
 // of its own.
-func (n *Node) mayAsk(ctx context.Context, e fleet.Endpoint, way throttle.Way) bool {
-	permit, _ := n.takePermit(ctx, e)
+func (n *Node) mayProbe(ctx context.Context, e fleet.Endpoint, way throttle.Way) bool {
+	permit, _ := n.acquirePermit(ctx, e)
 	return permit != nil && n.usePermit(e, permit, way) == nil
 }
 
 // answeredRate takes what an answer says of its endpoint's rate.
-func (n *Node) answeredRate(e fleet.Endpoint, r fleet.Rate, sentAt time.Time) {
+func (n *Node) observeRate(e fleet.Endpoint, r fleet.Rate, sentAt time.Time) {
 	if r.Unreadable {
 		n.log.Warn("endpoint_limit_unreadable", "endpoint", e.ID)
 	}
@@ -106,34 +106,34 @@
 
 // limitChanged logs a new limit of an endpoint, opens the endpoint if it has no limit
 // any more, and tells others of the region.
-func (n *Node) limitChanged(l throttle.Limit) {
+func (n *Node) endpointLimitChanged(l throttle.Limit) {
 	if l.Active {
 		n.log.Info("endpoint_limited", "endpoint", l.Endpoint, "incarnation", l.Incarnation, "per_second", l.PerSecond, "version", l.Version)
 	} else {
 		n.log.Info("endpoint_unlimited", "endpoint", l.Endpoint, "incarnation", l.Incarnation, "version", l.Version)
-		n.pools.open(l.Endpoint)
+		n.pools.reopen(l.Endpoint)
 	}
-	n.tellEndpointLimits()
+	n.spreadEndpointLimits()
 }
 
 // tellEndpointLimits tells others of the region what this VM has learnt. It may be called on the
 // control goroutine, which nothing may make wait: what is not told at once goes with the
 // next exchanges.
-func (n *Node) tellEndpointLimits() {
-	if !n.endpointLimitsDue.CompareAndSwap(false, true) {
+func (n *Node) spreadEndpointLimits() {
+	if !n.endpointLimitsPending.CompareAndSwap(false, true) {
 		return
 	}
-	told := n.control.inbox.Offer(func(c *control, now time.Time) {
-		n.endpointLimitsDue.Store(false)
-		c.spread(context.Background(), limitTellTo, now)
+	queued := n.control.inbox.Offer(func(c *control, now time.Time) {
+		n.endpointLimitsPending.Store(false)
+		c.spread(context.Background(), endpointLimitFanout, now)
 	})
-	if !told {
-		n.endpointLimitsDue.Store(false)
+	if !queued {
+		n.endpointLimitsPending.Store(false)
 	}
 }
 
 // endpointLimitsMessage lists limits of endpoints.
-func endpointLimitsMessage(limits []throttle.Limit) []*peerpb.EndpointLimit {
+func endpointLimitMessages(limits []throttle.Limit) []*peerpb.EndpointLimit {
 	out := make([]*peerpb.EndpointLimit, 0, len(limits))
 	for _, l := range limits {
 		out = append(out, peer.EndpointLimitMessage(l))
@@ -142,32 +142,32 @@
 }
 
 // open lets calls go to an endpoint that was closed.
-func (p *pools) open(endpointID string) {
+func (p *pools) reopen(endpointID string) {
 	for _, pool := range p.table.Load().byService {
 		pool.Endpoints.CloseUntil(endpointID, time.Time{})
 	}
 }
 
 // nearRegion is what the throttle needs to know of the members.
-func (pic *picture) nearRegion() throttle.Region {
+func (snap *snapshot) throttleRegion() throttle.Region {
 	return throttle.Region{
-		Near:  pic.fleet.Near,
-		Known: pic.fleet.Known,
+		Near:  snap.meteringFleet.Near,
+		Known: snap.meteringFleet.Known,
 	}
 }
 
 // takeEndpointLimits takes what another VM of the region says of endpoints' limits.
-func (c *control) takeEndpointLimits(list []*peerpb.EndpointLimit, now time.Time) {
+func (c *control) applyEndpointLimits(list []*peerpb.EndpointLimit, now time.Time) {
 	for _, m := range list {
 		c.node.throttle.Learn(peer.EndpointLimitFromMessage(m), now)
 	}
 }
 
 // forgetEndpointLimits drops the limits of endpoints that are gone.
-func (c *control) forgetEndpointLimits(endpoints []discovery.Ready, now time.Time) {
-	listed := make(map[string]bool, len(endpoints))
+func (c *control) pruneEndpointLimits(endpoints []discovery.Ready, now time.Time) {
+	published := make(map[string]bool, len(endpoints))
 	for _, e := range endpoints {
-		listed[e.ID] = true
+		published[e.ID] = true
 	}
-	c.node.throttle.Listed(func(id string) bool { return listed[id] }, now)
+	c.node.throttle.Listed(func(id string) bool { return published[id] }, now)
 }
