--- a/site/cold.go
+++ b/site/cold.go
@@ -10,13 +10,13 @@
 	"github.com/fuchsianotch/fuchsianotch/throttle"
 )
 
-// coldTellTo is how many VMs of the region are told at once that an endpoint is
-// cold; they tell as many others. Each request that still goes there counts
-// against a bound of a few a second.
+// coldFanout is the number of VMs of the region that are notified immediately of a cold
+// endpoint; each forwards the news to as many. A cold endpoint accepts only a few
+// requests per second, so stale VMs overload it.
 const coldFanout = 8
 
-// askCold asks an endpoint of a service that has cold ones whether it is cold.
-// The store tells it too, but not while it is away.
+// probeCold queries the health path of an endpoint to learn whether it is cold. The
+// store publishes this as well, except during a store outage.
 func (p *pools) probeCold(ctx context.Context, e fleet.Endpoint) {
 	table := p.node.control.snapshot().table
 	if table == nil {
@@ -52,8 +52,8 @@
 	c.node.log.Info("endpoint_cold", "endpoint", id, "left_ms", until.Sub(now).Milliseconds())
 }
 
-// takeCold takes what another VM says of cold endpoints, and tells others of
-// the region, once, if any of it is new.
+// applyCold merges cold endpoints reported by a peer and spreads those that were not
+// known yet.
 func (c *control) applyCold(ctx context.Context, list []*peerpb.ColdEndpoint, sentAt, now time.Time) {
 	changed := false
 	for _, m := range list {
@@ -68,7 +68,6 @@
 	}
 }
 
-// coldMessage lists those of some endpoints that are cold.
 func coldEndpointMessages(endpoints []discovery.Ready, now time.Time) []*peerpb.ColdEndpoint {
 	var out []*peerpb.ColdEndpoint
 	for _, e := range endpoints {
--- a/site/control.go
+++ b/site/control.go
@@ -15,36 +15,36 @@
 )
 
 const (
-	// inboxLength is how many messages may wait for the control goroutine.
+	// inboxCapacity bounds the commands queued for the control goroutine.
 	inboxCapacity = 256
-	// gossipEvery is the interval between two exchanges: with two misses, a
-	// suspicion of three intervals and the ways between regions, a lost VM counts
-	// as dead after about 3 s.
+	// gossipInterval is the interval between two exchanges. A lost VM is declared dead after
+	// about 3 s: two missed exchanges, a suspicion of three intervals and the inter-region
+	// latency.
 	gossipInterval = 500 * time.Millisecond
-	// defaultWay stands in for the time there and back to a region until an
-	// exchange has measured it: regions are some 100 ms apart as a rule.
+	// defaultRTT is the assumed round-trip time to a region before the first measurement.
 	defaultRTT = 200 * time.Millisecond
-	// wayWeight is the weight of one exchange in that time.
+	// rttSmoothing is the weight of a new sample in the moving average of the round-trip
+	// time.
 	rttSmoothing = 0.2
 )
 
-// message is one event for the control goroutine.
+// command runs on the control goroutine.
 type command func(c *control, now time.Time)
 
-// picture is what traffic reads. It never changes.
+// snapshot is the immutable state that request goroutines read.
 type snapshot struct {
 	table     *route.Table
 	endpoints []discovery.Ready
 	members   *roster.Picture
-	// fleet is what the meter needs to know of the members.
+	// meteringFleet holds the members as the limit meter sees them.
 	meteringFleet metering.Fleet
-	// loads are those of other regions by their own word, by service.
+	// regionLoads holds the latest load reports of other regions by service.
 	regionLoads map[string][]regionLoad
-	// revision is the store's revision that this VM holds.
+	// revision is the store revision that this VM has applied.
 	revision uint64
 }
 
-// control owns all control state. Only its goroutine touches it.
+// control owns all control state. Only the control goroutine accesses it.
 type control struct {
 	node        *Node
 	inbox       mailbox.Mailbox[command]
@@ -52,13 +52,14 @@
 	mirror      *discovery.Mirror
 	discovery   *discovery.State
 	regionLoads map[loadKey]regionLoad
-	// ways are the times there and back to other regions, as exchanges took.
+	// rtts holds the smoothed round-trip time to each other region.
 	rtts      map[string]time.Duration
 	published atomic.Pointer[snapshot]
-	// endpointsAt is when the endpoints change by themselves.
+	// nextEndpointChange is when the state of an endpoint next changes without a message.
 	nextEndpointChange time.Time
 	endpointsChanged   bool
-	// waking is what the roster said of a pause of the process at the last step.
+	// resuming is the result of roster.Waking at the previous step, to detect the
+	// transition.
 	resuming bool
 }
 
@@ -89,7 +90,7 @@
 	return c
 }
 
-// regionsOf returns the regions of all data centres.
+// regionsOf returns the distinct regions of all data centres.
 func regionsOf(byDataCentre map[string]string) []string {
 	var out []string
 	for _, region := range byDataCentre {
@@ -104,12 +105,13 @@
 	return c.published.Load()
 }
 
-// send passes a message to the control goroutine; it is lost when ctx ends first.
+// send queues a command for the control goroutine. The command is dropped if ctx ends
+// first.
 func (c *control) send(ctx context.Context, m command) bool {
 	return c.inbox.Send(ctx, m)
 }
 
-// ask has a question answered by the control goroutine.
+// query runs a request on the control goroutine and returns its result.
 func query[T any](ctx context.Context, c *control, request func(c *control, now time.Time) T) (T, error) {
 	return mailbox.Ask(ctx, c.inbox, func(reply chan<- T) command {
 		return func(c *control, now time.Time) {
@@ -118,7 +120,7 @@
 	})
 }
 
-// run takes messages and exchanges rumors when that is due.
+// run executes commands and starts gossip exchanges as they fall due.
 func (c *control) run(ctx context.Context) error {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -138,7 +140,7 @@
 	}
 }
 
-// next is when the state changes by itself.
+// nextDeadline returns when the state next changes without a command.
 func (c *control) nextDeadline(now time.Time) time.Time {
 	deadline := c.roster.Next(now)
 	if !c.nextEndpointChange.IsZero() && c.nextEndpointChange.Before(deadline) {
@@ -147,7 +149,7 @@
 	return deadline
 }
 
-// publish makes the state visible to traffic.
+// publish replaces the snapshot and notifies the components that depend on it.
 func (c *control) publish(now time.Time) {
 	if !c.nextEndpointChange.IsZero() && !now.Before(c.nextEndpointChange) {
 		c.endpointsChanged = true
@@ -188,12 +190,13 @@
 	c.logChanges(before, after)
 }
 
-// endpointCount is how many endpoints of one service take work.
+// endpointCount counts the endpoints of one service that accept work.
 type endpointCount struct {
 	warm, cold int
 }
 
-// reportEndpoints logs the services of the own region whose endpoints changed.
+// logEndpointChanges logs the services of the local region whose endpoint counts
+// changed.
 func (c *control) logEndpointChanges(before, after *snapshot) {
 	beforeCounts, afterCounts := c.countEndpoints(before), c.countEndpoints(after)
 	for service, count := range afterCounts {
@@ -224,7 +227,7 @@
 	return out
 }
 
-// tookWay notes how long an exchange with a region took.
+// observeRTT adds a measurement of the round-trip time to a region.
 func (c *control) observeRTT(region string, measured time.Duration) {
 	known, ok := c.rtts[region]
 	if !ok {
@@ -241,7 +244,7 @@
 	return defaultRTT
 }
 
-// reportChanges logs what this VM believes differently.
+// logChanges logs changes of the configuration and of the members.
 func (c *control) logChanges(before, after *snapshot) {
 	if before.table != after.table {
 		c.node.log.Info("configuration_taken", "version", after.table.Version, "revision", after.revision)
@@ -265,7 +268,7 @@
 	}
 }
 
-// take applies changes of the store, wherever they came from.
+// applyItems applies store changes, whether read from the store or pulled from a peer.
 func (c *control) applyItems(items []discovery.Item, now time.Time) {
 	for _, item := range items {
 		change, err := c.node.decoder.Decode(item)
--- a/site/entries_test.go
+++ b/site/entries_test.go
@@ -13,8 +13,8 @@
 	"github.com/fuchsianotch/fuchsianotch/settings"
 )
 
-// TestEntriesWithoutTable holds that a VM which has just started leads no caller to
-// another region before it knows which regions are homes of the caller's routes.
+// TestEntriesWithoutTable checks that a VM without a configuration directs no caller to
+// another region, since it does not know the home regions of the routes yet.
 func TestEntriesWithoutTable(t *testing.T) {
 	now := time.Unix(1e9, 0)
 	n := New(Options{
--- a/site/fleet_test.go
+++ b/site/fleet_test.go
@@ -18,15 +18,15 @@
 	"github.com/fuchsianotch/fuchsianotch/settings"
 )
 
-// The sizes of the fleet that the benchmarks play: three regions of 98 VMs, of which
-// one has half of the engines.
+// Size of the benchmark fleet: three regions of 98 VMs, one of which has half of the
+// engines.
 const (
 	fleetVMs     = 294
 	fleetEngines = 160
 	fleetPrompts = 3000
 )
 
-// newFleetNode is a VM of such a fleet that knows all of it.
+// newFleetNode returns a VM that knows all members and endpoints of the benchmark fleet.
 func newFleetNode(now func() time.Time) *Node {
 	n := New(Options{
 		Deployment: &platform.Deployment{
@@ -60,7 +60,8 @@
 	return n
 }
 
-// fillPool lets the pool know of prompts and reports as after some seconds of traffic.
+// fillPool populates the pool with prefixes and load reports, as after some seconds of
+// traffic.
 func (n *Node) fillPool(now time.Time) {
 	pool := n.pools.table.Load().byService["s"].Endpoints
 	var holdings []routing.Holding
@@ -105,7 +106,7 @@
 	return out
 }
 
-// asked has a VM take a question as it comes over the wire, and gives the answer's bytes.
+// gossipRoundTrip passes an encoded request to a node and returns the encoded answer.
 func gossipRoundTrip(tb testing.TB, n *Node, request *peerpb.GossipMessage, now time.Time) []byte {
 	tb.Helper()
 	data, err := proto.Marshal(request)
@@ -120,11 +121,8 @@
 	return answer
 }
 
-// BenchmarkExchange answers the questions of other VMs of the region, of which each VM
-// gets two a second: 1.49 ms, 24 KB on the wire and 887 KB allocated with all rumors
-// in each answer, all prefixes looked through for the few that are told and the members
-// put together each time; 0.17 ms, 2.7 KB and 68 KB without, and with the loads of
-// engines told apart.
+// BenchmarkExchange measures how a VM answers a gossip request of its region and the
+// size of the answer.
 func BenchmarkExchange(b *testing.B) {
 	now := time.Unix(1e9, 0)
 	clock := func() time.Time { return now }
@@ -139,7 +137,7 @@
 	b.ReportMetric(float64(bytes), "bytes/answer")
 }
 
-// TestFleetNode keeps the fleet above what the benchmark takes it for.
+// TestFleetNode checks that the benchmark fleet has the intended size.
 func TestFleetNode(t *testing.T) {
 	now := time.Unix(1e9, 0)
 	n := newFleetNode(func() time.Time { return now })
--- a/site/forward.go
+++ b/site/forward.go
@@ -17,11 +17,12 @@
 	"github.com/fuchsianotch/fuchsianotch/settings"
 )
 
-// forwardGrace is how much longer than a call's own deadline a forward is
-// waited for, so that the far VM's outcome arrives rather than a timeout.
+// forwardGrace extends the timeout of a forward beyond the deadline of the call, so that
+// the outcome of the remote VM arrives rather than a local timeout.
 const forwardGrace = 250 * time.Millisecond
 
-// forward runs a call on another VM and tells the control goroutine of a lost one.
+// forward runs a call on another VM and reports an unreachable VM to the control
+// goroutine.
 func (n *Node) forward(ctx context.Context, vm fleet.VM, c *call.Call, sink call.Sink) call.Outcome {
 	timeoutCtx, cancel := clock.WithDeadline(ctx, n.now(), c.WholeBy.Add(forwardGrace))
 	defer cancel()
@@ -30,7 +31,7 @@
 		Call: peer.CallMessage(n.withRemoteObjective(c, vm), n.now()),
 	}, sink, func(uint64) {})
 	if ctx.Err() != nil && outcome.Code == result.PeerLost {
-		return call.Refused(result.Refuse(result.EndpointTimeout, "VM %s had the call as its time ended or the caller left", vm.ID).Because(ctx.Err()))
+		return call.Refused(result.Refuse(result.EndpointTimeout, "deadline exceeded or caller disconnected while VM %s ran the call", vm.ID).Because(ctx.Err()))
 	}
 	if ctx.Err() == nil && outcome.Code == result.PeerUnreachable {
 		n.control.send(ctx, func(c *control, now time.Time) {
@@ -40,10 +41,8 @@
 	return outcome
 }
 
-// asSeenAway is a call as a VM of another region gets it: the way there and back is
-// taken from its objective, as what is told of deadlines does not count the way.
-// Without this the mean worth of five days with faults was 0.7168 in place of
-// 0.7203: what was expected in time there came late here.
+// withRemoteObjective returns a copy of the call with the round-trip time deducted from
+// its time to first token, as the remote VM measures deadlines without network latency.
 func (n *Node) withRemoteObjective(c *call.Call, vm fleet.VM) *call.Call {
 	if c.FirstBy.IsZero() {
 		return c
@@ -61,7 +60,7 @@
 	}
 }
 
-// handlers are this VM's answers to its peers.
+// peerHandlers returns the handlers for requests of other VMs.
 func (n *Node) peerHandlers() peer.Handlers {
 	return peer.Handlers{
 		Gossip:    n.handleGossip,
@@ -81,8 +80,8 @@
 	}
 }
 
-// serveForwarded runs a call that another VM sent. A newer table than the
-// sender's may have moved its route, so the call then goes where that says.
+// serveForwarded runs a call that another VM sent. If this VM has a newer routing table
+// than the sender, the call is admitted again under that table.
 func (n *Node) serveForwarded(ctx context.Context, _ *peerpb.Identity, c *call.Call, sink call.Sink) call.Outcome {
 	table := n.control.snapshot().table
 	if c.Kind != call.KindRouted || table == nil {
@@ -103,11 +102,11 @@
 }
 
 func (n *Node) notServed() *result.Refusal {
-	return result.Refuse(result.NotReady, "VM %s does not serve the call", n.deployment.VM)
+	return result.Refuse(result.NotReady, "VM %s does not serve this call", n.deployment.VM)
 }
 
-// judgeAnew puts a call under a table that is newer than its sender's: its key may
-// have been taken away, and its route may lead elsewhere.
+// readmit repeats admission under a newer table than the sender's: the key may have been
+// revoked, or the route may lead to another service.
 func (n *Node) readmit(c *call.Call, table *route.Table) *result.Refusal {
 	path, _, _ := strings.Cut(c.Path, "?")
 	terms, refusal := table.Admit(route.Ask{
@@ -123,7 +122,7 @@
 		service = terms.Route.Pick(rand.Uint64())
 	}
 	if service == "" {
-		return result.Refuse(result.NotReady, "VM %s has a newer table without the route", n.deployment.VM)
+		return result.Refuse(result.NotReady, "VM %s has a newer routing table without this route", n.deployment.VM)
 	}
 	c.Service = service
 	c.Routed.Homes = terms.Homes
@@ -135,11 +134,8 @@
 	return nil
 }
 
-// yields reports whether a call that another VM sent can no longer be on time here.
-// That VM knows what this region said a second ago; this one knows what its engines
-// have to read now. Where the sender decided, the mean worth of five days with
-// faults was 0.7156 in place of 0.7203, of the heaviest one 0.554 in place of 0.565
-// (eight plays a day).
+// isLate reports whether a forwarded call can no longer meet its deadline here. The
+// receiver decides because its view of the local engines is newer than the sender's.
 func (n *Node) isLate(c *call.Call) bool {
 	now := n.now()
 	return n.settings.Has(settings.Yielding) && placement.Yields(n.localLoad(c, now), c.FirstBy, now)
--- a/site/freshness.go
+++ b/site/freshness.go
@@ -4,9 +4,9 @@
 	"time"
 )
 
-// keysMayHaveEnded reports whether a key may have been taken away without this VM
-// knowing, for longer than the operators allow. Where they allow it for as long as the
-// store cannot be read, the last table counts.
+// keysTooStale reports whether this VM has gone without confirmation from the store for
+// longer than operators allow for the revocation of a key. Without such a bound the last
+// table stays valid.
 func (n *Node) keysTooStale() bool {
 	bound := n.bounds.Load().KeysEndWithin
 	if bound <= 0 {
@@ -16,7 +16,8 @@
 	return at == 0 || n.now().Sub(time.Unix(0, at)) > bound
 }
 
-// completeAsOf takes that this VM holds all that the store held at a moment.
+// advanceFreshness records that this VM holds everything the store held at the given
+// time. The recorded time never goes back.
 func (n *Node) advanceFreshness(at time.Time) {
 	for {
 		current := n.freshAsOf.Load()
@@ -26,7 +27,8 @@
 	}
 }
 
-// completeMilli is completeAt as messages tell it.
+// freshnessAgeMs returns the age of freshAsOf plus one millisecond, as encoded in
+// messages; zero means unknown.
 func (n *Node) freshnessAgeMs(now time.Time) uint32 {
 	at := n.freshAsOf.Load()
 	if at == 0 {
@@ -35,15 +37,16 @@
 	return uint32(max(now.Sub(time.Unix(0, at)).Milliseconds(), 0)) + 1
 }
 
-// heardComplete takes another VM's word: this VM is as complete if it holds as much.
+// applyPeerFreshness adopts the freshness of a peer if this VM holds at least the peer's
+// revision.
 func (c *control) applyPeerFreshness(revision uint64, ageMs uint32, sentAt time.Time) {
 	if ageMs > 0 && c.mirror.Revision() >= revision {
 		c.node.advanceFreshness(sentAt.Add(-time.Duration(ageMs-1) * time.Millisecond))
 	}
 }
 
-// watchWithin bounds one wait for changes of the store: where keys must end soon, the
-// word that nothing changed has to come often.
+// watchTimeout bounds one wait for store changes. A bound on key revocation shortens it,
+// so that the absence of changes is confirmed often enough.
 func (n *Node) watchTimeout() time.Duration {
 	bound := n.bounds.Load().KeysEndWithin
 	if bound <= 0 {
@@ -52,5 +55,5 @@
 	return min(maxWatchTimeout, bound/watchesPerKeyBound)
 }
 
-// watchesWithin is how often the store is heard within the time in which keys end.
+// watchesPerKeyBound is the least number of watches within the bound on key revocation.
 const watchesPerKeyBound = 4
--- a/site/freshness_test.go
+++ b/site/freshness_test.go
@@ -14,14 +14,14 @@
 	"github.com/fuchsianotch/fuchsianotch/route"
 )
 
-// endsCase is a call with a key that comes some milliseconds after this VM last heard,
-// itself or from another VM, what the store holds.
+// keyRevocationCase is a call with a key, received some time after this VM last
+// confirmed what the store holds, directly or through a peer.
 type keyRevocationCase struct {
 	Name string
-	// WithinMs is the time in which keys must end, zero where the last table counts.
+	// WithinMs bounds the time until a revoked key is refused; zero means unbounded.
 	WithinMs int64 `json:"within_ms"`
-	// OwnMs is when this VM read the store last, HeardMs when another VM told that it was
-	// complete AgeMs before, at a revision that is Ahead of this VM's.
+	// OwnMs is the time of the last read. At HeardMs a peer reports freshness of AgeMs at a
+	// revision Ahead of the local one.
 	OwnMs   int64 `json:"own_ms"`
 	HeardMs int64 `json:"heard_ms"`
 	AgeMs   int64 `json:"age_ms"`
@@ -30,8 +30,8 @@
 	Refused bool
 }
 
-// TestKeysEnd holds that a VM which does not hear of the store serves no keys for longer
-// than the operators allow, where they bound that, and serves on where they do not.
+// TestKeysEnd checks that a VM without confirmation from the store refuses keys after
+// the configured bound, and continues to accept them if no bound is set.
 func TestKeysEnd(t *testing.T) {
 	for _, c := range datatest.Read[[]keyRevocationCase](t, "testdata/keys_end.json") {
 		t.Run(c.Name, func(t *testing.T) {
@@ -67,7 +67,8 @@
 	}
 }
 
-// TestCompleteWatch holds that a watch tells of the moment up to which it surely waited.
+// TestWatchFreshness checks that a watch advances the freshness to its deadline only if
+// it waited until then without any change.
 func TestWatchFreshness(t *testing.T) {
 	startedAt := time.Unix(1e9, 0)
 	deadline := startedAt.Add(time.Second)
--- a/site/gauges.go
+++ b/site/gauges.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// measure brings the gauges up to date for one question for the metrics.
+// updateGauges refreshes the gauges before a scrape.
 func (n *Node) updateGauges() {
 	snap := n.control.snapshot()
 	reached, suspected := make(map[string]int), make(map[string]int)
@@ -37,7 +37,7 @@
 	}
 }
 
-// current notes that this VM holds what the store or its reader holds.
+// markInSync records that this VM has the revision of the store or of its reader.
 func (n *Node) markInSync() {
 	n.inSyncAt.Store(n.now().UnixNano())
 }
--- a/site/gossip.go
+++ b/site/gossip.go
@@ -15,12 +15,13 @@
 )
 
 const (
-	// exchangeWithin bounds one exchange: the way there and back between regions
-	// with a new connection, several times over.
+	// exchangeTimeout bounds one exchange; it covers several inter-region round trips and a
+	// new connection.
 	exchangeTimeout = time.Second
 )
 
-// question begins an exchange with a VM of a region.
+// gossipRequest builds the message that starts an exchange with a VM of the given
+// region.
 func (c *control) gossipRequest(region string, now time.Time) *peerpb.GossipMessage {
 	m := c.gossipMessage(region, c.roster.Recent(now), now)
 	digest := c.roster.Digest()
@@ -28,8 +29,8 @@
 	return m
 }
 
-// brief is what is told at once when something changed. It holds what other VMs must
-// not act without, and not the loads and prefixes that make up most of a message.
+// urgentMessage builds the message that is sent immediately after a change. It omits the
+// loads and prefixes, which make up most of a full message.
 func (c *control) urgentMessage(region string, now time.Time) *peerpb.GossipMessage {
 	m := &peerpb.GossipMessage{
 		From:              rumorMessage(c.roster.Self()),
@@ -46,14 +47,15 @@
 	return m
 }
 
-// heldHere are the endpoints of the own region that are cold or do not answer.
+// localUnavailable returns the endpoints of the local region that are cold or
+// unreachable.
 func (c *control) localUnavailable(now time.Time) []discovery.Ready {
 	return slices.DeleteFunc(c.discovery.Held(now), func(e discovery.Ready) bool {
 		return e.Region != c.node.deployment.Region
 	})
 }
 
-// message is this VM's side of an exchange, with rumors of members.
+// gossipMessage builds a full message with rumors about members.
 func (c *control) gossipMessage(region string, rumors []roster.Rumor, now time.Time) *peerpb.GossipMessage {
 	m := c.urgentMessage(region, now)
 	if region == c.node.deployment.Region {
@@ -70,7 +72,7 @@
 	return m
 }
 
-// exchange sends this VM's message to a target and takes the answer.
+// exchangeGossip sends a message to a target and applies the reply.
 func (n *Node) exchangeGossip(ctx context.Context, target roster.Target, m *peerpb.GossipMessage) {
 	timeoutCtx, cancel := context.WithTimeout(ctx, exchangeTimeout)
 	defer cancel()
@@ -88,7 +90,8 @@
 	})
 }
 
-// missed records that a VM did not answer.
+// recordFailure records that a VM did not answer. A refused connection means that its
+// process has ended.
 func (c *control) recordFailure(vm fleet.VM, err error, now time.Time) {
 	if vm.ID == "" {
 		return
@@ -100,8 +103,8 @@
 	c.roster.Missed(vm.ID, now)
 }
 
-// heard takes a message that was sent at a moment: its ages and what is left of
-// times count from there.
+// applyGossip merges a message from a peer. Ages and remaining times in it are relative
+// to sentAt.
 func (c *control) applyGossip(ctx context.Context, m *peerpb.GossipMessage, sentAt, now time.Time) {
 	rumors := make([]roster.Rumor, 0, len(m.GetRumors()))
 	for _, r := range m.GetRumors() {
@@ -127,7 +130,7 @@
 	}
 }
 
-// answerGossip takes a peer's message and gives this VM's.
+// handleGossip merges a request from a peer and returns the reply.
 func (n *Node) handleGossip(ctx context.Context, in *peerpb.GossipMessage) (*peerpb.GossipMessage, error) {
 	sentAt := n.sentAt(in)
 	return query(ctx, n.control, func(c *control, now time.Time) *peerpb.GossipMessage {
@@ -143,7 +146,8 @@
 	})
 }
 
-// digestOf reads a question's digest; one of another form differs everywhere.
+// digestOf returns the digest of a request. One of unexpected length is replaced by the
+// zero digest, which differs in every non-empty bucket.
 func digestOf(m *peerpb.GossipMessage) roster.Digest {
 	var d roster.Digest
 	if len(m.GetDigest()) == len(d) {
@@ -152,17 +156,17 @@
 	return d
 }
 
-// sentAt is when a peer's message was sent, by this VM's clock.
+// sentAt returns when a peer sent a message, on the local clock.
 func (n *Node) sentAt(m *peerpb.GossipMessage) time.Time {
 	from := m.GetFrom()
 	return n.transit.SentAt(from.GetVm(), from.GetIncarnation(), m.GetSentUs())
 }
 
-// spreadTo is how many VMs of the region are told of a change at once: the
-// rumor then reaches 30 of them in three steps of a few milliseconds.
+// gossipFanout is the number of VMs of the region that are notified immediately of store
+// changes.
 const gossipFanout = 2
 
-// takeNew takes changes and tells some others of the region that there are any.
+// applyAndSpread applies store changes and notifies other VMs of the region.
 func (c *control) applyAndSpread(ctx context.Context, items []discovery.Item, now time.Time) {
 	if len(items) == 0 {
 		return
@@ -171,7 +175,7 @@
 	c.spread(ctx, gossipFanout, now)
 }
 
-// spread tells some other VMs of the region at once what must not wait.
+// spread sends an urgent message to random VMs of the region.
 func (c *control) spread(ctx context.Context, count int, now time.Time) {
 	for _, target := range c.roster.Spread(count) {
 		go c.node.exchangeGossip(ctx, target, c.urgentMessage(target.VM.Region, now))
--- a/site/holdings.go
+++ b/site/holdings.go
@@ -8,34 +8,34 @@
 )
 
 const (
-	// holdingNew is how recent a use must be to be told: what is older was told
-	// in the exchanges before.
+	// holdingMaxAge bounds how long ago an advertised prefix was last used; earlier
+	// exchanges covered older uses.
 	holdingMaxAge = 1500 * time.Millisecond
-	// farHoldingNew is the same for uses in other regions, of which only a few VMs
-	// hear at first: 30 VMs pass them on to all in some three seconds.
+	// remoteHoldingMaxAge is the same for prefixes of other regions. It is longer as only a
+	// few VMs receive them first and pass them on.
 	remoteHoldingMaxAge = 3 * time.Second
-	// holdingsSent bounds the entries of one message to another region, at some 40
-	// bytes each, and ownHoldingsSent those of one within the region.
+	// maxCrossRegionHoldings and maxRegionHoldings bound the prefixes in one message to
+	// another region and within the region, at about 40 bytes each.
 	maxCrossRegionHoldings = 32
 	maxRegionHoldings      = 64
 )
 
-// ownHoldings tell another VM of this region which of its engines were sent which
-// shared beginnings of prompts of late, so that others can fetch from them.
+// regionHoldings lists prompt prefixes recently sent to engines of this region for other
+// VMs of the region, whose engines can fetch them.
 func (p *pools) regionHoldings(now time.Time) []*peerpb.PrefixHolding {
 	return p.holdingMessages(maxRegionHoldings, now, func(pool *pool) []routing.Holding {
 		return pool.Endpoints.Holdings(routing.HoldingLeast, now.Add(-holdingMaxAge), maxRegionHoldings)
 	})
 }
 
-// holdings tell the same, as far as it is worth it, to a VM of another region.
+// crossRegionHoldings lists prefixes long enough to be fetched from another region.
 func (p *pools) crossRegionHoldings(now time.Time) []*peerpb.PrefixHolding {
 	return p.holdingMessages(maxCrossRegionHoldings, now, func(pool *pool) []routing.Holding {
 		return pool.Endpoints.Holdings(routing.FarHoldingLeast, now.Add(-holdingMaxAge), maxCrossRegionHoldings)
 	})
 }
 
-// farHoldings tell another VM of this region the same of other regions.
+// remoteHoldings lists prefixes held in other regions for VMs of this region.
 func (p *pools) remoteHoldings(now time.Time) []*peerpb.PrefixHolding {
 	return p.holdingMessages(maxCrossRegionHoldings, now, func(pool *pool) []routing.Holding {
 		return pool.Endpoints.FarHoldings(now.Add(-remoteHoldingMaxAge), maxCrossRegionHoldings)
--- a/site/keys_test.go
+++ b/site/keys_test.go
@@ -17,8 +17,8 @@
 	"github.com/fuchsianotch/fuchsianotch/route"
 )
 
-// judgedCase is a call that another VM admitted under an older table, and what the
-// newer one makes of it.
+// readmitCase is a call admitted by another VM under an older table, and its outcome
+// under the newer one.
 type readmitCase struct {
 	Name       string
 	Keys       []string
@@ -32,8 +32,8 @@
 	Rank       int
 }
 
-// TestJudgeAnew holds that a VM with a newer table judges a call that another VM sent
-// by its own: a key that was taken away serves nowhere that knows of it.
+// TestJudgeAnew checks that a VM with a newer table admits a forwarded call by its own
+// table, so that a revoked key is refused.
 func TestJudgeAnew(t *testing.T) {
 	now := time.Unix(1e9, 0)
 	n := newFleetNode(func() time.Time { return now })
@@ -80,7 +80,7 @@
 	})
 }
 
-// TestKeyStays holds that no message to another VM carries a caller's key.
+// TestKeyStays checks that messages to other VMs contain no API key.
 func TestKeyStays(t *testing.T) {
 	const key = "m68k7b2ex5wa5xwyhks8"
 	m, err := proto.Marshal(peer.CallMessage(routedCall(key), time.Unix(1e9, 0)))
--- a/site/limits.go
+++ b/site/limits.go
@@ -12,11 +12,12 @@
 )
 
 const (
-	// askLimitWithin bounds the question for one call, within the region.
+	// limitRequestTimeout bounds the request to charge one call, within the region.
 	limitRequestTimeout = 150 * time.Millisecond
-	// tellLimitsWithin bounds one note: a new connection between the most distant regions.
+	// limitNoteTimeout bounds one note, including a new connection between the most distant
+	// regions.
 	limitNoteTimeout = time.Second
-	// notesPause gathers uses that come together into one note.
+	// minLimitNoteInterval is the least time between two rounds of notes, to batch uses.
 	minLimitNoteInterval = 20 * time.Millisecond
 )
 
@@ -34,7 +35,7 @@
 	})
 }
 
-// limited returns the workspace of a call that counts against a limit.
+// limitedWorkspace returns the workspace of a call if the call counts against a limit.
 func (snap *snapshot) limitedWorkspace(c *call.Call) (*route.Workspace, bool) {
 	if c.Workspace == "" || c.Routed.Cost <= 0 || snap.table == nil {
 		return nil, false
@@ -42,7 +43,7 @@
 	return snap.table.Workspace(c.Workspace)
 }
 
-// takeLimit charges a call to the limit of its workspace.
+// chargeLimit charges a call to the limit of its workspace.
 func (n *Node) chargeLimit(ctx context.Context, c *call.Call) *result.Refusal {
 	snap := n.control.snapshot()
 	w, ok := snap.limitedWorkspace(c)
@@ -59,7 +60,8 @@
 	return verdict.Refusal
 }
 
-// askKeeper has the VM that keeps a limit decide on a call.
+// requestCharge asks the VM that keeps a limit to charge a call. Without an answer the
+// charge is decided locally.
 func (n *Node) requestCharge(ctx context.Context, w *route.Workspace, keeper fleet.VM, cost float64) metering.Verdict {
 	timeoutCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), limitRequestTimeout)
 	defer cancel()
@@ -80,7 +82,7 @@
 	return n.meter.Answered(w, cost, reply.Answers[0])
 }
 
-// giveBackLimit returns what a call was charged that certainly did not run.
+// refundLimit returns the charge of a call that did not run.
 func (n *Node) refundLimit(c *call.Call) {
 	snap := n.control.snapshot()
 	if w, ok := snap.limitedWorkspace(c); ok {
@@ -88,7 +90,7 @@
 	}
 }
 
-// tellLimits sends notes as they fall due, until ctx ends.
+// sendLimitNotes sends usage notes to other VMs as they fall due, until ctx ends.
 func (n *Node) sendLimitNotes(ctx context.Context) error {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -122,7 +124,7 @@
 	n.meter.Sent(note, reply, n.now())
 }
 
-// takeLimits answers another VM's note.
+// handleLimitNote answers a usage note of another VM.
 func (n *Node) handleLimitNote(note metering.Note) metering.Reply {
 	snap := n.control.snapshot()
 	if snap.table == nil {
@@ -131,7 +133,7 @@
 	return n.meter.Receive(note, snap.table, snap.meteringFleet, n.now())
 }
 
-// fleet is what the meter needs to know of the members.
+// buildMeteringFleet derives the members as the limit meter needs them.
 func (c *control) buildMeteringFleet(snap *snapshot) metering.Fleet {
 	own := c.node.deployment.Region
 	out := metering.Fleet{
--- a/site/loads.go
+++ b/site/loads.go
@@ -9,26 +9,25 @@
 )
 
 const (
-	// usualPrompt is the prompt, in tokens, for which a region tells others its
-	// time to the first token.
+	// referencePromptTokens is the prompt length for which regions report their time to
+	// first token.
 	referencePromptTokens = 1000
-	// loadGoodFor is how long a region's word about its load is used: a region that
-	// is lost must not be sent calls for longer.
+	// regionLoadTTL is how long the load report of a region is used, which bounds how long
+	// calls are sent to a region that was lost.
 	regionLoadTTL = 4 * time.Second
 )
 
-// regionLoad is a region's load with the time of the word.
+// regionLoad is the load that a region reported, and when.
 type regionLoad struct {
 	placement.Load
-	// token is the time for each generated token there, and readsPerSecond how many
-	// prompt tokens an endpoint reads in a second.
-	timePerToken           time.Duration
+	timePerToken time.Duration
+	// prefillTokensPerSecond is the prefill speed of one endpoint.
 	prefillTokensPerSecond float64
 	reportedAt             time.Time
 }
 
-// wayTo is the time there and back to a region that told its load of a service;
-// zero for the own region and one that told nothing.
+// rttTo returns the round-trip time to a region that reported a load for the service, or
+// zero.
 func (snap *snapshot) rttTo(service, region string) time.Duration {
 	for _, l := range snap.regionLoads[service] {
 		if l.Region == region {
@@ -43,8 +42,8 @@
 	service string
 }
 
-// takeLoads takes what regions say of themselves, or what another VM of this
-// region has heard of them.
+// applyRegionLoads merges load reports of other regions, received directly or through
+// VMs of this region.
 func (c *control) applyRegionLoads(loads []*peerpb.RegionLoad, sentAt time.Time) {
 	for _, l := range loads {
 		if l.GetRegion() == c.node.deployment.Region {
@@ -71,7 +70,7 @@
 	}
 }
 
-// loadsByService returns the loads that still count.
+// regionLoadsByService returns the unexpired load reports and drops the others.
 func (c *control) regionLoadsByService(now time.Time) map[string][]regionLoad {
 	out := make(map[string][]regionLoad)
 	for key, load := range c.regionLoads {
@@ -85,7 +84,7 @@
 	return out
 }
 
-// loadsMessage tells the other VMs of this region what is known of the others.
+// remoteLoadMessages lists the load reports of other regions for VMs of this region.
 func (c *control) remoteLoadMessages(now time.Time) []*peerpb.RegionLoad {
 	var out []*peerpb.RegionLoad
 	for key, load := range c.regionLoads {
@@ -106,7 +105,7 @@
 	return out
 }
 
-// loads tells other regions how this one can serve each service.
+// localLoadMessages lists the load of this region by service for VMs of other regions.
 func (p *pools) localLoadMessages(now time.Time) []*peerpb.RegionLoad {
 	var out []*peerpb.RegionLoad
 	for service, pool := range p.table.Load().byService {
--- a/site/loads_test.go
+++ b/site/loads_test.go
@@ -30,8 +30,8 @@
 	}}
 }
 
-// TestLoadsPassedOn holds that one VM's word on another region reaches the next
-// one with its age, and that the word of the own region is not taken from others.
+// TestLoadsPassedOn checks that a relayed load report keeps its age, and that reports
+// about the local region are ignored.
 func TestLoadsPassedOn(t *testing.T) {
 	now := time.Unix(1e9, 0)
 	asker, other := newTestControl("a"), newTestControl("a")
@@ -49,8 +49,8 @@
 	assert.Equal(t, len(asker.remoteLoadMessages(now.Add(regionLoadTTL))), 0)
 }
 
-// TestLoadsNewer holds that an older word does not replace a newer one, and that
-// a word which two VMs tell each other over and over ends all the same.
+// TestLoadsNewer checks that an older report does not replace a newer one, and that a
+// report expires even if two VMs keep sending it to each other.
 func TestLoadsNewer(t *testing.T) {
 	now := time.Unix(1e9, 0)
 	c := newTestControl("a")
--- a/site/pending.go
+++ b/site/pending.go
@@ -12,27 +12,27 @@
 )
 
 const (
-	// unreadEvery is the least time between two notes to one VM, for each VM of the
-	// region that is told: a VM sends at most 50 notes a second, of some 100 bytes.
+	// pendingNoteInterval is the least time between two notes, per receiving VM: at most 50
+	// notes of some 100 bytes per second.
 	pendingNoteInterval = 20 * time.Millisecond
-	// unreadAgain is when a note is sent again though nothing changed, while
-	// anything waits.
+	// pendingResendInterval is when an unchanged note is sent again while prompts are
+	// pending.
 	pendingResendInterval = 200 * time.Millisecond
-	// unreadIdle is the same while nothing waits, so that others know that this VM tells.
+	// pendingIdleInterval is the same while none are pending, so that peers know this VM
+	// sends notes.
 	pendingIdleInterval = time.Second
-	// unreadMost is the number of other VMs of a region up to which they tell each
-	// other. More would cost more than the 3 KB a second of control that a VM may
-	// spend, and many VMs are well guessed from the own calls.
+	// maxPendingPeers is the number of peers up to which VMs exchange notes. Beyond it the
+	// traffic exceeds the control budget of 3 KB/s, and prompts of other VMs are estimated
+	// instead.
 	maxPendingPeers = 8
-	// unreadWithin bounds one note.
+	// pendingNoteTimeout bounds one note.
 	pendingNoteTimeout = 300 * time.Millisecond
 )
 
-// tellUnread tells the other VMs of the region which prompts wait at engines for
-// this VM's calls: two or three VMs choose among the same few engines, and a
-// prompt of 50,000 tokens keeps one of them busy for a second. Of short calls beside
-// one in ten such prompts 0.9% were late with it and 22% without (three VMs, four
-// engines, routing/testdata/expect.json).
+// sharePendingPrompts tells the other VMs of the region which prompts this VM has sent
+// to engines that have not finished prefill. In a small region one long prompt can
+// occupy an engine for a second, and VMs that do not know of it queue short calls behind
+// it.
 func (p *pools) sharePendingPrompts(ctx context.Context) error {
 	var lastChanges uint64
 	var lastSentAt time.Time
@@ -64,7 +64,7 @@
 	return nil
 }
 
-// regionPeers are the other VMs of the region that are in reach.
+// reachablePeers returns the other reachable VMs of the region.
 func (p *pools) reachablePeers() []fleet.VM {
 	var out []fleet.VM
 	for _, vm := range p.reachableVMs() {
@@ -101,7 +101,7 @@
 	}
 }
 
-// takeUnread takes another VM's note.
+// handlePendingNote applies a note of another VM of the region.
 func (p *pools) handlePendingNote(m *peerpb.UnreadNote, sentAt time.Time) {
 	if m.GetFrom().GetRegion() != p.node.deployment.Region {
 		return
@@ -130,7 +130,7 @@
 	return m
 }
 
-// longAgo stands in for a moment that never was, in milliseconds.
+// maxAgeMs caps the ages in a note and stands for a zero time.
 const maxAgeMs = 1 << 20
 
 func ageMs(at, now time.Time) uint32 {
--- a/site/place.go
+++ b/site/place.go
@@ -18,11 +18,11 @@
 	"github.com/fuchsianotch/fuchsianotch/settings"
 )
 
-// leastAnswer is the part of the bound on generated tokens that is expected
-// where the own region has not learnt it.
+// minAnswerRatio is the least part of MaxTokens that an answer is expected to use while
+// the region has no statistics.
 const minAnswerRatio = 0.25
 
-// serve carries a caller's call.
+// serve runs a call, received from a caller or from another VM.
 func (n *Node) serve(ctx context.Context, c *call.Call, sink call.Sink) call.Outcome {
 	c.Trail = logs.NewTrail(n.log, c.ID, n.sampleLog())
 	if !n.settings.Has(settings.RankOrder) {
@@ -48,13 +48,13 @@
 	}
 }
 
-// sampled draws the requests that are logged though they go well.
+// sampleLog reports whether a successful call is logged, at the configured rate.
 func (n *Node) sampleLog() bool {
 	every := n.settings.LogSampleEvery
 	return every > 0 && rand.IntN(every) == 0
 }
 
-// place decides where a call is served.
+// place decides whether a call is served locally, on a VM of another region, or refused.
 func (n *Node) place(ctx context.Context, c *call.Call, tried []string) (vm fleet.VM, away bool, refusal *result.Refusal) {
 	res := n.evaluatePlacement(c, tried)
 	for res.decision.Refused == placement.ReasonNoRegion && n.waitForMembers(ctx, c) {
@@ -74,12 +74,12 @@
 	return res.vm, true, nil
 }
 
-// weighed is a decision with what it was made from.
+// placementResult is a placement decision and the loads that led to it.
 type placementResult struct {
 	local    placement.Load
 	remotes  []placement.Load
 	decision placement.Decision
-	// vm is where the call goes if it goes to another region.
+	// vm is the target if the call goes to another region.
 	vm fleet.VM
 }
 
@@ -114,7 +114,7 @@
 	}
 }
 
-// standing returns where a rank stands among those in force.
+// rankPosition returns the position of a rank among those in the current table.
 func (snap *snapshot) rankPosition(rank int) int {
 	if snap.table == nil {
 		return rank
@@ -122,8 +122,7 @@
 	return int(snap.table.Standing(rank))
 }
 
-// pickVM draws one of the VMs that take calls, but for those tried. It is false
-// where there is no other.
+// pickVM returns a random VM that was not tried yet, or false if there is none.
 func pickVM(vms []fleet.VM, tried []string) (fleet.VM, bool) {
 	if len(vms) == 0 {
 		return fleet.VM{}, false
@@ -138,18 +137,16 @@
 }
 
 const (
-	// learnsFor is how long after its start a VM may not know yet who takes calls:
-	// two reads of the store from the most distant region, or the exchange with a
-	// VM there that has to start as well.
+	// startupWindow is how long after its start a VM may lack members: two store reads from
+	// the most distant region, or an exchange with a VM that starts as well.
 	startupWindow = 3 * time.Second
-	// learnsWithin is how long a call waits for that, which is when its caller would
-	// else be told to come back; learnsEvery is the interval between two looks.
+	// startupWait bounds the time a call waits for members.
 	startupWait         = 500 * time.Millisecond
 	startupPollInterval = 10 * time.Millisecond
 )
 
-// learns waits a little for what a VM that has just started does not know yet. It
-// is false where there is nothing to wait for, and the call is refused.
+// waitForMembers waits briefly for members after the start of this VM. It returns false
+// if waiting is pointless and the call has to be refused.
 func (n *Node) waitForMembers(ctx context.Context, c *call.Call) bool {
 	now := n.now()
 	deadline := c.FirstBy
@@ -171,8 +168,8 @@
 	return result.Refuse(code, "%s", d.Refused).Until(d.ComeBackAt)
 }
 
-// unlessClosed tells the caller when an endpoint of the own region takes a call again, where
-// all of them are closed and no other region takes it.
+// withReopenTime adds to a refusal when a rate-limited endpoint of the local region
+// accepts the next call.
 func (n *Node) withReopenTime(c *call.Call, refusal *result.Refusal) *result.Refusal {
 	pool, ok := n.pools.find(c.Target())
 	if !ok || !c.Routed.Allows(n.deployment.Region) {
@@ -181,7 +178,7 @@
 	return n.serving.UntilOpen(c, pool, refusal)
 }
 
-// withoutPlacement are the mechanisms of placement that the settings switch off.
+// disabledPlacement returns the placement mechanisms that the settings disable.
 func (n *Node) disabledPlacement() placement.Without {
 	return placement.Without{
 		Yielding:    !n.settings.Has(settings.Yielding),
@@ -190,7 +187,7 @@
 	}
 }
 
-// trace logs what sent a call to another region, or had it refused.
+// logPlacement logs the loads behind a forwarded or refused call.
 func (res placementResult) logPlacement(c *call.Call) {
 	local, region := res.local, res.decision.Region
 	var chosen placement.Load
@@ -209,7 +206,7 @@
 	)
 }
 
-// ownLoad is what this region expects of the call.
+// localLoad estimates how this region would serve the call.
 func (n *Node) localLoad(c *call.Call, now time.Time) placement.Load {
 	load := placement.Load{
 		Region: n.deployment.Region,
@@ -242,8 +239,8 @@
 	return load
 }
 
-// otherLoads are those of the regions that may serve the call and have a VM in
-// reach. own says how many tokens are expected to be generated.
+// remoteLoads estimates how other regions would serve the call, for those that are
+// allowed and have a reachable VM. local supplies the expected answer length.
 func (n *Node) remoteLoads(c *call.Call, snap *snapshot, tried []string, local placement.Load) []placement.Load {
 	if !n.settings.Has(settings.Borrowing) && local.Endpoints > 0 && c.Routed.Allows(n.deployment.Region) {
 		return nil
@@ -265,9 +262,9 @@
 	return out
 }
 
-// laterThere is how much later than a region's word says the first token of a
-// call comes there: the word is of a usual prompt, and of before the calls that
-// this region has sent since.
+// remoteDelay returns how much later the first token of a call arrives than the region
+// reported. It corrects for the length of the prompt and for calls sent there since the
+// report.
 func (n *Node) remoteDelay(c *call.Call, reported regionLoad, local placement.Load, vms int) time.Duration {
 	if reported.prefillTokensPerSecond <= 0 || c.PromptTokens == 0 {
 		return 0
--- a/site/polling.go
+++ b/site/polling.go
@@ -17,26 +17,23 @@
 )
 
 const (
-	// askersMost is how many VMs of a region ask its engines for their load. Up to so
-	// many VMs each asks its part, and what it hears travels with the exchanges. Of
-	// more, so many ask and tell all others at once: with exchanges alone the report of
-	// the engine chosen was 2.8 s old in the middle of 218 choices among 100 VMs, and
-	// 5.2 s in one of ten; told to all it was 0.5 s and 0.9 s old (402 choices of
-	// another day with faults, calls that failed in both).
+	// maxPollers bounds the VMs of a region that poll its engines. With no more VMs than
+	// that, all poll and reports travel by gossip. In a larger region gossip takes seconds
+	// to reach all VMs, so pollers broadcast their reports.
 	maxPollers = 9
-	// roundFor is how long a round of questions is waited for before its answers are
-	// told: engines answer in some milliseconds.
+	// pollRoundTimeout bounds the wait for the answers of one round before they are
+	// broadcast. Engines answer within milliseconds.
 	pollRoundTimeout = 150 * time.Millisecond
-	// tellReportsWithin bounds one note with loads.
+	// reportNoteTimeout bounds one note with load reports.
 	reportNoteTimeout = 300 * time.Millisecond
-	// questionsTogether is how many requests an engine is asked by: for its load, and for
-	// its health.
+	// requestsPerPoll is the number of requests to an engine per poll: load and health.
 	requestsPerPoll = 2
-	// askersRank is what the VMs of a region are ranked for.
+	// pollerRankKey is the key of rendezvous hashing that ranks the VMs of a region as
+	// pollers.
 	pollerRankKey = "askers"
 )
 
-// run asks the engines that are this VM's to ask, until ctx ends.
+// run polls the engines assigned to this VM until ctx ends.
 func (p *pools) run(ctx context.Context) error {
 	for next := 0; ctx.Err() == nil; next++ {
 		if p.broadcastsReports() {
@@ -48,12 +45,13 @@
 	return nil
 }
 
-// tellsAll reports whether the region has so many VMs that those that ask tell all others.
+// broadcastsReports reports whether pollers broadcast load reports in place of gossiping
+// them.
 func (p *pools) broadcastsReports() bool {
 	return len(p.reachableVMs()) > maxPollers
 }
 
-// askNext asks one engine, so that all are asked evenly over the interval.
+// pollNext polls one engine, so that polls are spread evenly over the interval.
 func (p *pools) pollNext(ctx context.Context, number int) {
 	engines := p.enginesToPoll()
 	every := p.pollInterval()
@@ -64,8 +62,7 @@
 	worker.SleepUntil(ctx, p.node.now(), p.node.now().Add(every))
 }
 
-// askRound asks all engines that are this VM's to ask at once, and tells the other VMs
-// of the region what they said.
+// pollRound polls all engines assigned to this VM at once and broadcasts what changed.
 func (p *pools) pollRound(ctx context.Context) {
 	startedAt := p.node.now()
 	endsAt := startedAt.Add(p.pollInterval())
@@ -76,7 +73,7 @@
 	worker.SleepUntil(ctx, p.node.now(), endsAt)
 }
 
-// askEvery is the interval in which each engine is asked.
+// pollInterval returns the interval at which each engine is polled.
 func (p *pools) pollInterval() time.Duration {
 	if p.node.control.snapshot().members.StoreAway() {
 		return storeLostReportInterval
@@ -84,7 +81,7 @@
 	return reportInterval
 }
 
-// askTogether asks engines and waits for the answers, but not for slow ones.
+// pollAll polls engines and waits for their answers, at most for pollRoundTimeout.
 func (p *pools) pollAll(ctx context.Context, engines []fleet.Endpoint) {
 	var polls sync.WaitGroup
 	for _, e := range engines {
@@ -104,7 +101,7 @@
 	}
 }
 
-// tellReports sends loads to all other VMs of the region, by way of relays.
+// broadcastReports sends load reports to all other VMs of the region through relays.
 func (p *pools) broadcastReports(ctx context.Context, list []*peerpb.EngineReport) {
 	if len(list) == 0 {
 		return
@@ -128,8 +125,7 @@
 	}
 }
 
-// takeReportNote takes what another VM of the region has asked, and passes it on if
-// this VM is to.
+// handleReportNote applies load reports of another VM and relays them if required.
 func (p *pools) handleReportNote(m *peerpb.ReportNote, sentAt time.Time) {
 	if m.GetFrom().GetRegion() != p.node.deployment.Region {
 		return
@@ -147,7 +143,7 @@
 	}
 }
 
-// ownEngines are those that this VM asks.
+// enginesToPoll returns the engines assigned to this VM.
 func (p *pools) enginesToPoll() []fleet.Endpoint {
 	pollers := p.pollers()
 	var out []fleet.Endpoint
@@ -159,7 +155,7 @@
 	return out
 }
 
-// askers are the VMs of the region that ask engines, by rank.
+// pollers returns the ids of the VMs of the region that poll engines.
 func (p *pools) pollers() []string {
 	vms := p.reachableVMs()
 	if len(vms) > maxPollers {
@@ -172,12 +168,13 @@
 	return ids
 }
 
-// regionVMs are the VMs of this region that are in reach. They must not be changed.
+// reachableVMs returns the reachable VMs of the region. The caller must not modify them.
 func (p *pools) reachableVMs() []fleet.VM {
 	return p.node.control.snapshot().members.Reached(p.node.deployment.Region)
 }
 
-// askReport asks an engine for its load when that is due, and whether it is cold.
+// pollEngine requests the load of an engine if that is due, and probes whether it is
+// cold.
 func (p *pools) pollEngine(ctx context.Context, e fleet.Endpoint) {
 	due := p.reportDue(e)
 	asksCold := due || p.node.control.snapshot().members.StoreAway()
--- a/site/pools.go
+++ b/site/pools.go
@@ -14,8 +14,8 @@
 	"github.com/fuchsianotch/fuchsianotch/settings"
 )
 
-// pools are the endpoints of this region by service. The control goroutine
-// updates them; traffic reads an immutable table.
+// pools holds the endpoints of the region by service. The control goroutine replaces the
+// table; requests read it without locks.
 type pools struct {
 	node    *Node
 	reports loadReports
@@ -24,8 +24,8 @@
 
 type poolTable struct {
 	byService map[string]*pool
-	// listed are the endpoints that take work; engines are those that report
-	// their load, also those that do not answer.
+	// available holds the endpoints that accept work, engines those that report their load,
+	// unreachable ones included.
 	available []fleet.Endpoint
 	engines   []fleet.Endpoint
 }
@@ -47,7 +47,7 @@
 	return p
 }
 
-// update takes the endpoints and members of a picture.
+// applySnapshot updates the pools with the endpoints and members of a snapshot.
 func (p *pools) applySnapshot(snap *snapshot, now time.Time) {
 	before := p.table.Load()
 	after := &poolTable{
@@ -73,7 +73,7 @@
 		if e.UnreachedUntil.IsZero() || unreachableServices[e.Service] {
 			after.available = append(after.available, endpoint)
 		} else {
-			// The pool keeps what it knows of it.
+			// A leaving endpoint gets no calls, but the pool retains its statistics.
 			endpoint.State = fleet.StateLeaving
 		}
 		warm[e.Service] = append(warm[e.Service], endpoint)
@@ -90,9 +90,9 @@
 	p.updateMembers(snap)
 }
 
-// silentServices returns the services of a region of which more than half of the
-// endpoints do not answer: that says more of the VMs that ask than of the endpoints,
-// and they go on being used.
+// mostlyUnreachable returns the services of a region with more than half of their
+// endpoints unreachable. The cause is then likely on the side of the VMs, so the
+// endpoints stay in use.
 func mostlyUnreachable(endpoints []discovery.Ready, region string) map[string]bool {
 	total, unreached := make(map[string]int), make(map[string]int)
 	for _, e := range endpoints {
@@ -111,8 +111,8 @@
 	return out
 }
 
-// updateMembers takes the members alone. While a fleet starts they change with each
-// message, and its endpoints do not.
+// updateMembers updates the pools with the members only, which change far more often
+// than the endpoints while a fleet starts.
 func (p *pools) updateMembers(snap *snapshot) {
 	far := p.remoteEndpoints(snap)
 	vms := p.countRegionVMs(snap)
@@ -122,8 +122,8 @@
 	}
 }
 
-// farEndpoints are those of the other regions in reach, by service: engines
-// fetch parts of prompts from them.
+// remoteEndpoints returns the endpoints of other reachable regions by service. Engines
+// fetch cached prefixes from them.
 func (p *pools) remoteEndpoints(snap *snapshot) map[string][]fleet.Endpoint {
 	out := make(map[string][]fleet.Endpoint)
 	for _, e := range snap.endpoints {
@@ -134,8 +134,7 @@
 	return out
 }
 
-// service returns a service that the configuration names: an entry in the store of one
-// that it does not is no endpoint of ours.
+// service returns a configured service. Endpoints of other services are ignored.
 func (snap *snapshot) service(name string) (route.Service, bool) {
 	if snap.table == nil {
 		return route.Service{}, false
@@ -143,7 +142,7 @@
 	return snap.table.Service(name)
 }
 
-// countVMs counts the VMs of this region, which choose among the same endpoints.
+// countRegionVMs counts the VMs of the region, which share its endpoints.
 func (p *pools) countRegionVMs(snap *snapshot) int {
 	n := 0
 	for i := range snap.members.Members {
@@ -174,7 +173,7 @@
 	}
 }
 
-// without are the mechanisms of routing that the settings switch off.
+// disabledRouting returns the routing mechanisms that the settings disable.
 func (p *pools) disabledRouting() routing.Without {
 	s := p.node.settings
 	return routing.Without{
@@ -200,7 +199,7 @@
 	})
 }
 
-// budget bounds the repeats to each service.
+// retryBudget limits the retries to each service.
 func (p *pools) retryBudget() serving.Budget {
 	return serving.Budget{
 		OnRequest: func(service string) {
@@ -215,7 +214,7 @@
 	}
 }
 
-// find returns the pool of a service of this region.
+// find returns the pool of a service in this region.
 func (p *pools) find(service string) (*serving.Pool, bool) {
 	pool, ok := p.table.Load().byService[service]
 	if !ok {
--- a/site/pull.go
+++ b/site/pull.go
@@ -13,33 +13,33 @@
 )
 
 const (
-	// pullWithin bounds the pull of what a peer holds of the store.
+	// pullTimeout bounds the transfer of store contents from a peer.
 	pullTimeout = 2 * time.Second
-	// pullAfter is how long this VM waits for its own read, or for a VM of its region,
-	// before it pulls from one further away: all are told at nearly the same time.
+	// pullDelay postpones a pull from another region, or by a VM that reads the store
+	// itself: a local source usually delivers the revision sooner.
 	pullDelay = 300 * time.Millisecond
 )
 
-// puller pulls what other VMs hold of the store, from one at a time: many tell of a
-// new revision at once, and what one holds all do.
+// puller fetches store contents from other VMs. Many announce a new revision at once, so
+// it pulls from one at a time.
 type puller struct {
 	node *Node
 
 	mu sync.Mutex
-	// pulling is set while a pull is under way; next is what was heard meanwhile.
+	// pulling is set during a pull; nextNotice is the best notice received meanwhile.
 	pulling    bool
 	nextNotice revisionNotice
-	// whole is the last reply that held everything.
+	// fullReply caches the last encoded reply with the full contents.
 	fullReply *peerpb.PublishedReply
 }
 
-// offer is a VM's word that it holds the store up to a revision.
+// revisionNotice says that a VM holds the store up to a revision.
 type revisionNotice struct {
 	vm       fleet.VM
 	revision uint64
 }
 
-// hear takes an offer, and pulls unless that is under way.
+// notify starts a pull, or records the notice if one is under way.
 func (p *puller) notify(ctx context.Context, notice revisionNotice) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -53,7 +53,7 @@
 	go p.pullPending(ctx, notice)
 }
 
-// pullAll takes one offer after the other until none is left.
+// pullPending pulls until no notice is left.
 func (p *puller) pullPending(ctx context.Context, notice revisionNotice) {
 	for {
 		p.pull(ctx, notice)
@@ -68,14 +68,13 @@
 	}
 }
 
-// isPulling reports whether a pull is under way.
 func (p *puller) isPulling() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.pulling
 }
 
-// pull asks a peer for what it holds of the store, unless it comes sooner otherwise.
+// pull fetches what a peer holds, unless the revision arrives otherwise in the meantime.
 func (p *puller) pull(ctx context.Context, notice revisionNotice) {
 	n := p.node
 	if n.isReader() || p.prefersLocal(notice.vm) {
@@ -99,7 +98,7 @@
 		revision: reply.GetRevision(),
 		full:     reply.GetWhole(),
 	}
-	// An error means that ctx ended.
+	// The only error is the end of the context.
 	_, _ = query(timeoutCtx, n.control, func(c *control, now time.Time) bool {
 		c.discovery.SettleUntil(now.Add(time.Duration(reply.GetSettlingMs()) * time.Millisecond))
 		c.applyAndSpread(ctx, c.mergeRead(read), now)
@@ -107,14 +106,14 @@
 	})
 }
 
-// isFarther reports whether a VM is in another region while there are VMs in the own
-// one, which soon hold the same.
+// prefersLocal reports whether a VM is in another region although VMs of the local
+// region are reachable, which will soon hold the same revision.
 func (p *puller) prefersLocal(vm fleet.VM) bool {
 	own := p.node.deployment.Region
 	return vm.Region != own && len(p.node.control.snapshot().members.Reached(own)) > 1
 }
 
-// published answers a peer with what this VM holds of the store.
+// handlePublished returns the store contents that this VM holds after a revision.
 func (p *puller) handlePublished(ctx context.Context, in *peerpb.PublishedRequest) (*peerpb.PublishedReply, error) {
 	reply, err := query(ctx, p.node.control, func(c *control, now time.Time) *peerpb.PublishedReply {
 		return c.publishedReply(in.GetAfterRevision(), now)
@@ -125,7 +124,7 @@
 	return p.packReply(reply)
 }
 
-// packed packs a reply. One that holds everything is packed once for all that ask.
+// packReply encodes a reply. A full reply is encoded once for all requests.
 func (p *puller) packReply(r *peerpb.PublishedReply) (*peerpb.PublishedReply, error) {
 	if !r.GetWhole() {
 		return peer.Pack(r)
--- a/site/pull_test.go
+++ b/site/pull_test.go
@@ -14,8 +14,8 @@
 	"github.com/fuchsianotch/fuchsianotch/peer/peerpb"
 )
 
-// TestOnePull holds that a VM which hears of a new revision from a hundred others at
-// once pulls it from one of them, and a later one from one more.
+// TestSinglePull checks that a VM notified of a new revision by many peers at once pulls
+// it from one of them only, and a later revision once more.
 func TestSinglePull(t *testing.T) {
 	n := newFleetNode(time.Now)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -49,7 +49,7 @@
 	notify(initial + 2)
 	close(release)
 	waitFor(t, func() bool { return n.control.snapshot().revision == initial+2 && !n.puller.isPulling() })
-	assert.Assert(t, pulls.Load() <= 2, "asked %d times", pulls.Load())
+	assert.Assert(t, pulls.Load() <= 2, "pulled %d times", pulls.Load())
 }
 
 func servePublished(ctx context.Context, t *testing.T, reply func() *peerpb.PublishedReply) string {
@@ -75,5 +75,5 @@
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	t.Fatal("not within five seconds")
+	t.Fatal("condition not met within five seconds")
 }
--- a/site/quarantine.go
+++ b/site/quarantine.go
@@ -11,7 +11,7 @@
 	"github.com/fuchsianotch/fuchsianotch/quarantine/agent"
 )
 
-// newCrashes makes the agent that keeps calls from endpoints that these crash under.
+// newQuarantineAgent returns the agent that holds back calls that crash endpoints.
 func (n *Node) newQuarantineAgent() *agent.Agent {
 	return agent.New(agent.Options{
 		VM:     n.deployment.VM,
@@ -27,14 +27,16 @@
 	})
 }
 
-// listed reports whether this life of an endpoint takes work by what is published.
+// isPublished reports whether the store lists this incarnation of an endpoint as
+// accepting work.
 func (n *Node) isPublished(e fleet.Endpoint) bool {
 	return slices.ContainsFunc(n.control.snapshot().endpoints, func(known discovery.Ready) bool {
 		return known.ID == e.ID && known.Incarnation == e.Incarnation
 	})
 }
 
-// vmsInReach returns this VM and those in reach, and whether there have been more.
+// reachableMembers returns this VM and all reachable ones; partitioned is set if more
+// VMs have been known.
 func (n *Node) reachableMembers() (vms []quarantine.Peer, partitioned bool) {
 	members := n.control.snapshot().members
 	for _, m := range members.Members {
--- a/site/reports.go
+++ b/site/reports.go
@@ -11,33 +11,29 @@
 )
 
 const (
-	// reportEvery is the interval at which one VM of the region asks an engine
-	// for its load, which it tells some 100 ms late. Twice as often gained nothing,
-	// as VMs know what waits for their own calls: the mean worth of five days with
-	// faults was 0.7204, with this 0.7218 (eight plays each), with 90 VMs 0.655 and 0.656.
+	// reportInterval is the interval at which one VM of the region polls the load of an
+	// engine.
 	reportInterval = survey.BusyEvery
-	// coldEvery is the same while the store is away, which else tells at once that an
-	// endpoint is cold: one that bears five requests a second may get ten.
+	// storeLostReportInterval replaces reportInterval during a store outage, when polls are
+	// the only way to learn that an endpoint is cold.
 	storeLostReportInterval = 150 * time.Millisecond
-	// reportWithin bounds one question: an engine answers it beside its work in some
-	// milliseconds, and a lost packet is sent again after 0.3 s.
+	// reportTimeout bounds one load request; it covers one retransmission after 0.3 s.
 	reportTimeout = 600 * time.Millisecond
-	// healthWithin bounds a health check, which waits for a slot like a call.
+	// healthTimeout bounds a health check, which waits for a slot like a call.
 	healthTimeout = time.Second
-	// reportGoodFor is how long a report is passed on to other VMs.
+	// reportMaxAge is the age up to which a report is sent to other VMs.
 	reportMaxAge = 1200 * time.Millisecond
-	// newerBy is by how much another VM's word must be newer to replace one that
-	// is held: a word's age does not count the way between the two, so that one
-	// which comes back to its teller looks newer by some milliseconds.
+	// newerMargin is how much newer a report must be to replace the current one. Ages
+	// exclude network latency, so an echoed report looks newer by some milliseconds.
 	newerMargin = 50 * time.Millisecond
 )
 
-// reports are the engines' latest loads, asked by this VM or heard from others
-// of the region. So each engine is asked by one VM, however many there are.
+// loadReports holds the latest load of each engine, polled by this VM or received from
+// others of the region, so that each engine is polled by one VM only.
 type loadReports struct {
 	mu     sync.Mutex
 	latest map[string]loadReport
-	// told is what the other VMs were told last, by this VM.
+	// lastBroadcast is the load of each engine that this VM broadcast last.
 	lastBroadcast map[string]routing.Load
 }
 
@@ -46,7 +42,7 @@
 	load    routing.Load
 }
 
-// isDue reports whether an engine is to be asked for its load.
+// reportDue reports whether the load of an engine has to be requested.
 func (p *pools) reportDue(e fleet.Endpoint) bool {
 	inFlight := false
 	if pool := p.table.Load().byService[e.Service]; pool != nil {
@@ -57,7 +53,7 @@
 	return survey.IsDue(p.reports.latest[e.ID].load, inFlight, p.node.now())
 }
 
-// takeReport keeps a report if it is newer than the one held.
+// recordReport stores a report if it is newer than the current one.
 func (p *pools) recordReport(id string, r loadReport) {
 	p.reports.mu.Lock()
 	existing, ok := p.reports.latest[id]
@@ -71,8 +67,7 @@
 	}
 }
 
-// heldReports are the recent ones, for another VM of the region, where those that ask
-// do not tell all others themselves.
+// recentReports returns recent reports for gossip, or none if pollers broadcast them.
 func (p *pools) recentReports(now time.Time) []*peerpb.EngineReport {
 	if p.broadcastsReports() {
 		return nil
@@ -90,8 +85,8 @@
 	return out
 }
 
-// newsSince are the reports of some engines that were asked since a moment and of
-// which others are to hear.
+// changedReports returns the reports received since a time that differ enough from the
+// last broadcast.
 func (p *pools) changedReports(engines []fleet.Endpoint, since time.Time) []*peerpb.EngineReport {
 	p.reports.mu.Lock()
 	defer p.reports.mu.Unlock()
@@ -119,7 +114,7 @@
 	}
 }
 
-// takeReports takes what another VM of the region has heard.
+// applyReports records load reports of another VM of the region.
 func (p *pools) applyReports(list []*peerpb.EngineReport, sentAt time.Time) {
 	for _, m := range list {
 		p.recordReport(m.GetEndpoint(), loadReport{
--- a/site/servers.go
+++ b/site/servers.go
@@ -15,13 +15,13 @@
 	"github.com/fuchsianotch/fuchsianotch/platform"
 )
 
-// front is one HTTP server with its address.
+// httpServer is an HTTP server and its listen address.
 type httpServer struct {
 	addr   string
 	server *http.Server
 }
 
-// metricsFront serves the metrics, with what is measured only when asked.
+// metricsServer returns the server for metrics; gauges are updated per scrape.
 func (n *Node) metricsServer(port int) httpServer {
 	mux := http.NewServeMux()
 	handler := n.metrics.Handler()
--- a/site/site.go
+++ b/site/site.go
@@ -1,7 +1,7 @@
-// Package site is one VM's process on a platform that publishes routes: the
-// control goroutine with the members and what the store holds, the fronts, and
-// the pools of endpoints. Calls are carried by the same serving core as those
-// under contracts. All parts run as one group and stop together.
+// Package site runs one gateway process on a platform that publishes routes. It combines
+// the control goroutine, which owns members and store contents, the HTTP servers, and
+// the pools of endpoints. Package serving runs the calls, as it does on a platform with
+// contracts.
 package site
 
 import (
@@ -41,40 +41,40 @@
 )
 
 const (
-	// timelineEvents bounds the ring of events: some seconds of the calls of a
-	// small VM, at about 150 bytes each.
+	// timelineCapacity is the number of events that the timeline retains, at about 150 bytes
+	// each: some seconds of calls on a small VM.
 	timelineCapacity = 2048
-	// headerWithin and idleWithin bound a caller's connection. Callers may reuse
-	// one that was idle for most of the published time, which comes only later.
+	// Limits of caller connections. idleTimeout is long enough that the server does not
+	// close a connection that callers still reuse.
 	readHeaderTimeout = 5 * time.Second
 	idleTimeout       = 75 * time.Second
 	maxHeaderBytes    = 64 << 10
-	// entriesFor is how long a caller may use an answer: a VM that stops or
-	// is lost gets no new connection after that.
+	// maxEntriesTTL bounds how long callers may cache the addresses of VMs. After that a
+	// stopped or lost VM gets no new connections.
 	maxEntriesTTL = time.Second
-	// storeReplyWithin bounds a reply of the store, which answers in milliseconds.
+	// storeTimeout bounds a reply of the store, which usually takes milliseconds.
 	storeTimeout = 1500 * time.Millisecond
-	// memoryShare is the part of the VM's memory at which the garbage collector
-	// works harder; the rest is for stacks, buffers of sockets and the C library.
+	// memoryLimitRatio is the soft memory limit of the Go runtime relative to the memory of
+	// the VM. The rest is for socket buffers and the C library.
 	memoryLimitRatio = 0.6
-	// collectAt is the growth, in percent, after which garbage is collected. The
-	// live heap is some megabytes, so collecting often costs little.
+	// gcPercent is the GOGC value. The live heap is a few megabytes, so frequent collections
+	// are cheap.
 	gcPercent = 50
 )
 
-// Options set up a Node. Every field but Now is required.
+// Options configure a Node. All fields but Dropped and Now are required.
 type Options struct {
 	Deployment *platform.Deployment
 	Logger     *slog.Logger
-	// Settings are our own.
+	// Settings are the settings of the gateway itself, as opposed to those of the platform.
 	Settings *settings.Platform
-	// Dropped returns how many log lines were dropped so far; nil means none.
+	// Dropped returns the number of log lines dropped so far; nil means none.
 	Dropped func() int64
-	// Now is the clock; nil means one that goes on while the VM is suspended.
+	// Now is the clock; nil means a clock that includes the time the VM is suspended.
 	Now func() time.Time
 }
 
-// Node is one VM's process.
+// Node is the gateway process of one VM.
 type Node struct {
 	deployment   *platform.Deployment
 	log          *slog.Logger
@@ -98,30 +98,31 @@
 	serving        *serving.Server
 	meter          *metering.Meter
 	throttle       *throttle.Throttle
-	// endpointLimitsDue is set while the control goroutine is to tell others of endpoints' limits.
+	// endpointLimitsPending is set while a spread of endpoint rate limits is queued.
 	endpointLimitsPending atomic.Bool
 	puller                *puller
 	control               *control
 	callerServer          *http.Server
 
-	// bounds are those of the settings in force; they may change while the process runs.
+	// bounds are the limits of the platform settings. They can change at run time.
 	bounds   atomic.Pointer[platform.Bounds]
 	draining atomic.Bool
-	// callersListener takes callers' connections, openConns counts those that are open.
+	// openConns counts the open connections of callerListener.
 	callerListener atomic.Pointer[listen.Stopping]
 	openConns      atomic.Int64
-	// currentAt is when this VM last knew that it holds what the store holds, in
-	// nanoseconds since the epoch, and droppedTold the dropped lines counted so far.
+	// inSyncAt is when this VM last had the revision of the store or of its reader, in
+	// nanoseconds since the epoch. droppedReported is the number of dropped lines already
+	// counted in the metrics.
 	inSyncAt        atomic.Int64
 	droppedReported atomic.Int64
-	// completeAt is when the store held nothing beyond what this VM holds, by the word of
-	// the store or of VMs that heard it, in nanoseconds since the epoch.
+	// freshAsOf is the latest time at which this VM is known to have held all contents of
+	// the store, in nanoseconds since the epoch.
 	freshAsOf atomic.Int64
-	// gone is closed when the planned stop is over.
+	// stopped is closed at the end of a graceful shutdown.
 	stopped chan struct{}
 }
 
-// New makes a node that does not listen yet.
+// New returns a Node that does not listen yet.
 func New(o Options) *Node {
 	var own *clock.Clock
 	if o.Now == nil {
@@ -191,19 +192,19 @@
 	return n
 }
 
-// countBytes counts those on the connections between VMs.
+// countPeerBytes counts the bytes on connections between VMs.
 func (n *Node) countPeerBytes(sent, received int) {
 	n.metrics.Control(metrics.DirectionOut, sent)
 	n.metrics.Control(metrics.DirectionIn, received)
 }
 
-// countMessage counts those that this VM asked with and those that it was answered.
+// countPeerMessage counts the payload bytes of a request to another VM and of its reply.
 func (n *Node) countPeerMessage(kind string, far bool, sent, received int) {
 	n.metrics.ControlPayload(kind, far, sent, received)
 }
 
-// newIncarnation numbers this life of the process: later lives have higher
-// numbers, and two that start at the same time differ.
+// newIncarnation returns a number for this run of the process. Later runs have higher
+// numbers, and random low bits separate runs that start at the same time.
 func newIncarnation(now time.Time) uint64 {
 	var b [2]byte
 	// Read never fails.
@@ -218,8 +219,8 @@
 	}
 }
 
-// peerDialWithin bounds a connection to another VM: one trip there and back
-// between the most distant regions, and a lost packet.
+// peerDialTimeout bounds a connection attempt to another VM: a round trip between the
+// most distant regions and one lost packet.
 const peerDialTimeout = 700 * time.Millisecond
 
 func dialPeer(ctx context.Context, addr string) (net.Conn, error) {
@@ -277,20 +278,19 @@
 	}
 }
 
-// admit finds the terms of a request in the table in force.
+// admit looks up a request in the current routing table.
 func (n *Node) admit(a route.Ask) (route.Terms, *result.Refusal) {
 	table := n.control.snapshot().table
 	if table == nil {
-		return route.Terms{}, result.Refuse(result.NotReady, "no configuration is known yet").Until(n.now().Add(notReadyRetryAfter))
+		return route.Terms{}, result.Refuse(result.NotReady, "configuration not loaded yet").Until(n.now().Add(notReadyRetryAfter))
 	}
 	if table.Keyed() && n.keysTooStale() {
-		return route.Terms{}, result.Refuse(result.NotReady, "VM %s has not heard of the store for too long to know which keys have ended", n.deployment.VM).Until(n.now().Add(notReadyRetryAfter))
+		return route.Terms{}, result.Refuse(result.NotReady, "VM %s has not confirmed its configuration with the store recently enough to rule out revoked keys", n.deployment.VM).Until(n.now().Add(notReadyRetryAfter))
 	}
 	return table.Admit(a)
 }
 
-// notReadyFor is when a VM without a configuration may be asked again: a read
-// of the store takes milliseconds.
+// notReadyRetryAfter is when callers may retry on a VM without a configuration.
 const notReadyRetryAfter = 300 * time.Millisecond
 
 func (n *Node) limits() route.Limits {
@@ -301,13 +301,13 @@
 	return table.Limits
 }
 
-// ready reports whether this VM takes calls.
+// ready reports whether this VM accepts calls.
 func (n *Node) ready() bool {
 	return !n.draining.Load() && n.control.snapshot().table != nil
 }
 
-// entries returns the addresses of the VMs that a client may use: those of its region
-// that take calls, or those of others where none of the client's is known.
+// entryAddrs returns the addresses of VMs for a client: those of its region that accept
+// calls, or of other regions if there are none.
 func (n *Node) entryAddrs(l platform.Lookup) []string {
 	snap := n.control.snapshot()
 	vms := snap.members.Taking(l.Region)
@@ -321,8 +321,8 @@
 	return out
 }
 
-// entriesElsewhere returns VMs of other regions. Without a table none: which regions are
-// homes is not known yet, and a caller that gets no answer asks another VM.
+// entryVMsElsewhere returns VMs of other regions, or none without a table, as home
+// regions are unknown then. A caller without an answer asks another VM.
 func (n *Node) entryVMsElsewhere(host string, snap *snapshot) []fleet.VM {
 	if snap.table == nil {
 		return nil
@@ -334,8 +334,8 @@
 	return out
 }
 
-// Reload takes settings that changed while the process runs. The VM's place and
-// the addresses it listens on stay as they were at its start.
+// Reload applies changed settings at run time. The location of the VM and its listen
+// addresses stay unchanged.
 func (n *Node) Reload(ctx context.Context, d *platform.Deployment) {
 	n.bounds.Store(&d.Bounds)
 	n.store.SetURL(d.StoreURL)
@@ -346,7 +346,7 @@
 	n.log.Info("reloaded", "seeds", len(d.Seeds), "store", d.StoreURL)
 }
 
-// Run listens and serves until ctx ends, and then stops gracefully.
+// Run listens and serves until ctx ends, then shuts down gracefully.
 func (n *Node) Run(ctx context.Context) error {
 	var group run.Group
 	if err := n.addServers(&group); err != nil {
@@ -366,7 +366,7 @@
 	return group.Run()
 }
 
-// entriesGoodFor is how long callers may use an answer, within the platform's bound.
+// entriesTTL returns how long callers may cache the addresses of VMs.
 func (n *Node) entriesTTL() time.Duration {
 	if bound := n.bounds.Load().EntriesGoodFor; bound > 0 {
 		return min(bound, maxEntriesTTL)
@@ -374,7 +374,7 @@
 	return maxEntriesTTL
 }
 
-// self is this VM as others are to reach it.
+// self returns this VM with the addresses at which others reach it.
 func (n *Node) self() fleet.VM {
 	return fleet.VM{
 		ID:         n.deployment.VM,
--- a/site/stop.go
+++ b/site/stop.go
@@ -11,17 +11,17 @@
 )
 
 const (
-	// tellFor is how long a stopping VM still takes new connections: callers use
-	// an answer to where to connect for that long.
+	// acceptGrace is how long a stopping VM still accepts connections; it exceeds the time
+	// for which callers cache its address.
 	acceptGrace = 1200 * time.Millisecond
-	// stopMargin is what is left of the time to stop when connections are cut.
+	// stopMargin is the time reserved at the end of the shutdown, after connections are cut.
 	stopMargin = 400 * time.Millisecond
-	// defaultStopWithin stands in where the platform names no time.
+	// defaultStopTimeout applies if the platform configures none.
 	defaultStopTimeout = 8 * time.Second
 )
 
-// stop ends the process gracefully: it tells peers and callers to go
-// elsewhere, and lets the calls in flight end.
+// stop shuts the process down gracefully: it announces the shutdown to peers and callers
+// and waits for calls in flight.
 func (n *Node) stop() {
 	timeout := n.bounds.Load().StopWithin
 	if timeout <= 0 {
@@ -43,16 +43,14 @@
 	n.log.Info("stopped", "in_flight", n.serving.InFlight(), "cut", err != nil)
 }
 
-// idleFor is how long after the beginning of a planned stop idle connections stay
-// open. Callers use an answer to where to connect up to three times as long as
-// it says, and send on connections that they have. A connection that is closed
-// while a request is under way on it loses that: one request in 80 days was cut
-// when idle ones were closed after 1.2 s and 50 ms without a pause.
+// idleConnGrace is how long idle connections stay open after the start of a shutdown.
+// Callers may keep using a cached address for three times its TTL, and a request sent on
+// a connection that is being closed is lost.
 const idleConnGrace = 3*maxEntriesTTL + 400*time.Millisecond
 
-// endConnections takes no more connections, answers what comes on the others,
-// and closes them when callers use none any more: a server that is shut down
-// drops a request that it reads after that.
+// drainConnections stops accepting connections, serves the open ones, and closes them
+// once callers no longer use them. A request that arrives after http.Server.Shutdown is
+// dropped.
 func (n *Node) drainConnections(ctx context.Context, idleDeadline time.Time) {
 	if err := n.callerListener.Load().Stop(); err != nil {
 		n.log.Warn("listener_failed", "reason", err.Error())
@@ -65,20 +63,18 @@
 }
 
 const (
-	// steadySteps is for how many steps of steadyStep each the process must run
-	// without a pause before it closes idle connections. One whose processor time is a
-	// quota may stand still for a tenth of a second; what came meanwhile on connections
-	// that look idle is read only after that, and would be lost with them: requests
-	// ended without an answer in 2 of 24 plays of such a day, with three steps in 1 of 32.
+	// steadySteps is the number of consecutive steps of steadyStep without a delay that must
+	// pass before idle connections are closed. A process throttled by a CPU quota can pause
+	// for 100 ms and has then not read requests on connections that look idle.
 	steadySteps = 5
 	steadyStep  = 10 * time.Millisecond
-	// steadySlack is how late a step may end in a process that runs.
+	// steadySlack is the delay up to which a step counts as on time.
 	steadySlack = 5 * time.Millisecond
-	// steadyWithin bounds the wait for that.
+	// steadyTimeout bounds the wait for a steady process.
 	steadyTimeout = 500 * time.Millisecond
 )
 
-// awaitSteady waits until the process has run without a pause for a while.
+// awaitSteady waits until the process has run without pauses for steadySteps.
 func (n *Node) awaitSteady(ctx context.Context, deadline time.Time) {
 	for steps := 0; steps < steadySteps && ctx.Err() == nil && n.now().Before(deadline); {
 		stepEnd := n.now().Add(steadyStep)
@@ -90,7 +86,7 @@
 	}
 }
 
-// countConn counts the open connections of callers.
+// countConn tracks the number of open caller connections.
 func (n *Node) countConn(_ net.Conn, state http.ConnState) {
 	switch state {
 	case http.StateNew:
@@ -100,10 +96,10 @@
 	}
 }
 
-// idleEvery is how often a stopping VM looks whether its calls have ended.
+// drainPollInterval is the interval of checks for open connections and calls in flight.
 const drainPollInterval = 20 * time.Millisecond
 
-// awaitIdle waits for the calls that other VMs sent.
+// awaitInFlight waits for the remaining calls, including those forwarded by other VMs.
 func (n *Node) awaitInFlight(ctx context.Context) {
 	for n.serving.InFlight() > 0 && ctx.Err() == nil {
 		worker.SleepUntil(ctx, n.now(), n.now().Add(drainPollInterval))
--- a/site/store.go
+++ b/site/store.go
@@ -12,28 +12,28 @@
 )
 
 const (
-	// watchFor is how long one watch waits. A store that falls silent says
-	// nothing, so this bounds how long its return goes unnoticed.
+	// maxWatchTimeout bounds one watch, and thereby how long the recovery of an unresponsive
+	// store goes unnoticed.
 	maxWatchTimeout = 2500 * time.Millisecond
-	// watchPause gathers changes that come together into one reply.
+	// watchBatchDelay lets changes accumulate, so that one reply carries several.
 	watchBatchDelay = 50 * time.Millisecond
-	// Pauses after a failed read. The longest keeps within the time in which a
-	// change must be in force after the store's return.
+	// Backoff after a failed read. The maximum is below the time allowed for a change to
+	// take effect after the store recovers.
 	minReadBackoff = 200 * time.Millisecond
 	maxReadBackoff = time.Second
 )
 
-// read is what one read of the store brought.
+// storeRead is the result of one read of the store.
 type storeRead struct {
 	items    []discovery.Item
 	revision uint64
-	// whole says that items are all that there are.
+	// full is set if items are the entire contents of the store.
 	full bool
-	// completeAt is when, at the earliest, the store held nothing beyond them.
+	// freshAsOf is a time at which the store held nothing newer than revision.
 	freshAsOf time.Time
 }
 
-// readStore follows the store until ctx ends.
+// followStore reads and watches the store until ctx ends.
 func (n *Node) followStore(ctx context.Context) error {
 	backoff := minReadBackoff
 	full := true
@@ -87,8 +87,8 @@
 	}, err
 }
 
-// completeWatch is as of when a watch that began, was to wait until a moment and came
-// back tells that there were so many changes: one without any has waited.
+// watchFreshness returns the time up to which a watch is known to have seen all changes:
+// its deadline if it expired without changes, or else its start.
 func watchFreshness(startedAt, deadline, returnedAt time.Time, changes int) time.Time {
 	if changes > 0 || returnedAt.Before(deadline) {
 		return startedAt
@@ -96,9 +96,9 @@
 	return deadline
 }
 
-// takeRead hands a read to the control goroutine and waits until it is taken.
+// applyRead applies a read on the control goroutine and waits for completion.
 func (n *Node) applyRead(ctx context.Context, read storeRead) {
-	// An error means that ctx ended.
+	// The only error is the end of the context.
 	_, _ = query(ctx, n.control, func(c *control, now time.Time) bool {
 		defer n.advanceFreshness(read.freshAsOf)
 		if c.discovery.StoreBack(now) {
@@ -110,12 +110,13 @@
 	})
 }
 
-// readersPerRegion are the VMs of each region that follow the store; the others
-// hear of changes from them. Two, so that one that is lost is not missed.
+// readersPerRegion is the number of VMs per region that read the store; the others
+// receive changes from them. Two tolerate the loss of one.
 const readersPerRegion = 2
 
-// isReader reports whether this VM follows the store itself: by rank among those
-// of its region that the store does not turn away. A VM that knows nothing yet reads too.
+// isReader reports whether this VM reads the store: the readers are the first by rank
+// among the VMs of the region that can read it. A VM without a configuration reads as
+// well.
 func (n *Node) isReader() bool {
 	snap := n.control.snapshot()
 	if snap.table == nil {
@@ -125,17 +126,17 @@
 }
 
 const (
-	// firstReadAfter is how long a VM that has just started and knows others waits to
-	// hear from them what the store holds. All VMs of a fleet may start together, and the
-	// whole content of the store for each of hundreds fills the links between regions.
+	// initialReadDelay is how long a VM that has just started waits for the store contents
+	// from its peers. If a whole fleet starts at once, reads by every VM would saturate the
+	// links between regions.
 	initialReadDelay = 600 * time.Millisecond
-	// firstReadAlone is the same while it knows nobody: the seeds may start later than
-	// it, and callers come as soon as it listens.
+	// initialReadDelayAlone applies while no peers are known: the seeds may start later, and
+	// callers connect as soon as this VM listens.
 	initialReadDelayAlone = 150 * time.Millisecond
 )
 
-// readsFirst reports whether a VM that knows nothing yet reads the store itself: the
-// seeds, which all others ask, do at once.
+// mayReadInitially reports whether a VM without a configuration reads the store. Seeds
+// do so immediately, as all other VMs pull from them.
 func (n *Node) mayReadInitially() bool {
 	if slices.Contains(n.deployment.Seeds, n.deployment.PeerAddr) {
 		return true
@@ -148,8 +149,8 @@
 }
 
 const (
-	// dutyEvery is how often a VM that does not read looks whether it has to, and
-	// firstDutyEvery the same while it knows nothing yet.
+	// readerCheckInterval is how often a VM checks whether it has become a reader, and
+	// initialReaderCheckInterval the same without a configuration.
 	readerCheckInterval        = 250 * time.Millisecond
 	initialReaderCheckInterval = 50 * time.Millisecond
 )
--- a/site/throttle.go
+++ b/site/throttle.go
@@ -12,15 +12,15 @@
 )
 
 const (
-	// askPermitWithin bounds the question for one permit, within the region.
+	// permitTimeout bounds the request for one permit, within the region.
 	permitTimeout = 100 * time.Millisecond
-	// limitTellTo is how many VMs of the region are told at once of a new limit of an
-	// endpoint. They tell as many others.
+	// endpointLimitFanout is the number of VMs of the region that are notified immediately
+	// of a new endpoint rate limit; each forwards it to as many.
 	endpointLimitFanout = 8
 )
 
-// takePermit asks for a permit to send one request to an endpoint. Without one it returns
-// when the endpoint takes the next.
+// acquirePermit requests a permit to send one request to an endpoint. Without a permit
+// it returns when the endpoint accepts the next request.
 func (n *Node) acquirePermit(ctx context.Context, e fleet.Endpoint) (permit *throttle.Permit, opensAt time.Time) {
 	v := n.throttle.Take(e, n.control.snapshot().throttleRegion(), n.now())
 	if v.Keeper != nil {
@@ -29,13 +29,14 @@
 	return v.Permit, v.OpensAt
 }
 
-// askPermit has the VM decide that keeps an endpoint's rate.
+// requestPermit asks the VM that keeps the rate limit of an endpoint.
 func (n *Node) requestPermit(ctx context.Context, v throttle.Verdict) throttle.Verdict {
 	timeoutCtx, cancel := context.WithTimeout(ctx, permitTimeout)
 	defer cancel()
 	a, err := n.peers.Permit(timeoutCtx, *v.Keeper, v.Limit)
 	if err != nil && ctx.Err() != nil {
-		// The caller left, or others were asked for too long: that says nothing of this one.
+		// The caller left or the deadline has passed, which does not mean that the keeper
+		// failed.
 		return throttle.Verdict{
 			OpensAt: n.now(),
 		}
@@ -49,7 +50,7 @@
 	return n.throttle.Decided(v, a, n.now())
 }
 
-// The outcomes of a question for a permit, as the metrics have them.
+// Outcomes of permit requests, as labels of the metrics.
 const (
 	permitGranted    = "granted"
 	permitRefused    = "refused"
@@ -68,12 +69,12 @@
 	}
 }
 
-// decidePermit answers another VM's question for a permit.
+// handlePermitRequest answers a permit request of another VM.
 func (n *Node) handlePermitRequest(l throttle.Limit) throttle.Answer {
 	return n.throttle.Ask(l, n.control.snapshot().throttleRegion(), n.now())
 }
 
-// usePermit is asked right before the first byte of a request goes to an endpoint.
+// usePermit is called immediately before the first byte of a request is sent.
 func (n *Node) usePermit(e fleet.Endpoint, p *throttle.Permit, way throttle.Way) error {
 	if refusal := n.throttle.Sending(e, p, n.now()); refusal != nil {
 		return refusal
@@ -84,19 +85,19 @@
 	return nil
 }
 
-// comeBackAt is when a caller may come back for whom all endpoints of a service are closed.
+// retryAt returns when a caller may retry if all endpoints of a service are closed.
 func (n *Node) retryAt(service string, endpointIDs []string, opensAt time.Time) time.Time {
 	return n.throttle.ComeBackAt(service, endpointIDs, opensAt, n.control.snapshot().throttleRegion(), n.now())
 }
 
-// mayAsk reports whether an endpoint may be asked for its load or health now, by a request
-// of its own.
+// mayProbe reports whether a load or health request may be sent to an endpoint now, and
+// uses a permit for it.
 func (n *Node) mayProbe(ctx context.Context, e fleet.Endpoint, way throttle.Way) bool {
 	permit, _ := n.acquirePermit(ctx, e)
 	return permit != nil && n.usePermit(e, permit, way) == nil
 }
 
-// answeredRate takes what an answer says of its endpoint's rate.
+// observeRate applies the rate limit that an answer of an endpoint announces.
 func (n *Node) observeRate(e fleet.Endpoint, r fleet.Rate, sentAt time.Time) {
 	if r.Unreadable {
 		n.log.Warn("endpoint_limit_unreadable", "endpoint", e.ID)
@@ -104,8 +105,8 @@
 	n.throttle.Answered(e, r, sentAt, n.now())
 }
 
-// limitChanged logs a new limit of an endpoint, opens the endpoint if it has no limit
-// any more, and tells others of the region.
+// endpointLimitChanged logs a changed rate limit, reopens the endpoint if the limit was
+// lifted, and notifies the region.
 func (n *Node) endpointLimitChanged(l throttle.Limit) {
 	if l.Active {
 		n.log.Info("endpoint_limited", "endpoint", l.Endpoint, "incarnation", l.Incarnation, "per_second", l.PerSecond, "version", l.Version)
@@ -116,9 +117,9 @@
 	n.spreadEndpointLimits()
 }
 
-// tellEndpointLimits tells others of the region what this VM has learnt. It may be called on the
-// control goroutine, which nothing may make wait: what is not told at once goes with the
-// next exchanges.
+// spreadEndpointLimits notifies the region of new endpoint rate limits. It never blocks,
+// as it may be called on the control goroutine; if the inbox is full, the limits travel
+// with the next exchange.
 func (n *Node) spreadEndpointLimits() {
 	if !n.endpointLimitsPending.CompareAndSwap(false, true) {
 		return
@@ -132,7 +133,6 @@
 	}
 }
 
-// endpointLimitsMessage lists limits of endpoints.
 func endpointLimitMessages(limits []throttle.Limit) []*peerpb.EndpointLimit {
 	out := make([]*peerpb.EndpointLimit, 0, len(limits))
 	for _, l := range limits {
@@ -141,14 +141,14 @@
 	return out
 }
 
-// open lets calls go to an endpoint that was closed.
+// reopen lets calls go to a closed endpoint again.
 func (p *pools) reopen(endpointID string) {
 	for _, pool := range p.table.Load().byService {
 		pool.Endpoints.CloseUntil(endpointID, time.Time{})
 	}
 }
 
-// nearRegion is what the throttle needs to know of the members.
+// throttleRegion returns the members as the throttle needs them.
 func (snap *snapshot) throttleRegion() throttle.Region {
 	return throttle.Region{
 		Near:  snap.meteringFleet.Near,
@@ -156,14 +156,14 @@
 	}
 }
 
-// takeEndpointLimits takes what another VM of the region says of endpoints' limits.
+// applyEndpointLimits merges endpoint rate limits reported by a VM of the region.
 func (c *control) applyEndpointLimits(list []*peerpb.EndpointLimit, now time.Time) {
 	for _, m := range list {
 		c.node.throttle.Learn(peer.EndpointLimitFromMessage(m), now)
 	}
 }
 
-// forgetEndpointLimits drops the limits of endpoints that are gone.
+// pruneEndpointLimits drops the limits of endpoints that are no longer published.
 func (c *control) pruneEndpointLimits(endpoints []discovery.Ready, now time.Time) {
 	published := make(map[string]bool, len(endpoints))
 	for _, e := range endpoints {
--- a/site/unreachable.go
+++ b/site/unreachable.go
@@ -10,17 +10,17 @@
 )
 
 const (
-	// unreachedFor is how long an engine that did not answer gets no calls, unless it
-	// does not answer again: an entry in the store lapses after some 3.6 s.
+	// unreachableTTL is how long an engine that did not answer gets no calls. It is shorter
+	// than the lapse of a store entry, about 3.6 s, and renewed if the engine fails again.
 	unreachableTTL = 2500 * time.Millisecond
-	// unreachedTellTo is how many VMs of the region are told of it at once. They tell as
-	// many others, and those that are not told hear within some half a second.
+	// unreachableFanout is the number of VMs of the region that are notified immediately;
+	// each forwards the news to as many. Gossip reaches the rest within about half a second.
 	unreachableFanout = 3
 )
 
-// tellUnreached tells the region that an engine does not answer. One that has fallen
-// silent holds up each call by a second or more, and of 100 VMs each would have to
-// find out by calls of its own.
+// reportUnreachable marks an engine that did not answer and notifies the region.
+// Otherwise every VM has to detect the failure with calls of its own, each delayed by a
+// second or more.
 func (p *pools) reportUnreachable(ctx context.Context, e fleet.Endpoint) {
 	if ctx.Err() != nil {
 		return
@@ -39,8 +39,8 @@
 	c.node.log.Info("endpoint_unreached", "endpoint", id, "left_ms", until.Sub(now).Milliseconds())
 }
 
-// takeUnreached takes what another VM says of endpoints that do not answer, and tells
-// others of the region, once, if any of it is new.
+// applyUnreachable merges unreachable endpoints reported by a peer and spreads those
+// that were not known yet.
 func (c *control) applyUnreachable(ctx context.Context, list []*peerpb.UnreachedEndpoint, sentAt, now time.Time) {
 	changed := false
 	for _, m := range list {
@@ -55,7 +55,6 @@
 	}
 }
 
-// unreachedMessage lists those of some endpoints that do not answer.
 func unreachableMessages(endpoints []discovery.Ready, now time.Time) []*peerpb.UnreachedEndpoint {
 	var out []*peerpb.UnreachedEndpoint
 	for _, e := range endpoints {
