--- a/site/freshness_test.go
+++ b/site/freshness_test.go
@@ -33,7 +33,7 @@
 // TestKeysEnd checks that a VM without confirmation from the store refuses keys after
 // the configured bound, and continues to accept them if no bound is set.
 func TestKeysEnd(t *testing.T) {
-	for _, c := range datatest.Read[[]keyRevocationCase](t, "testdata/keys_end.json") {
+	for _, c := range datatest.Read[[]keyRevocationCase](t, "testdata/key_revocation.json") {
 		t.Run(c.Name, func(t *testing.T) {
 			now := time.Unix(1e9, 0)
 			at := func(ms int64) time.Time { return time.Unix(1e9, 0).Add(time.Duration(ms) * time.Millisecond) }
--- a/site/keys_test.go
+++ b/site/keys_test.go
@@ -37,7 +37,7 @@
 func TestJudgeAnew(t *testing.T) {
 	now := time.Unix(1e9, 0)
 	n := newFleetNode(func() time.Time { return now })
-	for _, c := range datatest.Read[[]readmitCase](t, "testdata/judged_anew.json") {
+	for _, c := range datatest.Read[[]readmitCase](t, "testdata/readmit.json") {
 		t.Run(c.Name, func(t *testing.T) {
 			forwarded := routedCall(c.Key)
 			if c.Path != "" {
--- a/site/loads_test.go
+++ b/site/loads_test.go
@@ -34,19 +34,19 @@
 // about the local region are ignored.
 func TestLoadsPassedOn(t *testing.T) {
 	now := time.Unix(1e9, 0)
-	asker, other := newTestControl("a"), newTestControl("a")
-	asker.applyRegionLoads(append(regionLoadMessages("b", 300, 0), regionLoadMessages("a", 7, 0)...), now)
+	source, receiver := newTestControl("a"), newTestControl("a")
+	source.applyRegionLoads(append(regionLoadMessages("b", 300, 0), regionLoadMessages("a", 7, 0)...), now)
 	later := now.Add(time.Second)
-	other.applyRegionLoads(asker.remoteLoadMessages(later), later)
-	assert.Equal(t, len(other.regionLoads), 1)
+	receiver.applyRegionLoads(source.remoteLoadMessages(later), later)
+	assert.Equal(t, len(receiver.regionLoads), 1)
 
-	got := other.regionLoadsByService(later)["s"]
+	got := receiver.regionLoadsByService(later)["s"]
 	assert.Equal(t, len(got), 1)
 	assert.Equal(t, got[0].Region, "b")
 	assert.Equal(t, got[0].First, 300*time.Millisecond)
 	assert.Equal(t, got[0].Way, defaultRTT)
-	assert.Equal(t, len(other.regionLoadsByService(now.Add(regionLoadTTL))), 0)
-	assert.Equal(t, len(asker.remoteLoadMessages(now.Add(regionLoadTTL))), 0)
+	assert.Equal(t, len(receiver.regionLoadsByService(now.Add(regionLoadTTL))), 0)
+	assert.Equal(t, len(source.remoteLoadMessages(now.Add(regionLoadTTL))), 0)
 }
 
 // TestLoadsNewer checks that an older report does not replace a newer one, and that a
@@ -60,10 +60,10 @@
 
 	one, two := newTestControl("a"), newTestControl("a")
 	one.applyRegionLoads(regionLoadMessages("b", 300, 0), now)
-	const way = 20 * time.Millisecond
+	const latency = 20 * time.Millisecond
 	for at := now; at.Before(now.Add(2 * regionLoadTTL)); at = at.Add(gossipInterval) {
-		two.applyRegionLoads(one.remoteLoadMessages(at), at.Add(way))
-		one.applyRegionLoads(two.remoteLoadMessages(at.Add(way)), at.Add(2*way))
+		two.applyRegionLoads(one.remoteLoadMessages(at), at.Add(latency))
+		one.applyRegionLoads(two.remoteLoadMessages(at.Add(latency)), at.Add(2*latency))
 	}
 	end := now.Add(regionLoadTTL + newerMargin)
 	assert.Equal(t, len(one.regionLoadsByService(end)), 0)
--- a/site/place.go
+++ b/site/place.go
@@ -127,9 +127,9 @@
 	if len(vms) == 0 {
 		return fleet.VM{}, false
 	}
-	from := rand.IntN(len(vms))
+	start := rand.IntN(len(vms))
 	for i := range vms {
-		if vm := vms[(from+i)%len(vms)]; !slices.Contains(tried, vm.ID) {
+		if vm := vms[(start+i)%len(vms)]; !slices.Contains(tried, vm.ID) {
 			return vm, true
 		}
 	}
--- a/site/polling.go
+++ b/site/polling.go
@@ -52,14 +52,14 @@
 }
 
 // pollNext polls one engine, so that polls are spread evenly over the interval.
-func (p *pools) pollNext(ctx context.Context, number int) {
+func (p *pools) pollNext(ctx context.Context, index int) {
 	engines := p.enginesToPoll()
-	every := p.pollInterval()
+	interval := p.pollInterval()
 	if count := len(engines); count > 0 {
-		go p.pollEngine(ctx, engines[number%count])
-		every /= time.Duration(count)
+		go p.pollEngine(ctx, engines[index%count])
+		interval /= time.Duration(count)
 	}
-	worker.SleepUntil(ctx, p.node.now(), p.node.now().Add(every))
+	worker.SleepUntil(ctx, p.node.now(), p.node.now().Add(interval))
 }
 
 // pollRound polls all engines assigned to this VM at once and broadcasts what changed.
@@ -182,7 +182,7 @@
 		return
 	}
 	go p.probeCold(ctx, e)
-	if !due || !p.node.settings.Has(settings.Reports) || !p.node.mayProbe(ctx, e, throttle.WayReport) {
+	if !due || !p.node.settings.Has(settings.Reports) || !p.node.acquireProbePermit(ctx, e, throttle.WayReport) {
 		return
 	}
 	timeoutCtx, cancel := context.WithTimeout(ctx, reportTimeout)
--- a/site/pools.go
+++ b/site/pools.go
@@ -114,10 +114,10 @@
 // updateMembers updates the pools with the members only, which change far more often
 // than the endpoints while a fleet starts.
 func (p *pools) updateMembers(snap *snapshot) {
-	far := p.remoteEndpoints(snap)
+	remote := p.remoteEndpoints(snap)
 	vms := p.countRegionVMs(snap)
 	for service, pool := range p.table.Load().byService {
-		pool.Endpoints.SetFar(far[service])
+		pool.Endpoints.SetFar(remote[service])
 		pool.Endpoints.SetVMs(vms)
 	}
 }
--- a/site/site.go
+++ b/site/site.go
@@ -199,8 +199,8 @@
 }
 
 // countPeerMessage counts the payload bytes of a request to another VM and of its reply.
-func (n *Node) countPeerMessage(kind string, far bool, sent, received int) {
-	n.metrics.ControlPayload(kind, far, sent, received)
+func (n *Node) countPeerMessage(kind string, remote bool, sent, received int) {
+	n.metrics.ControlPayload(kind, remote, sent, received)
 }
 
 // newIncarnation returns a number for this run of the process. Later runs have higher
--- a/site/throttle.go
+++ b/site/throttle.go
@@ -75,12 +75,12 @@
 }
 
 // usePermit is called immediately before the first byte of a request is sent.
-func (n *Node) usePermit(e fleet.Endpoint, p *throttle.Permit, way throttle.Way) error {
+func (n *Node) usePermit(e fleet.Endpoint, p *throttle.Permit, purpose throttle.Way) error {
 	if refusal := n.throttle.Sending(e, p, n.now()); refusal != nil {
 		return refusal
 	}
 	if n.throttle.IsLimited(e) {
-		n.metrics.ThrottledSend(way)
+		n.metrics.ThrottledSend(purpose)
 	}
 	return nil
 }
@@ -90,11 +90,11 @@
 	return n.throttle.ComeBackAt(service, endpointIDs, opensAt, n.control.snapshot().throttleRegion(), n.now())
 }
 
-// mayProbe reports whether a load or health request may be sent to an endpoint now, and
-// uses a permit for it.
-func (n *Node) mayProbe(ctx context.Context, e fleet.Endpoint, way throttle.Way) bool {
+// acquireProbePermit reports whether a load or health request may be sent to an endpoint
+// now, and uses a permit for it.
+func (n *Node) acquireProbePermit(ctx context.Context, e fleet.Endpoint, purpose throttle.Way) bool {
 	permit, _ := n.acquirePermit(ctx, e)
-	return permit != nil && n.usePermit(e, permit, way) == nil
+	return permit != nil && n.usePermit(e, permit, purpose) == nil
 }
 
 // observeRate applies the rate limit that an answer of an endpoint announces.
