--- /dev/null
+++ b/site/freshness.go
@@ -0,0 +1,59 @@
+package site
+
+import (
+	"time"
+)
+
+// keysTooStale reports whether this VM has gone without confirmation from the store for
+// longer than operators allow for the revocation of a key. Without such a bound the last
+// table stays valid.
+func (n *Node) keysTooStale() bool {
+	bound := n.bounds.Load().KeysEndWithin
+	if bound <= 0 {
+		return false
+	}
+	at := n.freshAsOf.Load()
+	return at == 0 || n.now().Sub(time.Unix(0, at)) > bound
+}
+
+// advanceFreshness records that this VM holds everything the store held at the given
+// time. The recorded time never goes back.
+func (n *Node) advanceFreshness(at time.Time) {
+	for {
+		current := n.freshAsOf.Load()
+		if at.UnixNano() <= current || n.freshAsOf.CompareAndSwap(current, at.UnixNano()) {
+			return
+		}
+	}
+}
+
+// freshnessAgeMs returns the age of freshAsOf plus one millisecond, as encoded in
+// messages; zero means unknown.
+func (n *Node) freshnessAgeMs(now time.Time) uint32 {
+	at := n.freshAsOf.Load()
+	if at == 0 {
+		return 0
+	}
+	return uint32(max(now.Sub(time.Unix(0, at)).Milliseconds(), 0)) + 1
+}
+
+// applyPeerFreshness adopts the freshness of a peer if this VM holds at least the peer's
+// revision.
+func (c *control) applyPeerFreshness(revision uint64, ageMs uint32, sentAt time.Time) {
+	if ageMs > 0 && c.mirror.Revision() >= revision {
+		c.node.advanceFreshness(sentAt.Add(-time.Duration(ageMs-1) * time.Millisecond))
+	}
+}
+
+// watchTimeout bounds one wait for store changes. A bound on key revocation shortens it,
+// so that the absence of changes is confirmed often enough.
+func (n *Node) watchTimeout() time.Duration {
+	bound := n.bounds.Load().KeysEndWithin
+	if bound <= 0 {
+		return maxWatchTimeout
+	}
+	return min(maxWatchTimeout, bound/watchesPerKeyBound)
+}
+
+// watchesPerKeyBound is the least number of watches within the bound on key revocation.
+const watchesPerKeyBound = 4
--- /dev/null
+++ b/site/gauges.go
@@ -0,0 +1,43 @@
+package site
+
+import "time"
+
+// updateGauges refreshes the gauges before a scrape.
+func (n *Node) updateGauges() {
+	snap := n.control.snapshot()
+	reached, suspected := make(map[string]int), make(map[string]int)
+	for _, m := range snap.members.Members {
+		if m.Reachable {
+			reached[m.VM.Region]++
+		} else {
+			suspected[m.VM.Region]++
+		}
+	}
+	n.metrics.SetMembers(reached, suspected)
+	warm, cold := 0, 0
+	for _, e := range snap.endpoints {
+		switch {
+		case e.Region != n.deployment.Region:
+		case e.ColdUntil.IsZero():
+			warm++
+		default:
+			cold++
+		}
+	}
+	n.metrics.SetEndpoints(warm, cold)
+	if snap.table != nil {
+		n.metrics.SetRoutes(snap.table.Version)
+	}
+	if at := n.inSyncAt.Load(); at > 0 {
+		n.metrics.SetPublishedAge(n.now().Sub(time.Unix(0, at)))
+	}
+	if n.droppedLines != nil {
+		dropped := n.droppedLines()
+		n.metrics.LinesDropped(dropped - n.droppedReported.Swap(dropped))
+	}
+}
+
+// markInSync records that this VM has the revision of the store or of its reader.
+func (n *Node) markInSync() {
+	n.inSyncAt.Store(n.now().UnixNano())
+}
--- a/site/keys_test.go
+++ b/site/keys_test.go
@@ -17,9 +17,9 @@
 	"github.com/fuchsianotch/fuchsianotch/route"
 )
 
-// judgedCase is a call that another VM admitted under an older table, and what the
-// newer one makes of it.
-type judgedCase struct {
+// readmitCase is a call admitted by another VM under an older table, and its outcome
+// under the newer one.
+type readmitCase struct {
 	Name       string
 	Keys       []string
 	Key        string
@@ -32,18 +32,18 @@
 	Rank       int
 }
 
-// TestJudgeAnew holds that a VM with a newer table judges a call that another VM sent
-// by its own: a key that was taken away serves nowhere that knows of it.
+// TestJudgeAnew checks that a VM with a newer table admits a forwarded call by its own
+// table, so that a revoked key is refused.
 func TestJudgeAnew(t *testing.T) {
 	now := time.Unix(1e9, 0)
 	n := newFleetNode(func() time.Time { return now })
-	for _, c := range datatest.Read[[]judgedCase](t, "testdata/judged_anew.json") {
+	for _, c := range datatest.Read[[]readmitCase](t, "testdata/readmit.json") {
 		t.Run(c.Name, func(t *testing.T) {
 			forwarded := routedCall(c.Key)
 			if c.Path != "" {
 				forwarded.Path = c.Path
 			}
-			refusal := n.judgeAnew(forwarded, c.table())
+			refusal := n.readmit(forwarded, c.table())
 			if c.Code != 0 {
 				assert.Assert(t, refusal != nil)
 				assert.Equal(t, refusal.Code, c.Code)
@@ -57,7 +57,7 @@
 	}
 }
 
-func (c judgedCase) table() *route.Table {
+func (c readmitCase) table() *route.Table {
 	w := route.Workspace{
 		Name:  "renamed",
 		Homes: c.Homes,
@@ -80,7 +80,7 @@
 	})
 }
 
-// TestKeyStays holds that no message to another VM carries a caller's key.
+// TestKeyStays checks that messages to other VMs contain no API key.
 func TestKeyStays(t *testing.T) {
 	const key = "m68k7b2ex5wa5xwyhks8"
 	m, err := proto.Marshal(peer.CallMessage(routedCall(key), time.Unix(1e9, 0)))
--- /dev/null
+++ b/site/polling.go
@@ -0,0 +1,200 @@
+package site
+
+import (
+	"context"
+	"math/rand/v2"
+	"sync"
+	"time"
+
+	"github.com/fuchsianotch/fuchsianotch/common/worker"
+	"github.com/fuchsianotch/fuchsianotch/entry"
+	"github.com/fuchsianotch/fuchsianotch/fleet"
+	"github.com/fuchsianotch/fuchsianotch/peer/peerpb"
+	"github.com/fuchsianotch/fuchsianotch/relay"
+	"github.com/fuchsianotch/fuchsianotch/routing"
+	"github.com/fuchsianotch/fuchsianotch/settings"
+	"github.com/fuchsianotch/fuchsianotch/throttle"
+)
+
+const (
+	// maxPollers bounds the VMs of a region that poll its engines. With no more VMs than
+	// that, all poll and reports travel by gossip. In a larger region gossip takes seconds
+	// to reach all VMs, so pollers broadcast their reports.
+	maxPollers = 9
+	// pollRoundTimeout bounds the wait for the answers of one round before they are
+	// broadcast. Engines answer within milliseconds.
+	pollRoundTimeout = 150 * time.Millisecond
+	// reportNoteTimeout bounds one note with load reports.
+	reportNoteTimeout = 300 * time.Millisecond
+	// requestsPerPoll is the number of requests to an engine per poll: load and health.
+	requestsPerPoll = 2
+	// pollerRankKey is the key of rendezvous hashing that ranks the VMs of a region as
+	// pollers.
+	pollerRankKey = "askers"
+)
+
+// run polls the engines assigned to this VM until ctx ends.
+func (p *pools) run(ctx context.Context) error {
+	for next := 0; ctx.Err() == nil; next++ {
+		if p.broadcastsReports() {
+			p.pollRound(ctx)
+			continue
+		}
+		p.pollNext(ctx, next)
+	}
+	return nil
+}
+
+// broadcastsReports reports whether pollers broadcast load reports in place of gossiping
+// them.
+func (p *pools) broadcastsReports() bool {
+	return len(p.reachableVMs()) > maxPollers
+}
+
+// pollNext polls one engine, so that polls are spread evenly over the interval.
+func (p *pools) pollNext(ctx context.Context, index int) {
+	engines := p.enginesToPoll()
+	interval := p.pollInterval()
+	if count := len(engines); count > 0 {
+		go p.pollEngine(ctx, engines[index%count])
+		interval /= time.Duration(count)
+	}
+	worker.SleepUntil(ctx, p.node.now(), p.node.now().Add(interval))
+}
+
+// pollRound polls all engines assigned to this VM at once and broadcasts what changed.
+func (p *pools) pollRound(ctx context.Context) {
+	startedAt := p.node.now()
+	endsAt := startedAt.Add(p.pollInterval())
+	if engines := p.enginesToPoll(); len(engines) > 0 {
+		p.pollAll(ctx, engines)
+		p.broadcastReports(ctx, p.changedReports(engines, startedAt))
+	}
+	worker.SleepUntil(ctx, p.node.now(), endsAt)
+}
+
+// pollInterval returns the interval at which each engine is polled.
+func (p *pools) pollInterval() time.Duration {
+	if p.node.control.snapshot().members.StoreAway() {
+		return storeLostReportInterval
+	}
+	return reportInterval
+}
+
+// pollAll polls engines and waits for their answers, at most for pollRoundTimeout.
+func (p *pools) pollAll(ctx context.Context, engines []fleet.Endpoint) {
+	var polls sync.WaitGroup
+	for _, e := range engines {
+		polls.Go(func() { p.pollEngine(ctx, e) })
+	}
+	done := make(chan struct{})
+	go func() {
+		polls.Wait()
+		close(done)
+	}()
+	timer := time.NewTimer(pollRoundTimeout)
+	defer timer.Stop()
+	select {
+	case <-done:
+	case <-timer.C:
+	case <-ctx.Done():
+	}
+}
+
+// broadcastReports sends load reports to all other VMs of the region through relays.
+func (p *pools) broadcastReports(ctx context.Context, list []*peerpb.EngineReport) {
+	if len(list) == 0 {
+		return
+	}
+	salt := rand.Uint64() | 1
+	for _, vm := range relay.Heads(p.node.deployment.VM, salt, p.reachableVMs()) {
+		go p.sendReports(ctx, vm, list, salt)
+	}
+}
+
+func (p *pools) sendReports(ctx context.Context, vm fleet.VM, list []*peerpb.EngineReport, salt uint64) {
+	timeoutCtx, cancel := context.WithTimeout(ctx, reportNoteTimeout)
+	defer cancel()
+	err := p.node.peers.Reports(timeoutCtx, vm, &peerpb.ReportNote{
+		From:      p.node.identity(),
+		Reports:   list,
+		RelaySalt: salt,
+	})
+	if err != nil {
+		p.node.log.Debug("reports_failed", "peer", vm.ID, "reason", err.Error())
+	}
+}
+
+// handleReportNote applies load reports of another VM and relays them if required.
+func (p *pools) handleReportNote(m *peerpb.ReportNote, sentAt time.Time) {
+	if m.GetFrom().GetRegion() != p.node.deployment.Region {
+		return
+	}
+	p.applyReports(m.GetReports(), sentAt)
+	if m.GetRelaySalt() == 0 {
+		return
+	}
+	delay := uint32(max(p.node.now().Sub(sentAt).Milliseconds(), 0))
+	for _, r := range m.GetReports() {
+		r.AgeMs += delay
+	}
+	for _, vm := range relay.Children(p.node.deployment.VM, m.GetFrom().GetVm(), m.GetRelaySalt(), p.reachableVMs()) {
+		go p.sendReports(context.Background(), vm, m.GetReports(), 0)
+	}
+}
+
+// enginesToPoll returns the engines assigned to this VM.
+func (p *pools) enginesToPoll() []fleet.Endpoint {
+	pollers := p.pollers()
+	var out []fleet.Endpoint
+	for _, e := range p.table.Load().engines {
+		if owner := entry.Owner(e.ID, pollers); owner == "" || owner == p.node.deployment.VM {
+			out = append(out, e)
+		}
+	}
+	return out
+}
+
+// pollers returns the ids of the VMs of the region that poll engines.
+func (p *pools) pollers() []string {
+	vms := p.reachableVMs()
+	if len(vms) > maxPollers {
+		vms = entry.Rank(pollerRankKey, vms)[:maxPollers]
+	}
+	var ids []string
+	for _, vm := range vms {
+		ids = append(ids, vm.ID)
+	}
+	return ids
+}
+
+// reachableVMs returns the reachable VMs of the region. The caller must not modify them.
+func (p *pools) reachableVMs() []fleet.VM {
+	return p.node.control.snapshot().members.Reached(p.node.deployment.Region)
+}
+
+// pollEngine requests the load of an engine if that is due, and probes whether it is
+// cold.
+func (p *pools) pollEngine(ctx context.Context, e fleet.Endpoint) {
+	due := p.reportDue(e)
+	asksCold := due || p.node.control.snapshot().members.StoreAway()
+	if !asksCold || !p.node.throttle.QuestionDue(e, requestsPerPoll, p.node.now()) {
+		return
+	}
+	go p.probeCold(ctx, e)
+	if !due || !p.node.settings.Has(settings.Reports) || !p.node.acquireProbePermit(ctx, e, throttle.WayReport) {
+		return
+	}
+	timeoutCtx, cancel := context.WithTimeout(ctx, reportTimeout)
+	defer cancel()
+	load, err := p.node.endpointClient.Report(timeoutCtx, e)
+	if err != nil {
+		p.node.log.Debug("report_failed", "endpoint", e.ID, "reason", err.Error())
+		p.reportUnreachable(ctx, e)
+		return
+	}
+	p.recordReport(e.ID, loadReport{
+		service: e.Service,
+		load:    routing.Load(load),
+	})
+}
--- a/site/pull.go
+++ b/site/pull.go
@@ -13,141 +13,140 @@
 )
 
 const (
-	// pullWithin bounds the pull of what a peer holds of the store.
-	pullWithin = 2 * time.Second
-	// pullAfter is how long this VM waits for its own read, or for a VM of its region,
-	// before it pulls from one further away: all are told at nearly the same time.
-	pullAfter = 300 * time.Millisecond
+	// pullTimeout bounds the transfer of store contents from a peer.
+	pullTimeout = 2 * time.Second
+	// pullDelay postpones a pull from another region, or by a VM that reads the store
+	// itself: a local source usually delivers the revision sooner.
+	pullDelay = 300 * time.Millisecond
 )
 
-// puller pulls what other VMs hold of the store, from one at a time: many tell of a
-// new revision at once, and what one holds all do.
+// puller fetches store contents from other VMs. Many announce a new revision at once, so
+// it pulls from one at a time.
 type puller struct {
 	node *Node
 
 	mu sync.Mutex
-	// pulling is set while a pull is under way; next is what was heard meanwhile.
-	pulling bool
-	next    offer
-	// whole is the last reply that held everything.
-	whole *peerpb.PublishedReply
+	// pulling is set during a pull; nextNotice is the best notice received meanwhile.
+	pulling    bool
+	nextNotice revisionNotice
+	// fullReply caches the last encoded reply with the full contents.
+	fullReply *peerpb.PublishedReply
 }
 
-// offer is a VM's word that it holds the store up to a revision.
-type offer struct {
+// revisionNotice says that a VM holds the store up to a revision.
+type revisionNotice struct {
 	vm       fleet.VM
 	revision uint64
 }
 
-// hear takes an offer, and pulls unless that is under way.
-func (p *puller) hear(ctx context.Context, o offer) {
+// notify starts a pull, or records the notice if one is under way.
+func (p *puller) notify(ctx context.Context, notice revisionNotice) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.pulling {
-		if o.revision > p.next.revision || o.vm.Region == p.node.deployment.Region {
-			p.next = o
+		if notice.revision > p.nextNotice.revision || notice.vm.Region == p.node.deployment.Region {
+			p.nextNotice = notice
 		}
 		return
 	}
 	p.pulling = true
-	go p.pullAll(ctx, o)
+	go p.pullPending(ctx, notice)
 }
 
-// pullAll takes one offer after the other until none is left.
-func (p *puller) pullAll(ctx context.Context, o offer) {
+// pullPending pulls until no notice is left.
+func (p *puller) pullPending(ctx context.Context, notice revisionNotice) {
 	for {
-		p.pull(ctx, o)
+		p.pull(ctx, notice)
 		p.mu.Lock()
-		o = p.next
-		p.next = offer{}
-		p.pulling = o.revision > 0
+		notice = p.nextNotice
+		p.nextNotice = revisionNotice{}
+		p.pulling = notice.revision > 0
 		p.mu.Unlock()
-		if o.revision == 0 {
+		if notice.revision == 0 {
 			return
 		}
 	}
 }
 
-// isPulling reports whether a pull is under way.
 func (p *puller) isPulling() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.pulling
 }
 
-// pull asks a peer for what it holds of the store, unless it comes sooner otherwise.
-func (p *puller) pull(ctx context.Context, o offer) {
+// pull fetches what a peer holds, unless the revision arrives otherwise in the meantime.
+func (p *puller) pull(ctx context.Context, notice revisionNotice) {
 	n := p.node
-	if n.isReader() || p.isFarther(o.vm) {
-		worker.SleepUntil(ctx, n.now(), n.now().Add(pullAfter))
+	if n.isReader() || p.prefersLocal(notice.vm) {
+		worker.SleepUntil(ctx, n.now(), n.now().Add(pullDelay))
 	}
-	after := n.control.picture().revision
-	if after >= o.revision {
+	after := n.control.snapshot().revision
+	if after >= notice.revision {
 		return
 	}
-	trip, cancel := context.WithTimeout(ctx, pullWithin)
+	timeoutCtx, cancel := context.WithTimeout(ctx, pullTimeout)
 	defer cancel()
-	reply, err := n.peers.Published(trip, o.vm, &peerpb.PublishedRequest{
+	reply, err := n.peers.Published(timeoutCtx, notice.vm, &peerpb.PublishedRequest{
 		AfterRevision: after,
 	})
 	if err != nil {
-		n.log.Warn("pull_failed", "peer", o.vm.ID, "reason", err.Error())
+		n.log.Warn("pull_failed", "peer", notice.vm.ID, "reason", err.Error())
 		return
 	}
-	got := read{
+	read := storeRead{
 		items:    itemsFromMessage(reply.GetItems()),
 		revision: reply.GetRevision(),
-		whole:    reply.GetWhole(),
+		full:     reply.GetWhole(),
 	}
-	// An error means that ctx ended.
-	_, _ = ask(trip, n.control, func(c *control, now time.Time) bool {
+	// The only error is the end of the context.
+	_, _ = query(timeoutCtx, n.control, func(c *control, now time.Time) bool {
 		c.discovery.SettleUntil(now.Add(time.Duration(reply.GetSettlingMs()) * time.Millisecond))
-		c.takeNew(ctx, c.merge(got), now)
+		c.applyAndSpread(ctx, c.mergeRead(read), now)
 		return true
 	})
 }
 
-// isFarther reports whether a VM is in another region while there are VMs in the own
-// one, which soon hold the same.
-func (p *puller) isFarther(vm fleet.VM) bool {
+// prefersLocal reports whether a VM is in another region although VMs of the local
+// region are reachable, which will soon hold the same revision.
+func (p *puller) prefersLocal(vm fleet.VM) bool {
 	own := p.node.deployment.Region
-	return vm.Region != own && len(p.node.control.picture().members.Reached(own)) > 1
+	return vm.Region != own && len(p.node.control.snapshot().members.Reached(own)) > 1
 }
 
-// published answers a peer with what this VM holds of the store.
-func (p *puller) published(ctx context.Context, in *peerpb.PublishedRequest) (*peerpb.PublishedReply, error) {
-	reply, err := ask(ctx, p.node.control, func(c *control, now time.Time) *peerpb.PublishedReply {
-		return c.publishedAfter(in.GetAfterRevision(), now)
+// handlePublished returns the store contents that this VM holds after a revision.
+func (p *puller) handlePublished(ctx context.Context, in *peerpb.PublishedRequest) (*peerpb.PublishedReply, error) {
+	reply, err := query(ctx, p.node.control, func(c *control, now time.Time) *peerpb.PublishedReply {
+		return c.publishedReply(in.GetAfterRevision(), now)
 	})
 	if err != nil {
 		return nil, err
 	}
-	return p.packed(reply)
+	return p.packReply(reply)
 }
 
-// packed packs a reply. One that holds everything is packed once for all that ask.
-func (p *puller) packed(r *peerpb.PublishedReply) (*peerpb.PublishedReply, error) {
+// packReply encodes a reply. A full reply is encoded once for all requests.
+func (p *puller) packReply(r *peerpb.PublishedReply) (*peerpb.PublishedReply, error) {
 	if !r.GetWhole() {
 		return peer.Pack(r)
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.whole.GetRevision() == r.GetRevision() && p.whole.GetSettlingMs() == r.GetSettlingMs() {
-		return p.whole, nil
+	if p.fullReply.GetRevision() == r.GetRevision() && p.fullReply.GetSettlingMs() == r.GetSettlingMs() {
+		return p.fullReply, nil
 	}
 	packed, err := peer.Pack(r)
 	if err != nil {
 		return nil, err
 	}
-	p.whole = packed
+	p.fullReply = packed
 	return packed, nil
 }
 
-func (c *control) publishedAfter(revision uint64, now time.Time) *peerpb.PublishedReply {
-	items, whole := c.mirror.Since(revision)
+func (c *control) publishedReply(revision uint64, now time.Time) *peerpb.PublishedReply {
+	items, full := c.mirror.Since(revision)
 	reply := &peerpb.PublishedReply{
 		Revision:   c.mirror.Revision(),
-		Whole:      whole,
+		Whole:      full,
 		SettlingMs: uint32(c.discovery.Settling(now).Milliseconds()),
 	}
 	for _, item := range items {
--- /dev/null
+++ b/site/resume.go
@@ -0,0 +1,60 @@
+package site
+
+import (
+	"context"
+	"sync"
+	"time"
+
+	"github.com/fuchsianotch/fuchsianotch/common/worker"
+	"github.com/fuchsianotch/fuchsianotch/result"
+)
+
+const (
+	// resumeTimeout bounds the wait of a call for fresh endpoint state after a process
+	// pause. Endpoints answer within milliseconds unless they are full.
+	resumeTimeout      = 250 * time.Millisecond
+	resumePollInterval = 5 * time.Millisecond
+)
+
+// onResume wakes the control goroutine after the VM was suspended. Timers do not advance
+// during suspension, and calls wait for fresh state.
+func (n *Node) onResume(suspended time.Duration) {
+	n.log.Warn("vm_suspended", "for_ms", suspended.Milliseconds())
+	n.control.send(context.Background(), func(*control, time.Time) {})
+}
+
+// probeAfterPause probes all endpoints of the region once after each process pause.
+// Other VMs may have been paused too, pollers included.
+func (c *control) probeAfterPause(ctx context.Context, now time.Time) {
+	resuming := c.roster.Waking()
+	if resuming && !c.resuming {
+		go c.node.pools.probeAllCold(ctx, now)
+	}
+	c.resuming = resuming
+}
+
+// probeAllCold probes the available endpoints and marks the endpoint state as fresh.
+func (p *pools) probeAllCold(ctx context.Context, startedAt time.Time) {
+	timeoutCtx, cancel := context.WithTimeout(ctx, resumeTimeout)
+	defer cancel()
+	var probes sync.WaitGroup
+	for _, e := range p.table.Load().available {
+		probes.Go(func() { p.probeCold(timeoutCtx, e) })
+	}
+	probes.Wait()
+	p.node.control.send(ctx, func(c *control, _ time.Time) { c.roster.News(startedAt) })
+}
+
+// awaitFreshState blocks until the endpoint state is newer than the last process pause.
+// Otherwise all calls that queued up during the pause could go to endpoints that have
+// become cold.
+func (n *Node) awaitFreshState(ctx context.Context) *result.Refusal {
+	deadline := n.now().Add(resumeTimeout)
+	for now := n.now(); !n.control.snapshot().members.Current(now); now = n.now() {
+		if ctx.Err() != nil || !now.Before(deadline) {
+			return result.Refuse(result.NotReady, "VM %s was paused and has not refreshed its endpoint state yet", n.deployment.VM).Until(now.Add(resumeTimeout))
+		}
+		worker.SleepUntil(ctx, now, now.Add(resumePollInterval))
+	}
+	return nil
+}
