--- a/caller/auth.go
+++ b/caller/auth.go
@@ -14,17 +14,17 @@
 type request struct {
 	id       string
 	contract *contract.Contract
-	// mayRead is set once it was decided that this VM may read the body.
-	mayRead bool
-	// bodyRead is set once nothing of the body is left on the connection.
+	// bodyAllowed is set once placement allows this VM to read the body.
+	bodyAllowed bool
+	// bodyRead is set once the body was read to its end.
 	bodyRead bool
-	// served is set once the call was given to be carried.
-	served bool
-	w      http.ResponseWriter
-	r      *http.Request
+	// dispatched is set once the call was passed to Options.Serve.
+	dispatched bool
+	w          http.ResponseWriter
+	r          *http.Request
 }
 
-// authenticated runs a handler for callers whose key is in their contract.
+// authenticated wraps a handler, rejecting requests without a valid API key.
 func (s *Server) authenticated(handle func(*request)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		q := &request{
@@ -58,25 +58,26 @@
 		return nil, unauthenticated
 	}
 	found, ok := snapshot.Contract(workspace)
-	if !ok || !admits(found, secret, s.options.Now()) {
+	if !ok || !hasValidKey(found, secret, s.options.Now()) {
 		return nil, unauthenticated
 	}
 	return found, nil
 }
 
-// admits compares against every key in constant time.
-func admits(c *contract.Contract, secret string, now time.Time) bool {
+// hasValidKey reports whether secret matches a key that has not expired. It
+// always compares all keys, each in constant time.
+func hasValidKey(c *contract.Contract, secret string, now time.Time) bool {
 	digest := apikey.Sum(secret)
-	admitted := false
+	valid := false
 	for _, key := range c.Keys {
-		same := digest.EqualHex(key.SHA256)
+		matches := digest.EqualHex(key.SHA256)
 		current := key.NotAfter.IsZero() || now.Before(key.NotAfter)
-		admitted = admitted || (same && current)
+		valid = valid || (matches && current)
 	}
-	return admitted
+	return valid
 }
 
-func (s *Server) unknownRoute(w http.ResponseWriter, r *http.Request) {
+func (s *Server) handleUnknownRoute(w http.ResponseWriter, r *http.Request) {
 	q := &request{
 		id: s.options.NewID(),
 		w:  w,
--- a/caller/caller.go
+++ b/caller/caller.go
@@ -1,5 +1,5 @@
-// Package caller is the front that callers meet: chat completions, calls to
-// plain services, and the question which VMs to use. It speaks HTTP.
+// Package caller is the HTTP API for callers: chat completions, calls to plain
+// services, tickets, and discovery of entry VMs.
 package caller
 
 import (
@@ -15,7 +15,7 @@
 	"github.com/fuchsianotch/fuchsianotch/serving"
 )
 
-// Paths of the caller front.
+// Paths of the API.
 const (
 	PathChat           = "/v1/chat/completions"
 	PathEntries        = "/v1/entries"
@@ -23,26 +23,25 @@
 	PathServicesPrefix = "/v1/services/"
 )
 
-// Options set up a Server. Every field is required.
+// Options configure a Server. Every field is required.
 type Options struct {
 	VM    string
 	Now   func() time.Time
 	NewID func() string
-	// Ready says that this VM has a configuration to serve by.
+	// Ready reports whether this VM has loaded a configuration.
 	Ready    func() bool
 	Snapshot func() *configuration.Snapshot
 	View     func() *membership.View
-	// Serve carries a call that was read whole.
+	// Serve runs a call whose body was read and writes the response to sink.
 	Serve func(ctx context.Context, c *call.Call, place serving.Placement, sink call.Sink) call.Outcome
-	// IssueTicket makes a ticket that this VM executes.
+	// IssueTicket issues a ticket whose executor is this VM.
 	IssueTicket func(workspace string, goodUntil time.Time) string
-	// Stopping says that this VM takes no new callers.
+	// Stopping reports whether this VM is draining.
 	Stopping func() bool
 	Bounds   Bounds
 }
 
-// Bounds are what one caller may cost. The durations are relative to events
-// that have not happened yet; each becomes a deadline when its event comes.
+// Bounds limit the resources that callers may use.
 type Bounds struct {
 	MaxBodyBytes             int
 	MaxHeaderBytes           int
@@ -51,19 +50,19 @@
 	HeaderWithin             time.Duration
 	BodyWithin               time.Duration
 	IdleWithin               time.Duration
-	// WriteWithin bounds one write to a slow caller.
+	// WriteWithin is the timeout of a single write.
 	WriteWithin    time.Duration
 	TicketGoodFor  time.Duration
 	EntriesGoodFor time.Duration
 }
 
-// Server is the caller front.
+// Server serves the caller API.
 type Server struct {
 	options Options
 	http    *http.Server
 }
 
-// New makes a server that does not listen yet.
+// New returns a Server; call Serve to accept connections.
 func New(o Options) *Server {
 	s := &Server{
 		options: o,
@@ -79,16 +78,16 @@
 
 func (s *Server) mux() *http.ServeMux {
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST "+PathChat, s.authenticated(s.chat))
-	mux.HandleFunc("GET "+PathEntries, s.authenticated(s.entries))
-	mux.HandleFunc("POST "+PathTickets, s.authenticated(s.tickets))
-	mux.HandleFunc(PathServicesPrefix+"{service}/{path...}", s.authenticated(s.service))
-	mux.HandleFunc("/", s.unknownRoute)
+	mux.HandleFunc("POST "+PathChat, s.authenticated(s.handleChat))
+	mux.HandleFunc("GET "+PathEntries, s.authenticated(s.handleEntries))
+	mux.HandleFunc("POST "+PathTickets, s.authenticated(s.handleTickets))
+	mux.HandleFunc(PathServicesPrefix+"{service}/{path...}", s.authenticated(s.handleService))
+	mux.HandleFunc("/", s.handleUnknownRoute)
 	return mux
 }
 
-// Serve answers callers on ln until Shutdown. Connections over the bounds are
-// closed at once.
+// Serve accepts connections on ln until Shutdown or Close. Connections over
+// the configured limits are closed immediately.
 func (s *Server) Serve(ln net.Listener) error {
 	return s.http.Serve(listen.New(ln, listen.Options{
 		Max:           s.options.Bounds.MaxConnections,
@@ -96,13 +95,13 @@
 	}))
 }
 
-// Shutdown stops accepting and waits for the calls in flight, at most until
-// ctx ends.
+// Shutdown stops accepting connections and waits for calls in flight until ctx
+// is done.
 func (s *Server) Shutdown(ctx context.Context) error {
 	return s.http.Shutdown(ctx)
 }
 
-// Close ends every connection at once.
+// Close closes every connection immediately.
 func (s *Server) Close() error {
 	return s.http.Close()
 }
--- a/caller/caller_test.go
+++ b/caller/caller_test.go
@@ -26,14 +26,14 @@
 const (
 	maxBody   = 4096
 	maxHeader = 4096
-	// headRead is what the HTTP server reads of a head at most.
-	headRead = maxHeader + 4096
-	// bodyWithin is waited for by the rows whose body stalls.
-	bodyWithin = 200 * time.Millisecond
+	// maxHeadRead is the most that net/http reads of a request's head.
+	maxHeadRead = maxHeader + 4096
+	// bodyTimeout is short, as rows with a stalled body wait for it.
+	bodyTimeout = 200 * time.Millisecond
 )
 
-// documents are what the front knows: a workspace of this region, "near", and
-// one bound to another, "far", both with the secret "s"; "old" has ended.
+// documents configure the server: the workspace "near" may use this region and
+// "far" only another one. Both have the secret "s" and the expired secret "old".
 var documents = map[string]string{
 	"models": `{"format":1,
 		"models":[{"model":"m","prompt_price":1,"generated_price":1,"max_tokens":64},{"model":"m2","prompt_price":1,"generated_price":1,"max_tokens":64}],
@@ -43,10 +43,10 @@
 			{"service":"s2","call_price":1,"calls":[]}]}`,
 	"regions": `{"format":1,"regions":[{"region":"a","data_centres":["a-1"]},{"region":"b","data_centres":["b-1"]}]}`,
 	"contracts/0": `{"format":1,"bucket":0,"buckets":1,"contracts":[` +
-		contractOf("near", "a") + "," + contractOf("far", "b") + `]}`,
+		contractJSON("near", "a") + "," + contractJSON("far", "b") + `]}`,
 }
 
-func contractOf(workspace, region string) string {
+func contractJSON(workspace, region string) string {
 	const (
 		secret = "043a718774c572bd8a25adbeb1bfcd5c0256ae11cecf9f9c3f925d0e52beaf89"
 		old    = "cba06b5736faf67e54b07b561eae94395e774c517a7d910a54369e1263ccfbd4"
@@ -57,8 +57,8 @@
 		"answer":{"first_token_within":"1s","whole_within":"10s","report_within":"10m"}}`, workspace, secret, old, region, region)
 }
 
-// requestRow is one row of testdata/requests.json. Without a method and a path
-// it is a chat of the workspace "near".
+// requestRow is one row of testdata/requests.json. The default is a chat
+// completion for the workspace "near".
 type requestRow struct {
 	Name    string            `json:"name"`
 	Method  string            `json:"method"`
@@ -68,8 +68,8 @@
 	Body    string            `json:"body"`
 	Repeat  int               `json:"repeat"`
 	Chunked bool              `json:"chunked"`
-	// Stall leaves a part of the body out, Short ends the connection there, and
-	// NoBodySent sends none of it.
+	// Stall declares one byte more than it sends, Short also closes the write
+	// side of the connection, and NoBodySent omits the body.
 	Stall      bool   `json:"stall"`
 	Short      bool   `json:"short"`
 	NoBodySent bool   `json:"no_body_sent"`
@@ -125,7 +125,7 @@
 		}})
 		assert.Assert(t, verdicts[0].Refusal == nil, "%v", verdicts[0].Refusal)
 	}
-	list := listOfVMs()
+	list := newVMList()
 	store.OfferList(*list)
 	state := membership.New(membership.Options{
 		Self:        list.VMs[0],
@@ -142,7 +142,7 @@
 		View:     func() *membership.View { return view },
 		Serve: func(_ context.Context, c *call.Call, _ serving.Placement, sink call.Sink) call.Outcome {
 			serve(c)
-			return row.answer(c, sink)
+			return row.respond(c, sink)
 		},
 		IssueTicket: func(workspace string, _ time.Time) string { return "t-" + workspace },
 		Stopping:    func() bool { return row.Stopping },
@@ -152,7 +152,7 @@
 			MaxConnections:           8,
 			MaxConnectionsPerAddress: 8,
 			HeaderWithin:             time.Minute,
-			BodyWithin:               bodyWithin,
+			BodyWithin:               bodyTimeout,
 			IdleWithin:               time.Minute,
 			WriteWithin:              time.Minute,
 			TicketGoodFor:            time.Minute,
@@ -161,7 +161,7 @@
 	})
 }
 
-func listOfVMs() *fleet.List {
+func newVMList() *fleet.List {
 	list := &fleet.List{
 		Revision: 9,
 	}
@@ -176,8 +176,8 @@
 	return list
 }
 
-// answer plays the serving path: a stream or a body, whole or broken off.
-func (row requestRow) answer(c *call.Call, sink call.Sink) call.Outcome {
+// respond stands in for Options.Serve with a complete or an interrupted response.
+func (row requestRow) respond(c *call.Call, sink call.Sink) call.Outcome {
 	_ = sink.Head(http.StatusOK, http.Header{})
 	_ = sink.Chunk([]byte("data: part\n\n"))
 	if row.Outcome != "" {
@@ -203,7 +203,7 @@
 	conn, err := net.Dial("tcp", addr)
 	assert.NilError(t, err)
 	t.Cleanup(func() { _ = conn.Close() })
-	_, err = io.WriteString(conn, row.text())
+	_, err = io.WriteString(conn, row.rawRequest())
 	assert.NilError(t, err)
 	if row.Short {
 		assert.NilError(t, conn.(*net.TCPConn).CloseWrite())
@@ -225,18 +225,19 @@
 	return http.MethodPost
 }
 
-// text is the request as it goes over the wire.
-func (row requestRow) text() string {
+// rawRequest returns the HTTP/1.1 request as sent on the connection.
+func (row requestRow) rawRequest() string {
 	path := row.Path
 	if path == "" {
 		path = PathChat
 	}
 	body := strings.Repeat(row.Body, max(row.Repeat, 1))
-	head := row.method() + " " + path + " HTTP/1.1\r\nHost: gateway\r\n" + row.keyLine()
+	head := row.method() + " " + path + " HTTP/1.1\r\nHost: gateway\r\n" + row.authorizationLine()
 	for name, value := range row.Headers {
 		if value == "*" {
-			// As much as the server reads, so that none is left to reset the connection.
-			return (head + name + ": " + strings.Repeat("x", headRead))[:headRead]
+			// Exactly what the server reads: unread bytes would reset the
+			// connection and lose the response.
+			return (head + name + ": " + strings.Repeat("x", maxHeadRead))[:maxHeadRead]
 		}
 		head += name + ": " + value + "\r\n"
 	}
@@ -253,7 +254,7 @@
 	return head + fmt.Sprintf("Content-Length: %d\r\n\r\n%s", length, body)
 }
 
-func (row requestRow) keyLine() string {
+func (row requestRow) authorizationLine() string {
 	switch row.Key {
 	case "-":
 		return ""
@@ -264,8 +265,8 @@
 	}
 }
 
-// FuzzChatBody decodes any body. It must not panic, and what it lets through
-// must be within the model's bounds.
+// FuzzChatBody checks that no body causes a panic and that accepted calls are
+// within the model's limits.
 func FuzzChatBody(f *testing.F) {
 	rows := datatest.Read[[]requestRow](f, "testdata/requests.json")
 	for _, row := range rows {
@@ -275,7 +276,7 @@
 	s := newServer(f, requestRow{}, func(*call.Call) {})
 	f.Fuzz(func(t *testing.T, body []byte) {
 		found, _ := s.options.Snapshot().Contract("near")
-		c, refusal := s.chatCall(&request{
+		c, refusal := s.newChatCall(&request{
 			contract: found,
 			r: &http.Request{
 				Header: http.Header{},
--- a/caller/chat.go
+++ b/caller/chat.go
@@ -12,8 +12,8 @@
 	"github.com/fuchsianotch/fuchsianotch/serving"
 )
 
-// chatRequest is the part of a chat completion request that the system reads.
-// The body passes on to the endpoint as it came.
+// chatRequest holds the fields of a chat completion request that the gateway
+// reads. The body is forwarded to the endpoint unchanged.
 type chatRequest struct {
 	Model               string        `json:"model"`
 	Messages            []chatMessage `json:"messages"`
@@ -27,11 +27,11 @@
 	Content json.RawMessage `json:"content"`
 }
 
-// chat serves a chat completion.
-func (s *Server) chat(q *request) {
-	place := s.place(q, true)
-	if place.Kind == serving.PlaceRefuse {
-		s.refuse(q, place.Refusal)
+// handleChat serves a chat completion.
+func (s *Server) handleChat(q *request) {
+	placement := s.placeCall(q, true)
+	if placement.Kind == serving.PlaceRefuse {
+		s.refuse(q, placement.Refusal)
 		return
 	}
 	body, refusal := s.readBody(q)
@@ -39,20 +39,20 @@
 		s.refuse(q, refusal)
 		return
 	}
-	c, refusal := s.chatCall(q, body)
+	c, refusal := s.newChatCall(q, body)
 	if refusal != nil {
 		s.refuse(q, refusal)
 		return
 	}
-	s.serve(q, c, place)
+	s.dispatch(q, c, placement)
 }
 
-func (s *Server) chatCall(q *request, body []byte) (*call.Call, *result.Refusal) {
+func (s *Server) newChatCall(q *request, body []byte) (*call.Call, *result.Refusal) {
 	var chat chatRequest
 	if err := json.Unmarshal(body, &chat); err != nil {
 		return nil, result.Refuse(result.BadRequest, "the body is not a chat completion request: %v", err)
 	}
-	if refusal := s.checkChat(q, &chat); refusal != nil {
+	if refusal := s.validateChat(q, &chat); refusal != nil {
 		return nil, refusal
 	}
 	c, refusal := s.newCall(q, call.PriorityChat)
@@ -65,7 +65,7 @@
 	c.Body = body
 	c.Stream = chat.Stream
 	c.Idempotent = true
-	c.PromptTokens = promptTokens(chat.Messages)
+	c.PromptTokens = estimatePromptTokens(chat.Messages)
 	c.MaxTokens = s.maxTokens(&chat)
 	c.PrefixHash = prefixHash(&chat)
 	if !c.Stream {
@@ -74,7 +74,7 @@
 	return c, nil
 }
 
-func (s *Server) checkChat(q *request, chat *chatRequest) *result.Refusal {
+func (s *Server) validateChat(q *request, chat *chatRequest) *result.Refusal {
 	if len(chat.Messages) == 0 {
 		return result.Refuse(result.BadRequest, "messages must hold at least one message")
 	}
@@ -88,26 +88,26 @@
 	if !slices.Contains(q.contract.Models, chat.Model) {
 		return result.Refuse(result.NotInContract, "the contract does not allow model %q", chat.Model)
 	}
-	if askedTokens(chat) > model.MaxTokens {
+	if requestedTokens(chat) > model.MaxTokens {
 		return result.Refuse(result.BadRequest, "max_tokens is over the model's bound of %d", model.MaxTokens)
 	}
 	return nil
 }
 
-func askedTokens(chat *chatRequest) int {
+func requestedTokens(chat *chatRequest) int {
 	return max(chat.MaxTokens, chat.MaxCompletionTokens)
 }
 
 func (s *Server) maxTokens(chat *chatRequest) int {
-	if asked := askedTokens(chat); asked > 0 {
-		return asked
+	if requested := requestedTokens(chat); requested > 0 {
+		return requested
 	}
 	model, _ := s.options.Snapshot().Model(chat.Model)
 	return model.MaxTokens
 }
 
-// promptTokens estimates the prompt's tokens by its words.
-func promptTokens(messages []chatMessage) int {
+// estimatePromptTokens approximates the number of tokens by the number of words.
+func estimatePromptTokens(messages []chatMessage) int {
 	words := 0
 	for _, m := range messages {
 		words += len(strings.Fields(string(m.Content)))
@@ -115,8 +115,8 @@
 	return words
 }
 
-// prefixHash identifies the prompt's shared prefix: its model and system
-// message, or its first message where there is none.
+// prefixHash hashes the model and the first message, usually the system prompt,
+// so that calls with a common prefix can share an endpoint's cache.
 func prefixHash(chat *chatRequest) uint64 {
 	h := xxhash.New()
 	_, _ = h.WriteString(chat.Model)
--- a/caller/entries.go
+++ b/caller/entries.go
@@ -13,23 +13,23 @@
 	"github.com/fuchsianotch/fuchsianotch/result"
 )
 
-// EntriesBody answers which VMs a caller should use.
-type EntriesBody struct {
+// EntriesResponse lists the VMs that a caller should use.
+type EntriesResponse struct {
 	Workspace    string    `json:"workspace"`
 	ViewRevision uint64    `json:"view_revision"`
-	GoodUntil    time.Time `json:"good_until"`
+	ExpiresAt    time.Time `json:"good_until"`
 	Entries      []Entry   `json:"entries"`
 }
 
-// TicketBody answers with a ticket and the VMs to use, its executor first.
-type TicketBody struct {
+// TicketResponse holds a ticket and the VMs to use, the ticket's executor first.
+type TicketResponse struct {
 	Ticket    string    `json:"ticket"`
-	GoodUntil time.Time `json:"good_until"`
+	ExpiresAt time.Time `json:"good_until"`
 	Entries   []Entry   `json:"entries"`
 }
 
-// entries answers which VMs serve the caller's workspace.
-func (s *Server) entries(q *request) {
+// handleEntries lists the entry VMs of the caller's workspace.
+func (s *Server) handleEntries(q *request) {
 	view := s.options.View()
 	vms := s.entriesFor(q.contract, view)
 	if len(vms) == 0 {
@@ -37,16 +37,16 @@
 		return
 	}
 	setResult(q.w.Header(), result.Done)
-	writeJSON(q.w, http.StatusOK, EntriesBody{
+	writeJSON(q.w, http.StatusOK, EntriesResponse{
 		Workspace:    q.contract.Workspace,
 		ViewRevision: view.Revision,
-		GoodUntil:    s.options.Now().Add(s.options.Bounds.EntriesGoodFor),
-		Entries:      entriesOf(vms),
+		ExpiresAt:    s.options.Now().Add(s.options.Bounds.EntriesGoodFor),
+		Entries:      newEntries(vms),
 	})
 }
 
-// tickets issues a ticket that this VM executes.
-func (s *Server) tickets(q *request) {
+// handleTickets issues a ticket whose executor is this VM.
+func (s *Server) handleTickets(q *request) {
 	view := s.options.View()
 	if _, ok := q.contract.Terms(view.Self.Region); !ok {
 		s.refuse(q, result.Refuse(result.WrongRegion, "the contract of workspace %s does not allow region %s", q.contract.Workspace, view.Self.Region))
@@ -56,12 +56,12 @@
 		s.refuse(q, result.Refuse(result.Stopping, "VM %s is stopping", s.options.VM))
 		return
 	}
-	goodUntil := s.options.Now().Add(s.options.Bounds.TicketGoodFor)
+	expiresAt := s.options.Now().Add(s.options.Bounds.TicketGoodFor)
 	setResult(q.w.Header(), result.Done)
-	writeJSON(q.w, http.StatusOK, TicketBody{
-		Ticket:    s.options.IssueTicket(q.contract.Workspace, goodUntil),
-		GoodUntil: goodUntil,
-		Entries:   entriesOf(selfFirst(view.Self, s.entriesFor(q.contract, view))),
+	writeJSON(q.w, http.StatusOK, TicketResponse{
+		Ticket:    s.options.IssueTicket(q.contract.Workspace, expiresAt),
+		ExpiresAt: expiresAt,
+		Entries:   newEntries(selfFirst(view.Self, s.entriesFor(q.contract, view))),
 	})
 }
 
@@ -75,20 +75,21 @@
 	return out
 }
 
-// entriesFor lists the entry VMs of a workspace, in this region if the
-// contract allows it, else in the workspace's home.
+// entriesFor returns the entry VMs of a workspace, in this region if the
+// contract allows it, otherwise in the workspace's home region.
 func (s *Server) entriesFor(c *contract.Contract, view *membership.View) []fleet.VM {
 	terms, ok := c.Terms(view.Self.Region)
 	if ok {
 		vms := view.Entries(c.Workspace)
-		return entry.Order(c.Workspace, vms, entry.Spread(terms, len(vms)), s.nonce())
+		return entry.Order(c.Workspace, vms, entry.Spread(terms, len(vms)), s.rotationSeed())
 	}
 	terms, _ = c.Terms(c.Home)
 	vms := view.EntriesIn(c.Home, c.Workspace)
-	return entry.Order(c.Workspace, vms, entry.Spread(terms, len(vms)), s.nonce())
+	return entry.Order(c.Workspace, vms, entry.Spread(terms, len(vms)), s.rotationSeed())
 }
 
-// nonce rotates the answers about hot workspaces.
-func (s *Server) nonce() uint64 {
+// rotationSeed returns a new seed for each response, so that the callers of a
+// busy workspace get the VMs in different orders.
+func (s *Server) rotationSeed() uint64 {
 	return xxhash.Sum64String(s.options.NewID())
 }
--- a/caller/read.go
+++ b/caller/request.go
@@ -13,17 +13,17 @@
 	"github.com/fuchsianotch/fuchsianotch/serving"
 )
 
-// Headers of requests.
+// Request headers.
 const (
 	HeaderTicket   = "Fuchsianotch-Ticket"
 	HeaderDeadline = "Fuchsianotch-Deadline"
 	HeaderPriority = "Fuchsianotch-Priority"
 )
 
-// passedHeaders go on to the endpoint; all others stay here.
-var passedHeaders = []string{"Accept", "Content-Type", "Idempotency-Key"}
+// forwardedHeaders are the only request headers sent to the endpoint.
+var forwardedHeaders = []string{"Accept", "Content-Type", "Idempotency-Key"}
 
-// readBody reads the body within the bounds of size and time.
+// readBody reads the body within the size limit and the read timeout.
 func (s *Server) readBody(q *request) ([]byte, *result.Refusal) {
 	limit := int64(s.options.Bounds.MaxBodyBytes)
 	if q.r.ContentLength > limit {
@@ -48,27 +48,28 @@
 	}
 }
 
-// place decides from the headers where the call is served, before its body is read.
-func (s *Server) place(q *request, idempotent bool) serving.Placement {
+// placeCall selects where the call is served, using the headers only, as the
+// body must not be read in a region that the contract does not allow.
+func (s *Server) placeCall(q *request, idempotent bool) serving.Placement {
 	r := serving.PlaceRequest{
 		Contract: q.contract,
 	}
 	if !idempotent {
 		r.Ticket = q.r.Header.Get(HeaderTicket)
 	}
-	place := serving.Place(r, s.options.View())
-	q.mayRead = place.Kind != serving.PlaceRefuse
-	return place
+	placement := serving.Place(r, s.options.View())
+	q.bodyAllowed = placement.Kind != serving.PlaceRefuse
+	return placement
 }
 
-// newCall starts a call with what all kinds have in common.
-func (s *Server) newCall(q *request, fallback call.Priority) (*call.Call, *result.Refusal) {
+// newCall returns a call with the fields common to chats and service calls.
+func (s *Server) newCall(q *request, defaultPriority call.Priority) (*call.Call, *result.Refusal) {
 	c := &call.Call{
 		ID:        q.id,
 		Workspace: q.contract.Workspace,
 		Method:    q.r.Method,
-		Header:    passHeaders(q.r.Header),
-		Priority:  fallback,
+		Header:    selectForwardedHeaders(q.r.Header),
+		Priority:  defaultPriority,
 		Ticket:    q.r.Header.Get(HeaderTicket),
 	}
 	if refusal := setPriority(c, q.r.Header); refusal != nil {
@@ -77,9 +78,9 @@
 	return c, s.setDeadlines(c, q)
 }
 
-func passHeaders(from http.Header) http.Header {
-	out := make(http.Header, len(passedHeaders))
-	for _, name := range passedHeaders {
+func selectForwardedHeaders(from http.Header) http.Header {
+	out := make(http.Header, len(forwardedHeaders))
+	for _, name := range forwardedHeaders {
 		if values, ok := from[name]; ok {
 			out[name] = values
 		}
@@ -92,18 +93,18 @@
 	if name == "" {
 		return nil
 	}
-	asked, ok := call.ParsePriority(name)
+	requested, ok := call.ParsePriority(name)
 	if !ok {
 		return result.Refuse(result.BadRequest, "header %s must be urgent, chat or report", HeaderPriority)
 	}
-	// Only a later priority may be asked for: urgent is for the calls that the
-	// published documents name.
-	c.Priority = max(c.Priority, asked)
+	// Callers may lower the priority but not raise it; only the published
+	// documents assign urgent.
+	c.Priority = max(c.Priority, requested)
 	return nil
 }
 
-// setDeadlines turns the contract's bounds into this call's deadlines. The
-// caller may ask for an earlier end.
+// setDeadlines derives the call's deadlines from the contract. A deadline
+// header can only shorten them.
 func (s *Server) setDeadlines(c *call.Call, q *request) *result.Refusal {
 	now := s.options.Now()
 	c.FirstBy, c.WholeBy = deadlines(q.contract.Answer, c.Priority, now)
@@ -111,15 +112,15 @@
 	if text == "" {
 		return nil
 	}
-	asked, err := time.Parse(time.RFC3339Nano, text)
+	requested, err := time.Parse(time.RFC3339Nano, text)
 	if err != nil {
 		return result.Refuse(result.BadRequest, "header %s must be an RFC 3339 time", HeaderDeadline).Because(err)
 	}
-	if !asked.After(now) {
+	if !requested.After(now) {
 		return result.Refuse(result.DeadlinePassed, "the deadline had passed when the call arrived")
 	}
-	c.WholeBy = earlier(c.WholeBy, asked)
-	c.FirstBy = earlier(c.FirstBy, asked)
+	c.WholeBy = earlier(c.WholeBy, requested)
+	c.FirstBy = earlier(c.FirstBy, requested)
 	return nil
 }
 
@@ -138,10 +139,10 @@
 	return b
 }
 
-// serve carries the call and writes its answer.
-func (s *Server) serve(q *request, c *call.Call, place serving.Placement) {
+// dispatch runs the call and writes the response.
+func (s *Server) dispatch(q *request, c *call.Call, placement serving.Placement) {
 	ctx := q.r.Context()
-	q.served = true
-	w := s.newWriter(q, c)
-	w.finish(s.options.Serve(ctx, c, place, w.sink()))
+	q.dispatched = true
+	w := s.newResponseWriter(q, c)
+	w.finish(s.options.Serve(ctx, c, placement, w.sink()))
 }
--- a/caller/answer.go
+++ b/caller/response.go
@@ -11,7 +11,7 @@
 	"github.com/fuchsianotch/fuchsianotch/result"
 )
 
-// Headers of answers.
+// Response headers.
 const (
 	HeaderResult  = "Fuchsianotch-Result"
 	HeaderClass   = "Fuchsianotch-Class"
@@ -27,26 +27,26 @@
 	Addr       string `json:"addr"`
 }
 
-// ErrorBody is the body of every answer that is not of class done.
-type ErrorBody struct {
+// ErrorResponse is the body of every response whose class is not done.
+type ErrorResponse struct {
 	Error Error `json:"error"`
 }
 
-// Error tells a caller what happened and what to do.
+// Error describes a failure and how the caller can proceed.
 type Error struct {
 	Code    result.Code  `json:"code"`
 	Name    string       `json:"name"`
 	Class   result.Class `json:"class"`
 	Message string       `json:"message"`
-	// ComeBackAt is when another try may succeed.
-	ComeBackAt time.Time `json:"come_back_at,omitzero"`
-	// Use lists the VMs to use, best first.
-	Use []Entry `json:"use,omitempty"`
-	// Ticket is enclosed where a call needs one.
+	// RetryAt is the earliest time at which a retry may succeed.
+	RetryAt time.Time `json:"come_back_at,omitzero"`
+	// SuggestedVMs are the entry VMs to use, in order of preference.
+	SuggestedVMs []Entry `json:"use,omitempty"`
+	// Ticket is set if the call needs a ticket and had none.
 	Ticket string `json:"ticket,omitempty"`
 }
 
-func entriesOf(vms []fleet.VM) []Entry {
+func newEntries(vms []fleet.VM) []Entry {
 	out := make([]Entry, 0, len(vms))
 	for _, vm := range vms {
 		out = append(out, Entry{
@@ -64,18 +64,18 @@
 	q.w.Header().Set(HeaderVM, s.options.VM)
 }
 
-// refuse answers with the refusal. A body that was not read by then stays
-// unread where it was not decided that this VM may read it.
+// refuse writes an error response. An unread body is discarded without
+// reading unless placement allowed this VM to read it.
 func (s *Server) refuse(q *request, r *result.Refusal) {
-	r = unchecked(q, r)
-	body := ErrorBody{
-		Error: s.errorOf(q, r),
+	r = reportUnknownOutcome(q, r)
+	body := ErrorResponse{
+		Error: s.newError(q, r),
 	}
 	setResult(q.w.Header(), r.Code)
 	s.setRetryAfter(q.w.Header(), r)
 	info, _ := result.Lookup(r.Code)
 	unread := q.r.ContentLength != 0 && !q.bodyRead
-	if unread && !q.mayRead && s.answerUnread(q, info.HTTPStatus, body) {
+	if unread && !q.bodyAllowed && s.rejectWithoutReading(q, info.HTTPStatus, body) {
 		return
 	}
 	if unread {
@@ -84,20 +84,20 @@
 	writeJSON(q.w, info.HTTPStatus, body)
 }
 
-func (s *Server) errorOf(q *request, r *result.Refusal) Error {
+func (s *Server) newError(q *request, r *result.Refusal) Error {
 	e := Error{
-		Code:       r.Code,
-		Name:       r.Code.String(),
-		Class:      r.Code.Class(),
-		Message:    r.Message,
-		ComeBackAt: r.ComeBackAt,
+		Code:    r.Code,
+		Name:    r.Code.String(),
+		Class:   r.Code.Class(),
+		Message: r.Message,
+		RetryAt: r.ComeBackAt,
 	}
 	if q.contract == nil {
 		return e
 	}
 	switch r.Code {
 	case result.WrongVM, result.WrongRegion, result.Stopping, result.LimitNoShare, result.PeerUnreachable, result.PeerLost, result.ExecutorGone, result.NotReady:
-		e.Use = entriesOf(s.entriesFor(q.contract, s.options.View()))
+		e.SuggestedVMs = newEntries(s.entriesFor(q.contract, s.options.View()))
 	case result.TicketRequired:
 		e.Ticket = s.options.IssueTicket(q.contract.Workspace, s.options.Now().Add(s.options.Bounds.TicketGoodFor))
 	}
@@ -124,102 +124,102 @@
 	_ = json.NewEncoder(w).Encode(body)
 }
 
-// writer passes an answer on to a caller. A streamed answer goes out as it
-// comes; any other is held until it is known to be whole.
-type writer struct {
-	s      *Server
-	q      *request
-	c      *call.Call
-	status int
-	header http.Header
-	body   []byte
-	// started is set once a streamed answer's head went out.
-	started bool
-	control *http.ResponseController
-}
-
-func (s *Server) newWriter(q *request, c *call.Call) *writer {
-	return &writer{
-		s:       s,
-		q:       q,
-		c:       c,
+// responseWriter writes an endpoint's response to the caller. A stream is
+// written as it arrives; any other response is buffered until it is complete.
+type responseWriter struct {
+	server  *Server
+	request *request
+	call    *call.Call
+	status  int
+	header  http.Header
+	body    []byte
+	// headWritten is set once the status and the headers were written.
+	headWritten bool
+	control     *http.ResponseController
+}
+
+func (s *Server) newResponseWriter(q *request, c *call.Call) *responseWriter {
+	return &responseWriter{
+		server:  s,
+		request: q,
+		call:    c,
 		control: http.NewResponseController(q.w),
 	}
 }
 
-func (w *writer) sink() call.Sink {
+func (w *responseWriter) sink() call.Sink {
 	return call.Sink{
-		Head:  w.head,
-		Chunk: w.chunk,
+		Head:  w.receiveHead,
+		Chunk: w.receiveChunk,
 	}
 }
 
-func (w *writer) head(status int, header http.Header) error {
-	if w.started {
+func (w *responseWriter) receiveHead(status int, header http.Header) error {
+	if w.headWritten {
 		return nil
 	}
 	w.status = status
 	w.header = header
-	if w.c.Stream {
-		w.start(result.Done)
+	if w.call.Stream {
+		w.writeHead(result.Done)
 	}
 	return nil
 }
 
-func (w *writer) start(code result.Code) {
-	h := w.q.w.Header()
+func (w *responseWriter) writeHead(code result.Code) {
+	h := w.request.w.Header()
 	for name, values := range w.header {
 		h[name] = values
 	}
 	setResult(h, code)
-	w.q.w.WriteHeader(w.status)
-	w.started = true
+	w.request.w.WriteHeader(w.status)
+	w.headWritten = true
 }
 
-func (w *writer) chunk(data []byte) error {
-	if !w.c.Stream {
+func (w *responseWriter) receiveChunk(data []byte) error {
+	if !w.call.Stream {
 		w.body = append(w.body, data...)
 		return nil
 	}
 	return w.write(data)
 }
 
-func (w *writer) write(data []byte) error {
-	_ = w.control.SetWriteDeadline(time.Now().Add(w.s.options.Bounds.WriteWithin))
-	if _, err := w.q.w.Write(data); err != nil {
+func (w *responseWriter) write(data []byte) error {
+	_ = w.control.SetWriteDeadline(time.Now().Add(w.server.options.Bounds.WriteWithin))
+	if _, err := w.request.w.Write(data); err != nil {
 		return err
 	}
 	return w.control.Flush()
 }
 
-// finish ends the answer as the outcome says. A stream that began and is not
-// whole ends with an error event, never silently.
-func (w *writer) finish(o call.Outcome) {
+// finish completes the response according to the outcome. A stream that fails
+// midway ends with an error event, so that the caller can tell it is incomplete.
+func (w *responseWriter) finish(o call.Outcome) {
 	if o.Code.Class() == result.ClassDone {
 		w.finishDone(o)
 		return
 	}
-	if w.started {
-		w.finishBroken(o)
+	if w.headWritten {
+		w.finishInterrupted(o)
 		return
 	}
-	w.s.refuse(w.q, o.Refusal)
+	w.server.refuse(w.request, o.Refusal)
 }
 
-func (w *writer) finishDone(o call.Outcome) {
-	if w.started {
+func (w *responseWriter) finishDone(o call.Outcome) {
+	if w.headWritten {
 		return
 	}
 	if w.status == 0 {
 		w.status = http.StatusOK
 	}
-	w.start(o.Code)
+	w.writeHead(o.Code)
 	_ = w.write(w.body)
 }
 
-func (w *writer) finishBroken(o call.Outcome) {
-	body := ErrorBody{
-		Error: w.s.errorOf(w.q, o.Refusal),
+func (w *responseWriter) finishInterrupted(o call.Outcome) {
+	body := ErrorResponse{
+		Error: w.server.newError(w.request, o.Refusal),
 	}
 	text, err := json.Marshal(body)
 	if err != nil {
--- a/caller/service.go
+++ b/caller/service.go
@@ -11,35 +11,36 @@
 	"github.com/fuchsianotch/fuchsianotch/serving"
 )
 
-// treatment is how the published documents let a service call be treated.
-type treatment struct {
+// callPolicy holds the properties of a service call set by the published
+// documents.
+type callPolicy struct {
 	idempotent bool
 	priority   call.Priority
 }
 
-// service serves a call to a plain service.
-func (s *Server) service(q *request) {
+// handleService serves a call to a plain service.
+func (s *Server) handleService(q *request) {
 	found, refusal := s.findService(q)
 	if refusal != nil {
 		s.refuse(q, refusal)
 		return
 	}
-	t := treatmentOf(found, q.r.Method, servicePath(q.r))
-	place := s.place(q, t.idempotent)
-	if place.Kind == serving.PlaceRefuse {
-		s.refuse(q, place.Refusal)
+	policy := callPolicyFor(found, q.r.Method, servicePath(q.r))
+	placement := s.placeCall(q, policy.idempotent)
+	if placement.Kind == serving.PlaceRefuse {
+		s.refuse(q, placement.Refusal)
 		return
 	}
-	if !t.idempotent && q.r.Header.Get(HeaderTicket) == "" {
+	if !policy.idempotent && q.r.Header.Get(HeaderTicket) == "" {
 		s.refuse(q, result.Refuse(result.TicketRequired, "a non-idempotent call needs a ticket; one is enclosed"))
 		return
 	}
-	c, refusal := s.serviceCall(q, t)
+	c, refusal := s.newServiceCall(q, policy)
 	if refusal != nil {
 		s.refuse(q, refusal)
 		return
 	}
-	s.serve(q, c, place)
+	s.dispatch(q, c, placement)
 }
 
 func (s *Server) findService(q *request) (*contract.Service, *result.Refusal) {
@@ -54,31 +55,31 @@
 	return found, nil
 }
 
-// treatmentOf finds the first published call that matches. An unmatched call
-// is idempotent only if its method is safe.
-func treatmentOf(s *contract.Service, method, path string) treatment {
-	for _, sc := range s.Calls {
-		if sc.Method == method && strings.HasPrefix(path, sc.PathPrefix) {
-			return treatment{
-				idempotent: sc.Idempotent,
-				priority:   priorityOf(sc.Priority),
+// callPolicyFor returns the policy of the first published call that matches. A
+// call without a match is idempotent only if its method is GET or HEAD.
+func callPolicyFor(s *contract.Service, method, path string) callPolicy {
+	for _, published := range s.Calls {
+		if published.Method == method && strings.HasPrefix(path, published.PathPrefix) {
+			return callPolicy{
+				idempotent: published.Idempotent,
+				priority:   priorityOrDefault(published.Priority),
 			}
 		}
 	}
-	return treatment{
+	return callPolicy{
 		idempotent: method == http.MethodGet || method == http.MethodHead,
 		priority:   call.PriorityChat,
 	}
 }
 
-func priorityOf(name string) call.Priority {
+func priorityOrDefault(name string) call.Priority {
 	if p, ok := call.ParsePriority(name); ok {
 		return p
 	}
 	return call.PriorityChat
 }
 
-// servicePath is the path and query that the endpoint is sent.
+// servicePath returns the path and query sent to the endpoint.
 func servicePath(r *http.Request) string {
 	path := "/" + r.PathValue("path")
 	if r.URL.RawQuery == "" {
@@ -87,8 +88,8 @@
 	return path + "?" + r.URL.RawQuery
 }
 
-func (s *Server) serviceCall(q *request, t treatment) (*call.Call, *result.Refusal) {
-	c, refusal := s.newCall(q, t.priority)
+func (s *Server) newServiceCall(q *request, policy callPolicy) (*call.Call, *result.Refusal) {
+	c, refusal := s.newCall(q, policy.priority)
 	if refusal != nil {
 		return nil, refusal
 	}
@@ -100,7 +101,7 @@
 	c.Service = q.r.PathValue("service")
 	c.Path = servicePath(q.r)
 	c.Body = body
-	c.Idempotent = t.idempotent
+	c.Idempotent = policy.idempotent
 	c.FirstBy = c.WholeBy
 	return c, nil
 }
