--- a/operator/operator.go
+++ b/operator/operator.go
@@ -1,5 +1,5 @@
-// Package operator is the HTTP front for operators: health, readiness, metrics,
-// status and the time line. It changes nothing; operators change contracts.
+// Package operator is the read-only HTTP API for operators: health, readiness,
+// metrics, status and the timeline.
 package operator
 
 import (
@@ -14,98 +14,98 @@
 	"github.com/fuchsianotch/fuchsianotch/timeline"
 )
 
-// Options set up a Front. All fields are needed.
+// Options configure a Handler. Every field is required.
 type Options struct {
-	// Ready tells whether the VM takes calls.
+	// Ready reports whether the VM accepts calls.
 	Ready func() bool
-	// Status returns the VM's state now.
+	// Status returns the VM's current state.
 	Status func() Status
 	// Events returns this VM's own events, oldest first.
 	Events func(timeline.Query) []timeline.Event
-	// Merged returns the events of all VMs reached, in causal order, and the ids of
-	// those not reached.
+	// Merged returns the events of all reachable VMs in causal order, and the
+	// IDs of the unreachable ones.
 	Merged func(context.Context, timeline.Query) (events []timeline.Event, unreached []string)
-	// Metrics serves the metrics.
+	// Metrics serves the metrics to the scraper.
 	Metrics http.Handler
 }
 
-// Front serves operators.
-type Front struct {
+// Handler serves the operator API.
+type Handler struct {
 	options Options
 	mux     *http.ServeMux
 }
 
-// New makes a front with its own mux.
-func New(o Options) *Front {
-	f := &Front{
+// New returns a Handler with all routes registered.
+func New(o Options) *Handler {
+	h := &Handler{
 		options: o,
 		mux:     http.NewServeMux(),
 	}
-	f.mux.HandleFunc("GET /healthz", f.health)
-	f.mux.HandleFunc("GET /readyz", f.ready)
-	f.mux.Handle("GET /metrics", o.Metrics)
-	f.mux.HandleFunc("GET /v1/status", f.status)
-	f.mux.HandleFunc("GET /v1/timeline", f.timeline)
-	return f
+	h.mux.HandleFunc("GET /healthz", h.health)
+	h.mux.HandleFunc("GET /readyz", h.ready)
+	h.mux.Handle("GET /metrics", o.Metrics)
+	h.mux.HandleFunc("GET /v1/status", h.status)
+	h.mux.HandleFunc("GET /v1/timeline", h.timeline)
+	return h
 }
 
-// ServeHTTP serves one request.
-func (f *Front) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	f.mux.ServeHTTP(w, r)
+// ServeHTTP implements http.Handler.
+func (h *Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	h.mux.ServeHTTP(w, r)
 }
 
-// health answers while the process runs.
-func (f *Front) health(w http.ResponseWriter, _ *http.Request) {
+// health reports liveness: it succeeds as long as the process serves HTTP.
+func (h *Handler) health(w http.ResponseWriter, _ *http.Request) {
 	writeJSON(w, http.StatusOK, Health{
 		OK: true,
 	})
 }
 
-func (f *Front) ready(w http.ResponseWriter, _ *http.Request) {
-	h := Health{
-		OK: f.options.Ready(),
+func (h *Handler) ready(w http.ResponseWriter, _ *http.Request) {
+	health := Health{
+		OK: h.options.Ready(),
 	}
-	if !h.OK {
-		writeJSON(w, http.StatusServiceUnavailable, h)
+	if !health.OK {
+		writeJSON(w, http.StatusServiceUnavailable, health)
 		return
 	}
-	writeJSON(w, http.StatusOK, h)
+	writeJSON(w, http.StatusOK, health)
 }
 
-func (f *Front) status(w http.ResponseWriter, _ *http.Request) {
-	writeJSON(w, http.StatusOK, f.options.Status())
+func (h *Handler) status(w http.ResponseWriter, _ *http.Request) {
+	writeJSON(w, http.StatusOK, h.options.Status())
 }
 
-func (f *Front) timeline(w http.ResponseWriter, r *http.Request) {
+func (h *Handler) timeline(w http.ResponseWriter, r *http.Request) {
 	q, merge, refusal := parseQuery(r.URL.RawQuery)
 	if refusal != nil {
 		writeRefusal(w, refusal)
 		return
 	}
-	var out Timeline
+	var response Timeline
 	if merge {
-		out.Events, out.Unreached = f.options.Merged(r.Context(), q)
+		response.Events, response.Unreached = h.options.Merged(r.Context(), q)
 	} else {
-		out.Events = f.options.Events(q)
+		response.Events = h.options.Events(q)
 	}
-	if out.Events == nil {
-		out.Events = []timeline.Event{}
+	if response.Events == nil {
+		response.Events = []timeline.Event{}
 	}
-	writeJSON(w, http.StatusOK, out)
+	writeJSON(w, http.StatusOK, response)
 }
 
-// parseQuery reads the parameters of the time line. Unknown ones are refused,
-// since a misspelt one would select everything.
+// parseQuery parses the parameters of /v1/timeline. Unknown parameters are
+// rejected, since a misspelled filter would select all events.
 func parseQuery(raw string) (q timeline.Query, merge bool, refusal *result.Refusal) {
 	values, err := url.ParseQuery(raw)
 	if err != nil {
 		return q, false, result.Refuse(result.BadRequest, "the query is malformed").Because(err)
 	}
-	for name, given := range values {
-		if len(given) != 1 {
+	for name, params := range values {
+		if len(params) != 1 {
 			return q, false, result.Refuse(result.BadRequest, "%s: want it once", name)
 		}
-		switch value := given[0]; name {
+		switch value := params[0]; name {
 		case "request":
 			q.Request = value
 		case "workspace":
@@ -128,8 +128,8 @@
 
 func writeRefusal(w http.ResponseWriter, r *result.Refusal) {
 	info, _ := result.Lookup(r.Code)
-	writeJSON(w, info.HTTPStatus, Failure{
-		Error: FailureBody{
+	writeJSON(w, info.HTTPStatus, ErrorResponse{
+		Error: Error{
 			Code:    r.Code,
 			Name:    info.Name,
 			Class:   info.Class,
@@ -142,6 +142,6 @@
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set("Cache-Control", "no-store")
 	w.WriteHeader(status)
-	// An error here is the operator's connection ending; there is no one to tell.
+	// A failed write means that the connection is closed.
 	_ = json.NewEncoder(w).Encode(v)
 }
--- a/operator/operator_test.go
+++ b/operator/operator_test.go
@@ -30,7 +30,7 @@
 	rows := datatest.Read[[]row](t, "testdata/requests.json")
 	for _, row := range rows {
 		t.Run(row.Name, func(t *testing.T) {
-			front := New(Options{
+			handler := New(Options{
 				Ready:  func() bool { return !row.NotReady },
 				Status: status,
 				Events: func(q timeline.Query) []timeline.Event { return events("own", q) },
@@ -40,14 +40,14 @@
 				Metrics: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "metrics") }),
 			})
 			got := httptest.NewRecorder()
-			front.ServeHTTP(got, httptest.NewRequest(cmp.Or(row.Method, http.MethodGet), row.Target, nil))
+			handler.ServeHTTP(got, httptest.NewRequest(cmp.Or(row.Method, http.MethodGet), row.Target, nil))
 			assert.Equal(t, got.Code, row.Status)
 			body := strings.TrimSpace(got.Body.String())
 			if row.Body != "" {
 				assert.Equal(t, body, row.Body)
 			}
 			if row.Code != 0 {
-				var f Failure
+				var f ErrorResponse
 				assert.NilError(t, json.Unmarshal([]byte(body), &f))
 				assert.Equal(t, f.Error.Code, row.Code)
 				assert.Equal(t, f.Error.Class, result.ClassNotRun)
@@ -57,7 +57,7 @@
 	}
 }
 
-// events returns one event that shows the query it was asked with.
+// events returns one event whose fields echo the query.
 func events(kind string, q timeline.Query) []timeline.Event {
 	if q.Request == "none" {
 		return nil
--- a/operator/status.go
+++ b/operator/status.go
@@ -5,7 +5,7 @@
 	"github.com/fuchsianotch/fuchsianotch/timeline"
 )
 
-// Status is the reply of /v1/status.
+// Status is the response of /v1/status.
 type Status struct {
 	VM           string     `json:"vm"`
 	Region       string     `json:"region"`
@@ -19,21 +19,21 @@
 	Load         Load       `json:"load"`
 }
 
-// Document is the state of one published key.
+// Document is the state of one published document.
 type Document struct {
 	Key string `json:"key"`
-	// InForce and Refused are revisions; zero means none.
+	// InForce is the active revision and Refused the rejected one; zero means none.
 	InForce uint64 `json:"in_force"`
 	Refused uint64 `json:"refused,omitempty"`
 	Reason  string `json:"reason,omitempty"`
 }
 
-// View is how the VM sees its region.
+// View is the VM's membership view of its region.
 type View struct {
 	Revision uint64   `json:"revision"`
 	Region   []Member `json:"region"`
-	// Lenders are the VMs whose shares of the limits this VM holds now, of so
-	// many by which a limit is divided.
+	// Lenders counts the VMs that lease their share of the limits to this VM,
+	// itself included. Of is the number of shares that a limit is divided into.
 	Lenders int `json:"lenders"`
 	Of      int `json:"of"`
 }
@@ -45,31 +45,31 @@
 	Leaving   bool   `json:"leaving"`
 }
 
-// Load is what the VM does now, in calls.
+// Load is the VM's current load, in calls.
 type Load struct {
 	InFlight int `json:"in_flight"`
 	Queued   int `json:"queued"`
 }
 
-// Timeline is the reply of /v1/timeline.
+// Timeline is the response of /v1/timeline.
 type Timeline struct {
 	Events []timeline.Event `json:"events"`
 	// Unreached are the VMs whose events are missing.
 	Unreached []string `json:"unreached,omitempty"`
 }
 
-// Health is the reply of /healthz and /readyz.
+// Health is the response of /healthz and /readyz.
 type Health struct {
 	OK bool `json:"ok"`
 }
 
-// Failure is the body of a refused request.
-type Failure struct {
-	Error FailureBody `json:"error"`
+// ErrorResponse is the body of a rejected request.
+type ErrorResponse struct {
+	Error Error `json:"error"`
 }
 
-// FailureBody says why.
-type FailureBody struct {
+// Error describes why a request was rejected.
+type Error struct {
 	Code    result.Code  `json:"code"`
 	Name    string       `json:"name"`
 	Class   result.Class `json:"class"`
