--- a/explain/docs_test.go
+++ b/explain/docs_test.go
@@ -12,14 +12,14 @@
 )
 
 var (
-	// logged finds the event of a line that the code writes, documented one that
-	// the page names.
-	logged     = regexp.MustCompile(`\b(?:log|Log|logger|direct|Trail)\.(?:Debug|Info|Warn|Error|Add|Fail|Log)\((?:context\.Background\(\), level, )?"([a-z_]+)"`)
-	documented = regexp.MustCompile("`([a-z_]+)`")
+	// loggedEvent matches the event of a log call in the code, documentedEvent
+	// one in the table of docs/logs.md.
+	loggedEvent     = regexp.MustCompile(`\b(?:log|Log|logger|direct|Trail)\.(?:Debug|Info|Warn|Error|Add|Fail|Log)\((?:context\.Background\(\), level, )?"([a-z_]+)"`)
+	documentedEvent = regexp.MustCompile("`([a-z_]+)`")
 )
 
-// TestEventsAreDocumented holds that the page lists just the events that the
-// code of a process on the platform writes.
+// TestEventsAreDocumented checks that docs/logs.md lists exactly the events that
+// the code logs.
 func TestEventsAreDocumented(t *testing.T) {
 	var written []string
 	for _, pattern := range []string{"../site/*.go", "../platform/*.go", "../serving/*.go", "../logs/*.go", "../quarantine/agent/*.go", "../gateway/platform.go"} {
@@ -31,7 +31,7 @@
 			}
 			data, err := os.ReadFile(file)
 			assert.NilError(t, err)
-			for _, match := range logged.FindAllSubmatch(data, -1) {
+			for _, match := range loggedEvent.FindAllSubmatch(data, -1) {
 				written = append(written, string(match[1]))
 			}
 		}
@@ -43,7 +43,7 @@
 		if !strings.HasPrefix(line, "| `") {
 			continue
 		}
-		for _, match := range documented.FindAllStringSubmatch(strings.Split(line, "|")[1], -1) {
+		for _, match := range documentedEvent.FindAllStringSubmatch(strings.Split(line, "|")[1], -1) {
 			listed = append(listed, match[1])
 		}
 	}
--- a/explain/explain.go
+++ b/explain/explain.go
@@ -1,5 +1,5 @@
-// Package explain finds in the logs of several processes what became of one
-// request: its own lines, and those on beliefs that decided it.
+// Package explain collects, from the logs of several processes, the lines about
+// one request and the changes of process state that may have affected it.
 package explain
 
 import (
@@ -13,11 +13,11 @@
 )
 
 const (
-	// before is how far back beliefs are shown that may have decided the request:
-	// a lost VM is noticed after 3 s, and a change of the store applied within 4 s.
-	before = 5 * time.Second
-	// maxLine bounds one line of a log, in bytes.
-	maxLine = 1 << 20
+	// stateLookback is how long before the request state changes are included. A
+	// lost VM is detected after 3 s, and a store update is applied within 4 s.
+	stateLookback = 5 * time.Second
+	// maxLineBytes is the maximum length of a log line.
+	maxLineBytes = 1 << 20
 )
 
 // Line is one line of a log.
@@ -25,9 +25,9 @@
 	At    time.Time
 	VM    string
 	Event string
-	// Fields are the line's other fields, as they stand.
+	// Fields are the line's other fields, in their original order.
 	Fields []Field
-	// IsBelief is set on a line that is not the request's own.
+	// IsBelief is set if the line is about the process's state, not the request.
 	IsBelief bool
 }
 
@@ -37,7 +37,7 @@
 	Value string
 }
 
-// names of fields that every line has.
+// Names of log fields.
 const (
 	fieldTime    = "time"
 	fieldLevel   = "level"
@@ -46,21 +46,21 @@
 	fieldRequest = "request"
 )
 
-// Read takes the lines of one log. Text before a line's first brace is passed
-// over, and so are lines that are not JSON.
+// Read parses a log of JSON lines. It skips any prefix before a line's first
+// brace, and lines that are not valid JSON.
 func Read(log io.Reader) ([]Line, error) {
 	scanner := bufio.NewScanner(log)
-	scanner.Buffer(nil, maxLine)
+	scanner.Buffer(nil, maxLineBytes)
 	var out []Line
 	for scanner.Scan() {
-		if line, ok := parse(scanner.Bytes()); ok {
+		if line, ok := parseLine(scanner.Bytes()); ok {
 			out = append(out, line)
 		}
 	}
 	return out, scanner.Err()
 }
 
-func parse(text []byte) (Line, bool) {
+func parseLine(text []byte) (Line, bool) {
 	start := bytes.IndexByte(text, '{')
 	if start < 0 {
 		return Line{}, false
@@ -80,15 +80,15 @@
 		if err := d.Decode(&value); err != nil {
 			return Line{}, false
 		}
-		label, ok := name.(string)
-		if !ok || !line.set(label, value) {
+		fieldName, ok := name.(string)
+		if !ok || !line.setField(fieldName, value) {
 			return Line{}, false
 		}
 	}
 	return line, line.Event != ""
 }
 
-func (l *Line) set(name string, value json.RawMessage) bool {
+func (l *Line) setField(name string, value json.RawMessage) bool {
 	text := string(value)
 	var plain string
 	if json.Unmarshal(value, &plain) == nil {
@@ -122,8 +122,9 @@
 	return ""
 }
 
-// Request returns the lines of a request in the order of their times, with the
-// beliefs of the VMs that had it, from shortly before it on until its end.
+// Request returns the lines of a request ordered by time, together with the
+// state changes of the VMs that handled it, from stateLookback before its first
+// line until its last.
 func Request(lines []Line, id string) []Line {
 	var own []Line
 	vms := make(map[string]bool)
@@ -136,21 +137,21 @@
 	if len(own) == 0 {
 		return nil
 	}
-	byTime(own)
-	from, to := own[0].At.Add(-before), own[len(own)-1].At
+	sortByTime(own)
+	from, to := own[0].At.Add(-stateLookback), own[len(own)-1].At
 	out := own
 	for _, l := range lines {
-		isBelief := l.field(fieldRequest) == "" && vms[l.VM]
-		if isBelief && !l.At.Before(from) && !l.At.After(to) {
+		isProcessState := l.field(fieldRequest) == "" && vms[l.VM]
+		if isProcessState && !l.At.Before(from) && !l.At.After(to) {
 			l.IsBelief = true
 			out = append(out, l)
 		}
 	}
-	byTime(out)
+	sortByTime(out)
 	return out
 }
 
-func byTime(lines []Line) {
+func sortByTime(lines []Line) {
 	slices.SortStableFunc(lines, func(a, b Line) int {
 		return cmp.Or(a.At.Compare(b.At), cmp.Compare(a.VM, b.VM))
 	})
--- a/explain/explain_test.go
+++ b/explain/explain_test.go
@@ -9,8 +9,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestRequest merges the lines of one request from three processes, with the
-// beliefs of those that had it and no others.
+// TestRequest checks that the lines of a request are merged from several logs,
+// with state changes only of the processes that handled it.
 func TestRequest(t *testing.T) {
 	archive, err := txtar.ParseFile("testdata/logs.txt")
 	assert.NilError(t, err)
@@ -24,13 +24,13 @@
 	for _, l := range Request(lines, "r1") {
 		text := l.VM + " " + l.Event
 		if l.IsBelief {
-			text += " (belief)"
+			text += " (state)"
 		}
 		got = append(got, text)
 	}
-	assert.Equal(t, strings.Join(got, "\n"), `edge-1 member_lost (belief)
+	assert.Equal(t, strings.Join(got, "\n"), `edge-1 member_lost (state)
 edge-1 call_arrived
-edge-2 store_lost (belief)
+edge-2 store_lost (state)
 edge-2 attempt_failed
 edge-1 call_ended`)
 	assert.Equal(t, len(Request(lines, "none")), 0)
