--- a/timeline/merge.go
+++ b/timeline/merge.go
@@ -5,9 +5,9 @@
 	"slices"
 )
 
-// Merge puts the events of several rings into one causal order: when one event
-// could have led to another, it stands before it. Events that could not stand in
-// the order of their clocks, then of their VMs. An event given twice is kept once.
+// Merge combines the events of several rings into one causal order: if one event
+// may have caused another, it comes first. Concurrent events are ordered by stamp,
+// then by VM. Duplicates are removed.
 func Merge(rings ...[]Event) []Event {
 	events := slices.Concat(rings...)
 	slices.SortStableFunc(events, func(a, b Event) int {
--- a/timeline/timeline.go
+++ b/timeline/timeline.go
@@ -1,6 +1,6 @@
-// Package timeline records what one process did as events in a bounded ring,
-// stamped by a hybrid logical clock so that the rings of many processes merge
-// into one causal order. Events never hold payloads.
+// Package timeline records the events of one process in a bounded ring buffer.
+// A hybrid logical clock stamps them, so that the rings of several processes can
+// be merged in causal order. Events never hold payloads.
 package timeline
 
 import (
@@ -16,9 +16,9 @@
 
 const logicalBits = 16
 
-// maxSkew is how far ahead of the own clock a witnessed stamp may be. A stamp
-// beyond it comes from a broken clock, which must not spread to all VMs; the
-// order with that VM is lost, the order among the others is kept.
+// maxSkew is how far ahead of the local clock a received stamp may be. Stamps
+// beyond it are ignored, so that one broken clock does not advance the clocks of
+// all VMs; causal order is then lost for that VM only.
 const maxSkew = time.Hour
 
 // Time returns the physical part of the stamp.
@@ -26,7 +26,7 @@
 	return time.UnixMilli(int64(s >> logicalBits))
 }
 
-// Event is one change of state, decision or outcome.
+// Event is a state change, a decision or an outcome.
 type Event struct {
 	Stamp Stamp  `json:"stamp"`
 	VM    string `json:"vm"`
@@ -37,20 +37,21 @@
 	Peer      string      `json:"peer,omitempty"`
 	Endpoint  string      `json:"endpoint,omitempty"`
 	Code      result.Code `json:"code,omitempty"`
-	// Detail is short text about the decision, never from a payload.
+	// Detail is a short explanation, never taken from a payload.
 	Detail string `json:"detail,omitempty"`
 }
 
-// Options set up a Ring.
+// Options configure a Ring.
 type Options struct {
 	VM string
-	// Capacity is the number of events kept, at least one; the oldest are dropped.
+	// Capacity is the number of events kept, at least one. When the ring is
+	// full, the oldest event is overwritten.
 	Capacity int
 	Now      func() time.Time
 }
 
-// Ring is a bounded record of events with its clock. Its methods may be
-// called from any goroutine.
+// Ring is a ring buffer of events with a hybrid logical clock. It is safe for
+// concurrent use.
 type Ring struct {
 	mu     sync.Mutex
 	vm     string
@@ -61,7 +62,7 @@
 	full   bool
 }
 
-// New makes an empty ring.
+// New returns an empty ring.
 func New(o Options) *Ring {
 	return &Ring{
 		vm:     o.VM,
@@ -70,7 +71,7 @@
 	}
 }
 
-// Add stamps the event and keeps it. It sets Stamp and VM.
+// Add sets the event's Stamp and VM and records it.
 func (r *Ring) Add(e Event) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -84,15 +85,15 @@
 	}
 }
 
-// Stamp returns a new reading to put on an outgoing message.
+// Stamp advances the clock and returns the stamp for an outgoing message.
 func (r *Ring) Stamp() Stamp {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.tick()
 }
 
-// Witness moves the clock past a stamp that came with a message, unless the
-// stamp is more than maxSkew ahead.
+// Witness advances the clock to the stamp of a received message, unless the
+// stamp is more than maxSkew ahead of the local clock.
 func (r *Ring) Witness(s Stamp) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -112,7 +113,7 @@
 	return Stamp(t.UnixMilli()) << logicalBits
 }
 
-// Query selects events; empty fields select all.
+// Query filters events. Zero fields match every event; From and To are inclusive.
 type Query struct {
 	Request   string
 	Workspace string
@@ -120,12 +121,12 @@
 	To        time.Time
 }
 
-// Select returns the events that match, oldest first.
+// Select returns the matching events, oldest first.
 func (r *Ring) Select(q Query) []Event {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var out []Event
-	for _, e := range r.ordered() {
+	for _, e := range r.oldestFirst() {
 		if q.matches(e) {
 			out = append(out, e)
 		}
@@ -133,7 +134,7 @@
 	return out
 }
 
-func (r *Ring) ordered() []Event {
+func (r *Ring) oldestFirst() []Event {
 	if !r.full {
 		return r.events[:r.next]
 	}
--- a/timeline/timeline_test.go
+++ b/timeline/timeline_test.go
@@ -16,7 +16,7 @@
 	"github.com/fuchsianotch/fuchsianotch/common/datatest"
 )
 
-// TestMain fixes the seed, so that each run has the same verdict.
+// TestMain fixes the seed to make the property tests deterministic.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	if err := flag.Set("rapid.seed", "1"); err != nil {
@@ -57,7 +57,7 @@
 	}
 }
 
-// parseStamp reads "milliseconds.counter".
+// parseStamp parses "milliseconds.counter".
 func parseStamp(t *testing.T, text string) Stamp {
 	millis, counter, _ := strings.Cut(text, ".")
 	m, err := strconv.ParseUint(millis, 10, 64-logicalBits)
@@ -111,27 +111,27 @@
 	}
 }
 
-// exchange is a random run of VMs whose clocks stand apart: each step is an
-// event on one VM, which first takes a message that an earlier event sent.
-type exchange struct {
-	Steps []exchangeStep
+// execution is a random run of VMs with skewed clocks. Each step is an event on
+// one VM, which may first receive the message sent by an earlier step.
+type execution struct {
+	Steps []executionStep
 }
 
-type exchangeStep struct {
+type executionStep struct {
 	VM   int
 	Wall int64
-	// Cause is the earlier step whose message arrives; -1 means none.
+	// Cause is the step whose message is received; -1 means none.
 	Cause int
 }
 
-const exchangeVMs = 4
+const executionVMs = 4
 
-var exchanges = rapid.Custom(func(t *rapid.T) exchange {
-	var x exchange
+var executions = rapid.Custom(func(t *rapid.T) execution {
+	var x execution
 	n := rapid.IntRange(2, 40).Draw(t, "steps")
 	for i := range n {
-		x.Steps = append(x.Steps, exchangeStep{
-			VM:    rapid.IntRange(0, exchangeVMs-1).Draw(t, "vm"),
+		x.Steps = append(x.Steps, executionStep{
+			VM:    rapid.IntRange(0, executionVMs-1).Draw(t, "vm"),
 			Wall:  rapid.Int64Range(0, 50).Draw(t, "wall"),
 			Cause: rapid.IntRange(-1, i-1).Draw(t, "cause"),
 		})
@@ -139,11 +139,11 @@
 	return x
 })
 
-// check runs the exchange and tells a pair of events that Merge gives against
-// their cause and effect.
-func (x exchange) check(witness func(*Ring, Stamp)) error {
+// checkCausality runs the steps and returns an error if Merge places an effect
+// before its cause.
+func (x execution) checkCausality(witness func(*Ring, Stamp)) error {
 	var wall int64
-	rings := make([]*Ring, exchangeVMs)
+	rings := make([]*Ring, executionVMs)
 	for i := range rings {
 		rings[i] = New(Options{
 			VM:       fmt.Sprintf("vm%d", i),
@@ -168,23 +168,23 @@
 		parts = append(parts, ring.Select(Query{}))
 	}
 	parts = append(parts, parts[0])
-	return x.ordered(Merge(parts...))
+	return x.checkOrder(Merge(parts...))
 }
 
-func (x exchange) ordered(merged []Event) error {
+func (x execution) checkOrder(merged []Event) error {
 	if len(merged) != len(x.Steps) {
-		return fmt.Errorf("%d events of %d steps", len(merged), len(x.Steps))
+		return fmt.Errorf("merged %d events, want %d", len(merged), len(x.Steps))
 	}
 	at := func(step int) int {
 		return slices.IndexFunc(merged, func(e Event) bool { return e.Request == strconv.Itoa(step) })
 	}
 	for i, step := range x.Steps {
 		if step.Cause >= 0 && at(step.Cause) > at(i) {
-			return fmt.Errorf("step %d stands after its effect %d", step.Cause, i)
+			return fmt.Errorf("step %d is ordered after its effect, step %d", step.Cause, i)
 		}
 		for j := range i {
 			if x.Steps[j].VM == step.VM && at(j) > at(i) {
-				return fmt.Errorf("step %d stands after %d of its VM", j, i)
+				return fmt.Errorf("step %d is ordered after step %d of the same VM", j, i)
 			}
 		}
 	}
@@ -193,18 +193,18 @@
 
 func TestMergeIsCausal(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		assert.NilError(t, exchanges.Draw(t, "exchange").check((*Ring).Witness))
+		assert.NilError(t, executions.Draw(t, "exchange").checkCausality((*Ring).Witness))
 	})
 }
 
-// TestMergeCheckCatchesNoWitness proves the check: clocks that ignore messages
-// must fail it.
+// TestMergeCheckCatchesNoWitness checks that checkCausality fails for clocks
+// that ignore received stamps.
 func TestMergeCheckCatchesNoWitness(t *testing.T) {
 	noWitness := func(*Ring, Stamp) {}
 	for seed := range 100 {
-		if exchanges.Example(seed).check(noWitness) != nil {
+		if executions.Example(seed).checkCausality(noWitness) != nil {
 			return
 		}
 	}
-	t.Fatal("not caught")
+	t.Fatal("no execution failed although the clocks ignore received stamps")
 }
