--- a/console/console.go
+++ b/console/console.go
@@ -1,5 +1,5 @@
-// Package console asks the operator fronts of many VMs at once what they do,
-// and puts the answers together: documents in force, views, load, time line.
+// Package console is a client of the operator API that queries many VMs at once
+// and combines their documents, views, load and timelines.
 package console
 
 import (
@@ -17,7 +17,7 @@
 	"github.com/fuchsianotch/fuchsianotch/timeline"
 )
 
-// Paths of the operator front.
+// Paths of the operator API.
 const (
 	PathStatus   = "/v1/status"
 	PathTimeline = "/v1/timeline"
@@ -25,20 +25,20 @@
 
 const headerResult = "Fuchsianotch-Result"
 
-// maxAnswerBytes bounds what is read of one answer.
-const maxAnswerBytes = 256 << 20
+// maxResponseBytes limits the size of a response body.
+const maxResponseBytes = 256 << 20
 
-// AnswerError is an answer that is no success. The VM was reached.
+// AnswerError is returned when a VM responds with a status other than 200.
 type AnswerError struct {
 	Addr string
 	Path string
-	// Status is the HTTP status line's text.
+	// Status is the HTTP status, such as "404 Not Found".
 	Status string
-	// Result is the result code's number; it is empty for operator fronts.
+	// Result is the numeric result code; the operator API sets none.
 	Result string
 }
 
-// Error returns the address with the status and the result code.
+// Error returns the address, the status and the result code.
 func (e *AnswerError) Error() string {
 	text := e.Addr + e.Path + " answered " + e.Status
 	if e.Result == "" {
@@ -47,52 +47,52 @@
 	return text + ", result code " + e.Result
 }
 
-// Options set up a Client.
+// Options configure a Client.
 type Options struct {
 	HTTP *http.Client
 }
 
-// Client asks operator fronts. Its methods may be called from any goroutine.
+// Client queries the operator and caller APIs of VMs. It is safe for concurrent use.
 type Client struct {
 	http *http.Client
 }
 
-// New makes a client.
+// New returns a Client.
 func New(o Options) *Client {
 	return &Client{
 		http: o.HTTP,
 	}
 }
 
-// Status asks one VM, given the "ip:port" of its operator front.
+// Status returns the status of one VM, given the "ip:port" of its operator API.
 func (c *Client) Status(ctx context.Context, addr string) (*operator.Status, error) {
 	return get[operator.Status](ctx, c.http, addr, PathStatus, nil, nil)
 }
 
-// Timeline asks one VM for its events, or with merge for those of all VMs it reaches.
+// Timeline returns the events of one VM or, with merge, of all VMs that it reaches.
 func (c *Client) Timeline(ctx context.Context, addr string, q timeline.Query, merge bool) (*operator.Timeline, error) {
-	return get[operator.Timeline](ctx, c.http, addr, PathTimeline, valuesOf(q, merge), nil)
+	return get[operator.Timeline](ctx, c.http, addr, PathTimeline, queryValues(q, merge), nil)
 }
 
-func valuesOf(q timeline.Query, merge bool) url.Values {
+func queryValues(q timeline.Query, merge bool) url.Values {
 	values := url.Values{}
-	set(values, "request", q.Request)
-	set(values, "workspace", q.Workspace)
-	set(values, "from", timeText(q.From))
-	set(values, "to", timeText(q.To))
+	setNonEmpty(values, "request", q.Request)
+	setNonEmpty(values, "workspace", q.Workspace)
+	setNonEmpty(values, "from", formatTime(q.From))
+	setNonEmpty(values, "to", formatTime(q.To))
 	if merge {
 		values.Set("merge", "true")
 	}
 	return values
 }
 
-func set(values url.Values, name, value string) {
+func setNonEmpty(values url.Values, name, value string) {
 	if value != "" {
 		values.Set(name, value)
 	}
 }
 
-func timeText(t time.Time) string {
+func formatTime(t time.Time) string {
 	if t.IsZero() {
 		return ""
 	}
@@ -125,7 +125,7 @@
 		}
 	}
 	value := new(T)
-	if err := json.NewDecoder(io.LimitReader(response.Body, maxAnswerBytes)).Decode(value); err != nil {
+	if err := json.NewDecoder(io.LimitReader(response.Body, maxResponseBytes)).Decode(value); err != nil {
 		return nil, merry.Prependf(err, "%s%s", addr, path)
 	}
 	return value, nil
--- a/console/entries.go
+++ b/console/entries.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// PathEntries is where a caller front tells which VMs to use.
+// PathEntries is the path at which the caller API lists the VMs to use.
 const PathEntries = "/v1/entries"
 
-// Entries are the VMs that a workspace's callers should use, best first.
+// Entries are the VMs that a workspace's callers should use, in order of preference.
 type Entries struct {
 	Workspace    string    `json:"workspace"`
 	ViewRevision uint64    `json:"view_revision"`
@@ -18,7 +18,7 @@
 	Entries      []Entry   `json:"entries"`
 }
 
-// Entry is one VM to use.
+// Entry is a VM and the address of its caller API.
 type Entry struct {
 	VM         string `json:"vm"`
 	Region     string `json:"region"`
@@ -26,18 +26,19 @@
 	Addr       string `json:"addr"`
 }
 
-// Entries asks a caller front, given its "ip:port" and a caller's key.
+// Entries returns the entry VMs of the key's workspace, given the "ip:port" of a
+// caller API.
 func (c *Client) Entries(ctx context.Context, addr, key string) (*Entries, error) {
 	header := http.Header{}
 	header.Set("Authorization", "Bearer "+key)
 	return get[Entries](ctx, c.http, addr, PathEntries, nil, header)
 }
 
-// WriteTable writes one line for each VM.
+// WriteTable writes the entries as a table, one row per VM.
 func (e *Entries) WriteTable(w io.Writer) error {
 	t := newTable(w)
 	t.row("WORKSPACE", "VIEW", "GOOD UNTIL")
-	t.row(e.Workspace, number(e.ViewRevision), e.GoodUntil.UTC().Format(time.RFC3339))
+	t.row(e.Workspace, formatNumber(e.ViewRevision), e.GoodUntil.UTC().Format(time.RFC3339))
 	t.row("")
 	t.row("VM", "REGION", "DATA CENTRE", "ADDRESS")
 	for _, entry := range e.Entries {
--- a/console/fleet.go
+++ b/console/fleet.go
@@ -10,49 +10,49 @@
 	"github.com/fuchsianotch/fuchsianotch/timeline"
 )
 
-// Fleet is what many VMs said, in the order in which they were asked.
+// Fleet holds the statuses of many VMs, in the order of the queried addresses.
 type Fleet struct {
 	VMs       []operator.Status `json:"vms"`
-	Unreached []Unreached       `json:"unreached"`
+	Unreached []UnreachableVM   `json:"unreached"`
 }
 
-// Unreached is a VM that gave no answer.
-type Unreached struct {
+// UnreachableVM is a VM whose query failed.
+type UnreachableVM struct {
 	Addr  string `json:"addr"`
 	Error string `json:"error"`
 }
 
-// Fleet asks all VMs at once.
+// Fleet queries the status of all VMs concurrently.
 func (c *Client) Fleet(ctx context.Context, addrs []string) Fleet {
-	answers := askAll(addrs, func(addr string) (*operator.Status, error) {
+	responses := queryAll(addrs, func(addr string) (*operator.Status, error) {
 		return c.Status(ctx, addr)
 	})
 	fleet := Fleet{
 		VMs:       []operator.Status{},
-		Unreached: []Unreached{},
+		Unreached: []UnreachableVM{},
 	}
-	for _, a := range answers {
-		if a.err != nil {
-			fleet.Unreached = append(fleet.Unreached, Unreached{
-				Addr:  a.addr,
-				Error: a.err.Error(),
+	for _, r := range responses {
+		if r.err != nil {
+			fleet.Unreached = append(fleet.Unreached, UnreachableVM{
+				Addr:  r.addr,
+				Error: r.err.Error(),
 			})
 			continue
 		}
-		fleet.VMs = append(fleet.VMs, *a.value)
+		fleet.VMs = append(fleet.VMs, *r.value)
 	}
 	return fleet
 }
 
-// Holding is a state of one document with the VMs that are in it.
-type Holding struct {
+// DocumentState is a state of one document and the VMs that report it.
+type DocumentState struct {
 	operator.Document
 	VMs []string `json:"vms"`
 }
 
-// Holdings sorts the VMs by what they hold, by key and then from the oldest
-// revision in force. A document that is in force everywhere has one Holding.
-func (f *Fleet) Holdings() []Holding {
+// DocumentStates groups the VMs by the state of each document, sorted by key and
+// active revision. A document that is the same on all VMs has one state.
+func (f *Fleet) DocumentStates() []DocumentState {
 	states := map[operator.Document][]string{}
 	for _, key := range f.keys() {
 		for i := range f.VMs {
@@ -60,18 +60,18 @@
 			states[d] = append(states[d], f.VMs[i].VM)
 		}
 	}
-	holdings := make([]Holding, 0, len(states))
+	out := make([]DocumentState, 0, len(states))
 	for d, vms := range states {
-		holdings = append(holdings, Holding{
+		out = append(out, DocumentState{
 			Document: d,
 			VMs:      vms,
 		})
 	}
-	slices.SortFunc(holdings, compareHoldings)
-	return holdings
+	slices.SortFunc(out, compareDocumentStates)
+	return out
 }
 
-func compareHoldings(a, b Holding) int {
+func compareDocumentStates(a, b DocumentState) int {
 	return cmp.Or(
 		cmp.Compare(a.Key, b.Key),
 		cmp.Compare(a.InForce, b.InForce),
@@ -91,7 +91,8 @@
 	return slices.Compact(keys)
 }
 
-// documentOf returns the state of a key; a VM that does not name it holds none.
+// documentOf returns the VM's state of a document, or an empty one if the VM has
+// not reported the key.
 func documentOf(s *operator.Status, key string) operator.Document {
 	i := slices.IndexFunc(s.Documents, func(d operator.Document) bool { return d.Key == key })
 	if i < 0 {
@@ -102,50 +103,50 @@
 	return s.Documents[i]
 }
 
-// Agreed reports whether every VM that answered holds the same revision of every
-// document and none refuses one.
+// Agreed reports whether all VMs that responded have the same revision of every
+// document and none has rejected one.
 func (f *Fleet) Agreed() bool {
-	holdings := f.Holdings()
-	refused := slices.ContainsFunc(holdings, func(h Holding) bool { return h.Refused != 0 })
-	return !refused && len(holdings) == len(f.keys())
+	states := f.DocumentStates()
+	refused := slices.ContainsFunc(states, func(state DocumentState) bool { return state.Refused != 0 })
+	return !refused && len(states) == len(f.keys())
 }
 
-// MergedTimeline asks the VMs in turn for a merged time line. When none gives a
-// whole one, it asks every VM for its own events and merges them here.
-func (c *Client) MergedTimeline(ctx context.Context, addrs []string, q timeline.Query) Events {
-	best := operator.Timeline{}
+// MergedTimeline returns the merged timeline of the first VM that responds. If it
+// is incomplete or no VM responds, it adds the own events of every VM.
+func (c *Client) MergedTimeline(ctx context.Context, addrs []string, q timeline.Query) Timeline {
+	partial := operator.Timeline{}
 	for _, addr := range addrs {
 		merged, err := c.Timeline(ctx, addr, q, true)
 		if err != nil {
 			continue
 		}
 		if len(merged.Unreached) == 0 {
-			return Events{
+			return Timeline{
 				Timeline: *merged,
 			}
 		}
-		best = *merged
+		partial = *merged
 		break
 	}
-	answers := askAll(addrs, func(addr string) (*operator.Timeline, error) {
+	responses := queryAll(addrs, func(addr string) (*operator.Timeline, error) {
 		return c.Timeline(ctx, addr, q, false)
 	})
-	return Events{
-		Timeline: mergeAnswers(best, answers),
+	return Timeline{
+		Timeline: mergeResponses(partial, responses),
 	}
 }
 
-// mergeAnswers adds the single rings to a merged time line that lacks some. A
-// VM is missing unless its own ring or the merged one has its events.
-func mergeAnswers(merged operator.Timeline, answers []answer[operator.Timeline]) operator.Timeline {
+// mergeResponses adds the events of single VMs to an incomplete merged timeline.
+// An unreachable VM is dropped from Unreached if any of its events are present.
+func mergeResponses(merged operator.Timeline, responses []response[operator.Timeline]) operator.Timeline {
 	events := merged.Events
 	var failed []string
-	for _, a := range answers {
-		if a.err != nil {
-			failed = append(failed, a.addr)
+	for _, r := range responses {
+		if r.err != nil {
+			failed = append(failed, r.addr)
 			continue
 		}
-		events = append(events, a.value.Events...)
+		events = append(events, r.value.Events...)
 	}
 	present := map[string]bool{}
 	for _, e := range events {
@@ -158,20 +159,20 @@
 	}
 }
 
-// answer is what one address gave.
-type answer[T any] struct {
+// response is the result of querying one address.
+type response[T any] struct {
 	addr  string
 	value *T
 	err   error
 }
 
-func askAll[T any](addrs []string, ask func(addr string) (*T, error)) []answer[T] {
-	answers := make([]answer[T], len(addrs))
+func queryAll[T any](addrs []string, query func(addr string) (*T, error)) []response[T] {
+	responses := make([]response[T], len(addrs))
 	var group sync.WaitGroup
 	for i, addr := range addrs {
 		group.Go(func() {
-			value, err := ask(addr)
-			answers[i] = answer[T]{
+			value, err := query(addr)
+			responses[i] = response[T]{
 				addr:  addr,
 				value: value,
 				err:   err,
@@ -179,5 +180,5 @@
 		})
 	}
 	group.Wait()
-	return answers
+	return responses
 }
--- a/console/table.go
+++ b/console/table.go
@@ -13,24 +13,23 @@
 )
 
 const (
-	columnGap = 2
-	none      = "-"
+	columnPadding = 2
+	emptyCell     = "-"
 )
 
-// WriteTable writes the fleet as three tables for people: VMs, documents, and
-// VMs that gave no answer.
+// WriteTable writes tables of the VMs, the documents and the unreachable VMs.
 func (f *Fleet) WriteTable(w io.Writer) error {
 	t := newTable(w)
 	t.row("VM", "REGION", "DATA CENTRE", "READY", "LEAVING", "LIST", "VIEW", "REACHES", "IN FLIGHT", "QUEUED")
 	for i := range f.VMs {
 		s := &f.VMs[i]
-		t.row(s.VM, s.Region, s.DataCentre, yesNo(s.Ready), yesNo(s.Leaving), number(s.ListRevision),
-			number(s.View.Revision), reaches(s.View), strconv.Itoa(s.Load.InFlight), strconv.Itoa(s.Load.Queued))
+		t.row(s.VM, s.Region, s.DataCentre, formatBool(s.Ready), formatBool(s.Leaving), formatNumber(s.ListRevision),
+			formatNumber(s.View.Revision), formatReachability(s.View), strconv.Itoa(s.Load.InFlight), strconv.Itoa(s.Load.Queued))
 	}
 	t.row("")
 	t.row("DOCUMENT", "IN FORCE", "REFUSED", "VMS", "REASON")
-	for _, h := range f.Holdings() {
-		t.row(h.Key, number(h.InForce), number(h.Refused), f.vmsText(h.VMs), h.Reason)
+	for _, state := range f.DocumentStates() {
+		t.row(state.Key, formatNumber(state.InForce), formatNumber(state.Refused), f.formatVMs(state.VMs), state.Reason)
 	}
 	for _, u := range f.Unreached {
 		t.row("")
@@ -39,8 +38,9 @@
 	return t.flush()
 }
 
-// reaches returns the VMs of the region that are reached, out of all, and names the others.
-func reaches(v operator.View) string {
+// formatReachability returns how many VMs of the region are reachable and lists
+// the others.
+func formatReachability(v operator.View) string {
 	var missing []string
 	for _, m := range v.Region {
 		if !m.Reachable {
@@ -54,45 +54,45 @@
 	return text
 }
 
-func (f *Fleet) vmsText(vms []string) string {
+func (f *Fleet) formatVMs(vms []string) string {
 	if len(vms) == len(f.VMs) {
 		return fmt.Sprintf("all %d", len(vms))
 	}
 	return strings.Join(vms, ",")
 }
 
-// Events are a time line to be shown.
-type Events struct {
+// Timeline is a timeline that can be written as a table.
+type Timeline struct {
 	operator.Timeline
 }
 
-// WriteTable writes one line for each event, and one for the VMs that are missing.
-func (l *Events) WriteTable(w io.Writer) error {
+// WriteTable writes one row per event, and one listing the unreachable VMs.
+func (tl *Timeline) WriteTable(w io.Writer) error {
 	t := newTable(w)
 	t.row("TIME", "VM", "KIND", "REQUEST", "WORKSPACE", "PEER", "ENDPOINT", "CODE", "DETAIL")
-	for _, e := range l.Events {
+	for _, e := range tl.Events {
 		at := e.Stamp.Time().UTC().Format(time.RFC3339Nano)
-		code := none
+		code := emptyCell
 		if e.Code != 0 {
 			code = fmt.Sprintf("%d %s", e.Code, e.Code)
 		}
-		t.row(at, e.VM, e.Kind, text(e.Request), text(e.Workspace), text(e.Peer), text(e.Endpoint), code, e.Detail)
+		t.row(at, e.VM, e.Kind, orEmptyCell(e.Request), orEmptyCell(e.Workspace), orEmptyCell(e.Peer), orEmptyCell(e.Endpoint), code, e.Detail)
 	}
-	if len(l.Unreached) > 0 {
+	if len(tl.Unreached) > 0 {
 		t.row("")
-		t.row("NOT REACHED", strings.Join(l.Unreached, ","))
+		t.row("NOT REACHED", strings.Join(tl.Unreached, ","))
 	}
 	return t.flush()
 }
 
-// table writes rows of cells in columns. Control characters in cells never break it.
+// table writes aligned columns. Control characters in cells are replaced by spaces.
 type table struct {
 	w *tabwriter.Writer
 }
 
 func newTable(w io.Writer) *table {
 	return &table{
-		w: tabwriter.NewWriter(w, 0, 0, columnGap, ' ', 0),
+		w: tabwriter.NewWriter(w, 0, 0, columnPadding, ' ', 0),
 	}
 }
 
@@ -107,23 +107,23 @@
 	return t.w.Flush()
 }
 
-func yesNo(b bool) string {
+func formatBool(b bool) string {
 	if b {
 		return "yes"
 	}
 	return "no"
 }
 
-func number(n uint64) string {
+func formatNumber(n uint64) string {
 	if n == 0 {
-		return none
+		return emptyCell
 	}
 	return strconv.FormatUint(n, 10)
 }
 
-func text(s string) string {
+func orEmptyCell(s string) string {
 	if s == "" {
-		return none
+		return emptyCell
 	}
 	return s
 }
