--- a/logs/logs.go
+++ b/logs/logs.go
@@ -1,6 +1,6 @@
-// Package logs writes structured lines without ever making a request wait: a
-// line is put into a bounded ring, from which one goroutine writes. When the
-// ring is full, lines are dropped and counted, and the count is logged.
+// Package logs writes structured logs without blocking requests: lines go into a
+// bounded buffer that one goroutine drains. When the buffer is full, lines are
+// dropped, and the number of dropped lines is logged.
 package logs
 
 import (
@@ -14,26 +14,26 @@
 )
 
 const (
-	// DefaultLines is the ring's length: about two seconds of the lines of a small
-	// VM under full load, at some 300 bytes each.
-	DefaultLines = 4096
-	// dropEvery is how often the number of dropped lines is logged at most.
-	dropEvery = time.Second
+	// DefaultBufferLines holds about two seconds of the log of a small VM under
+	// full load, some 1.2 MB.
+	DefaultBufferLines = 4096
+	// dropReportInterval is the minimum interval between reports of dropped lines.
+	dropReportInterval = time.Second
 )
 
-// Options set up a Writer.
+// Options configure a Writer.
 type Options struct {
-	// To is where the lines go, for example standard output.
+	// To is the destination, for example standard output.
 	To io.Writer
-	// Lines is the ring's length; zero means DefaultLines.
+	// Lines is the buffer's capacity in lines; zero means DefaultBufferLines.
 	Lines int
-	// Level is the least level that is written.
+	// Level is the minimum level that is written.
 	Level slog.Leveler
 }
 
-// Writer is the ring with its goroutine.
+// Writer buffers log lines and writes them from one goroutine.
 type Writer struct {
-	to      io.Writer
+	output  io.Writer
 	lines   chan []byte
 	dropped atomic.Int64
 	logger  *slog.Logger
@@ -41,34 +41,35 @@
 	close   sync.Once
 }
 
-// New starts a writer.
+// New returns a Writer and starts its goroutine; Close stops it.
 func New(o Options) *Writer {
 	if o.Lines <= 0 {
-		o.Lines = DefaultLines
+		o.Lines = DefaultBufferLines
 	}
 	w := &Writer{
-		to:    o.To,
-		lines: make(chan []byte, o.Lines),
-		done:  make(chan struct{}),
+		output: o.To,
+		lines:  make(chan []byte, o.Lines),
+		done:   make(chan struct{}),
 	}
-	w.logger = slog.New(slog.NewJSONHandler(ring{writer: w}, &slog.HandlerOptions{
+	w.logger = slog.New(slog.NewJSONHandler(bufferWriter{writer: w}, &slog.HandlerOptions{
 		Level: o.Level,
 	}))
 	go w.run()
 	return w
 }
 
-// Logger returns the logger whose lines go through the ring.
+// Logger returns a logger that writes to the buffer.
 func (w *Writer) Logger() *slog.Logger {
 	return w.logger
 }
 
-// Dropped is how many lines were dropped so far.
+// Dropped returns the number of lines dropped so far.
 func (w *Writer) Dropped() int64 {
 	return w.dropped.Load()
 }
 
-// Close writes what the ring holds, for as long as ctx allows.
+// Close writes the buffered lines and stops the writer. It returns early if ctx
+// is done. Lines logged afterwards are dropped.
 func (w *Writer) Close(ctx context.Context) {
 	w.close.Do(func() { close(w.lines) })
 	select {
@@ -77,50 +78,50 @@
 	}
 }
 
-// ring is the io.Writer that the handler writes whole lines to.
-type ring struct {
+// bufferWriter is the io.Writer of the slog handler, which writes one line per call.
+type bufferWriter struct {
 	writer *Writer
 }
 
-// Write puts a line into the ring, or drops it. It never waits.
-func (r ring) Write(line []byte) (n int, err error) {
+// Write appends a copy of the line to the buffer or drops it. It never blocks.
+func (b bufferWriter) Write(line []byte) (n int, err error) {
 	defer func() {
 		if recover() != nil {
-			// The writer was closed meanwhile.
-			r.writer.dropped.Add(1)
+			// The channel was closed concurrently.
+			b.writer.dropped.Add(1)
 		}
 	}()
 	select {
-	case r.writer.lines <- bytes.Clone(line):
+	case b.writer.lines <- bytes.Clone(line):
 	default:
-		r.writer.dropped.Add(1)
+		b.writer.dropped.Add(1)
 	}
 	return len(line), nil
 }
 
-// run writes line after line, and now and then how many were dropped.
+// run writes the buffered lines and reports dropped ones periodically.
 func (w *Writer) run() {
 	defer close(w.done)
-	// The count does not go through the ring, which may be full or closed.
-	direct := slog.New(slog.NewJSONHandler(w.to, nil))
-	var told int64
-	var tellAt time.Time
+	// Dropped lines are reported directly, as the buffer may be full or closed.
+	direct := slog.New(slog.NewJSONHandler(w.output, nil))
+	var reported int64
+	var nextReport time.Time
 	for line := range w.lines {
-		// There is nowhere to report that standard output is gone.
-		_, _ = w.to.Write(line)
-		if now := time.Now(); now.After(tellAt) {
-			told = w.tell(direct, told)
-			tellAt = now.Add(dropEvery)
+		// A failed write is ignored, as it could not be logged either.
+		_, _ = w.output.Write(line)
+		if now := time.Now(); now.After(nextReport) {
+			reported = w.reportDropped(direct, reported)
+			nextReport = now.Add(dropReportInterval)
 		}
 	}
-	w.tell(direct, told)
+	w.reportDropped(direct, reported)
 }
 
-// tell logs how many lines were dropped since the last time.
-func (w *Writer) tell(direct *slog.Logger, told int64) int64 {
+// reportDropped logs how many lines were dropped since the last time.
+func (w *Writer) reportDropped(direct *slog.Logger, reported int64) int64 {
 	dropped := w.dropped.Load()
-	if dropped != told {
-		direct.Warn("lines_dropped", "lines", dropped-told)
+	if dropped != reported {
+		direct.Warn("lines_dropped", "lines", dropped-reported)
 	}
 	return dropped
 }
--- a/logs/logs_test.go
+++ b/logs/logs_test.go
@@ -14,24 +14,24 @@
 	"gotest.tools/v3/assert"
 )
 
-// stalled is a reader of standard output that reads nothing until it is let go.
-type stalled struct {
-	free chan struct{}
-	mu   sync.Mutex
-	text bytes.Buffer
+// stalledWriter blocks every write until unblock is closed.
+type stalledWriter struct {
+	unblock chan struct{}
+	mu      sync.Mutex
+	text    bytes.Buffer
 }
 
-func (s *stalled) Write(p []byte) (int, error) {
-	<-s.free
+func (s *stalledWriter) Write(p []byte) (int, error) {
+	<-s.unblock
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.text.Write(p)
 }
 
-// TestStalledReader holds that nobody waits for a reader that stalls, and that
-// the lines dropped meanwhile are counted and the count is logged.
-func TestStalledReader(t *testing.T) {
-	out := &stalled{free: make(chan struct{})}
+// TestStalledOutput checks that logging does not block while the output stalls,
+// and that dropped lines are counted and reported.
+func TestStalledOutput(t *testing.T) {
+	out := &stalledWriter{unblock: make(chan struct{})}
 	w := New(Options{To: out, Lines: 8})
 	done := make(chan struct{})
 	go func() {
@@ -42,7 +42,7 @@
 	}()
 	<-done
 	assert.Assert(t, w.Dropped() >= 1000-8-1)
-	close(out.free)
+	close(out.unblock)
 	ctx, cancel := context.WithTimeout(t.Context(), 30*time.Second)
 	defer cancel()
 	w.Close(ctx)
@@ -51,8 +51,8 @@
 	w.Logger().Info("after the end")
 }
 
-// TestTrail holds that a request that goes well leaves no line, one in the
-// sample all of them, and one that fails all from its beginning, in order.
+// TestTrail checks that a successful request logs nothing unless it is sampled,
+// and that a failed one logs all its lines in order.
 func TestTrail(t *testing.T) {
 	for _, c := range []struct {
 		name    string
@@ -98,8 +98,8 @@
 	}
 }
 
-// BenchmarkRequest is one request's lines: held back and dropped (sampled out),
-// written in full, or not made at all.
+// BenchmarkRequest measures the cost of logging one request when logging is off,
+// when its lines are buffered and discarded, and when they are written.
 func BenchmarkRequest(b *testing.B) {
 	w := New(Options{To: io.Discard})
 	for _, c := range []struct {
--- a/logs/trail.go
+++ b/logs/trail.go
@@ -7,31 +7,31 @@
 	"time"
 )
 
-// heldMost bounds the lines that a trail holds back.
-const heldMost = 32
+// maxBufferedRecords limits the memory of a request's buffered log records.
+const maxBufferedRecords = 32
 
-// Trail is the lines about one request. Those of a request that goes well are
-// written only if it is in the sample; once it fails, what was held back is
-// written, and what follows at once. All methods may be called on nil.
+// Trail is the log of one request. Its lines are written immediately if the
+// request is sampled; otherwise they are buffered, and written only if the request
+// fails. All methods may be called on a nil Trail.
 type Trail struct {
 	logger  *slog.Logger
 	request string
 
-	mu     sync.Mutex
-	direct bool
-	held   []slog.Record
+	mu         sync.Mutex
+	unbuffered bool
+	buffered   []slog.Record
 }
 
-// NewTrail begins the trail of a request. sampled says that all its lines are written.
+// NewTrail returns the log of a request. If sampled is set, nothing is buffered.
 func NewTrail(logger *slog.Logger, request string, sampled bool) *Trail {
 	return &Trail{
-		logger:  logger,
-		request: request,
-		direct:  sampled,
+		logger:     logger,
+		request:    request,
+		unbuffered: sampled,
 	}
 }
 
-// Add notes a decision with the inputs that decided it.
+// Add logs a decision and its inputs at level info.
 func (t *Trail) Add(event string, attrs ...slog.Attr) {
 	if t == nil {
 		return
@@ -39,16 +39,17 @@
 	r := t.record(slog.LevelInfo, event, attrs)
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.direct {
+	if t.unbuffered {
 		t.write(r)
 		return
 	}
-	if len(t.held) < heldMost {
-		t.held = append(t.held, r)
+	if len(t.buffered) < maxBufferedRecords {
+		t.buffered = append(t.buffered, r)
 	}
 }
 
-// Fail notes a decision or an outcome that is no plain success.
+// Fail logs a failure at level warn, after all buffered lines. Lines that follow
+// are written immediately.
 func (t *Trail) Fail(event string, attrs ...slog.Attr) {
 	if t == nil {
 		return
@@ -56,11 +57,11 @@
 	r := t.record(slog.LevelWarn, event, attrs)
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for _, held := range t.held {
+	for _, held := range t.buffered {
 		t.write(held)
 	}
-	t.held = nil
-	t.direct = true
+	t.buffered = nil
+	t.unbuffered = true
 	t.write(r)
 }
 
@@ -72,6 +73,6 @@
 }
 
 func (t *Trail) write(r slog.Record) {
-	// The ring never fails.
+	// bufferWriter never returns an error.
 	_ = t.logger.Handler().Handle(context.Background(), r)
 }
