--- a/metrics/metrics.go
+++ b/metrics/metrics.go
@@ -1,6 +1,6 @@
-// Package metrics counts what one VM does, for the operators' monitoring. No
-// label holds a workspace, a request or anything of a payload; label values come
-// from fixed sets and the platform's regions, so the number of series is bounded.
+// Package metrics exports the Prometheus metrics of one VM. Label values come from
+// fixed sets, the regions, and a bounded number of workspaces, so the number of
+// series is bounded. No label holds request or payload data.
 package metrics
 
 import (
@@ -21,19 +21,19 @@
 
 const namespace = "fuchsianotch"
 
-// Direction is the way that control bytes go, as seen from this VM.
+// Direction is the direction of traffic between VMs, as seen from this VM.
 type Direction string
 
-// The directions.
+// Directions of traffic.
 const (
 	DirectionIn  Direction = "in"
 	DirectionOut Direction = "out"
 )
 
-// Message is a kind of control message between VMs.
+// Message is the kind of a control message between VMs.
 type Message string
 
-// The control messages.
+// Kinds of control messages.
 const (
 	MessageHeartbeat Message = "heartbeat"
 	MessageDocuments Message = "documents"
@@ -42,140 +42,140 @@
 	MessageEvents    Message = "events"
 )
 
-// readOK is the outcome of a platform read without an error.
-const readOK = "ok"
+// readOutcomeOK labels a successful platform read.
+const readOutcomeOK = "ok"
 
-// firstTokenBuckets reach from a warm short prompt to a queue of reports, in
-// seconds; answerBuckets from a plain service to a long report.
+// Histogram buckets, in seconds: firstTokenBuckets from a short prompt with a warm
+// cache to a queued report, answerBuckets from a plain service to a long report.
 var (
 	firstTokenBuckets = prometheus.ExponentialBuckets(0.005, 2, 14)
 	answerBuckets     = prometheus.ExponentialBuckets(0.005, 2, 18)
 )
 
-// Metrics are the counters of one VM in their own registry. Its methods may be
-// called from any goroutine.
+// Metrics holds the metrics of one VM in a registry of its own. It is safe for
+// concurrent use.
 type Metrics struct {
 	registry *prometheus.Registry
 
-	calls      *prometheus.CounterVec
-	firstToken *prometheus.HistogramVec
-	answer     *prometheus.HistogramVec
-	tokens     *prometheus.CounterVec
-	spend      prometheus.Counter
-	sentAway   *prometheus.CounterVec
-	forwards   *prometheus.CounterVec
-	retries    prometheus.Counter
-
-	limitRefused *prometheus.CounterVec
-	limitAsked   *prometheus.CounterVec
-	throttled    *prometheus.CounterVec
-	permits      *prometheus.CounterVec
-	workspaces   workspaceNames
-
-	refused   prometheus.Gauge
-	revision  prometheus.Gauge
-	reachable prometheus.Gauge
-	queue     prometheus.Gauge
-	inFlight  prometheus.Gauge
+	callsEnded       *prometheus.CounterVec
+	firstTokenTime   *prometheus.HistogramVec
+	answerTime       *prometheus.HistogramVec
+	tokens           *prometheus.CounterVec
+	spend            prometheus.Counter
+	crossRegionCalls *prometheus.CounterVec
+	forwards         *prometheus.CounterVec
+	retries          prometheus.Counter
+
+	limitRejections  *prometheus.CounterVec
+	limitRequests    *prometheus.CounterVec
+	rateLimitedSends *prometheus.CounterVec
+	permitRequests   *prometheus.CounterVec
+	workspaces       workspaceLabels
+
+	rejectedDocuments prometheus.Gauge
+	documentsRevision prometheus.Gauge
+	reachableVMs      prometheus.Gauge
+	queueLength       prometheus.Gauge
+	inFlight          prometheus.Gauge
 
 	controlBytes    *prometheus.CounterVec
 	controlPayload  *prometheus.CounterVec
 	controlMessages *prometheus.CounterVec
 	platformReads   *prometheus.CounterVec
 
-	members   *prometheus.GaugeVec
-	endpoints *prometheus.GaugeVec
-	held      prometheus.Gauge
-	version   prometheus.Gauge
-	age       prometheus.Gauge
-	linesLost prometheus.Counter
+	members          *prometheus.GaugeVec
+	endpoints        *prometheus.GaugeVec
+	quarantinedCalls prometheus.Gauge
+	routesVersion    prometheus.Gauge
+	publishedAge     prometheus.Gauge
+	linesDropped     prometheus.Counter
 }
 
-// New makes metrics that start at zero, with those of the Go runtime and the process.
+// New returns Metrics that include those of the Go runtime and the process.
 func New() *Metrics {
 	m := &Metrics{
 		registry: prometheus.NewRegistry(),
 
-		calls:      counters("calls_total", "Calls answered to callers.", "code", "class", "kind", "priority"),
-		firstToken: histograms("first_token_seconds", "Time from a call's arrival to its first token.", firstTokenBuckets),
-		answer:     histograms("answer_seconds", "Time from a call's arrival to the end of its whole answer.", answerBuckets),
-		tokens:     counters("tokens_total", "Tokens used by answers.", "kind"),
-		spend:      counter("spend_millionths_total", "Spend settled, in millionths of the currency."),
-		sentAway:   counters("sent_away_total", "Calls sent to another region.", "to"),
-		forwards:   counters("forwards_total", "Calls forwarded to another VM.", "outcome"),
-		retries:    counter("retries_total", "Attempts after the first of a call."),
-
-		limitRefused: counters("limit_refused_total", "Calls that the limits of their workspaces did not admit, by workspace.", "workspace"),
-		limitAsked:   counters("limit_asked_total", "Calls that waited for the word of the VM that keeps their workspace's limit.", "outcome"),
-
-		throttled: counters("throttled_sends_total", "Requests sent to endpoints that have named a limit, by the way on which they came.", "way"),
-		permits:   counters("permits_asked_total", "Questions to the VMs that keep endpoints' limits for one request each.", "outcome"),
-
-		refused:   gauge("refused_documents", "Documents refused whose key has no accepted higher revision."),
-		revision:  gauge("documents_revision", "Highest revision of a document seen."),
-		reachable: gauge("vms_reachable", "VMs of the own region that are reached, with this one."),
-		queue:     gauge("queue_length", "Calls that wait for an endpoint."),
-		inFlight:  gauge("in_flight", "Calls being served."),
-
-		controlBytes:    counters("control_bytes_total", "Bytes on the connections between VMs, forwarded calls included.", "direction"),
-		controlPayload:  counters("control_payload_bytes_total", "Bytes of the messages with which this VM asked others and of their answers, without frames.", "kind", "scope", "direction"),
-		controlMessages: counters("control_messages_total", "Control messages sent to other VMs.", "kind"),
-		platformReads:   counters("platform_reads_total", "Reads at the platform.", "outcome"),
-
-		members:   gauges("members", "VMs known, by state and region.", "state", "region"),
-		endpoints: gauges("endpoints", "Endpoints of the own region, by state.", "state"),
-		held:      gauge("calls_held", "Calls that endpoints do not get, as those that ran them crashed."),
-		version:   gauge("routes_version", "Version of the table of routes in force."),
-		age:       gauge("published_age_seconds", "Time since this VM last knew that it holds what the store holds."),
-		linesLost: counter("log_lines_dropped_total", "Log lines dropped as the ring was full."),
+		callsEnded:       newCounterVec("calls_total", "Calls answered to callers.", "code", "class", "kind", "priority"),
+		firstTokenTime:   newHistogramVec("first_token_seconds", "Time from a call's arrival to its first token.", firstTokenBuckets),
+		answerTime:       newHistogramVec("answer_seconds", "Time from a call's arrival to the end of its whole answer.", answerBuckets),
+		tokens:           newCounterVec("tokens_total", "Tokens used by answers.", "kind"),
+		spend:            newCounter("spend_millionths_total", "Spend settled, in millionths of the currency."),
+		crossRegionCalls: newCounterVec("sent_away_total", "Calls sent to another region.", "to"),
+		forwards:         newCounterVec("forwards_total", "Calls forwarded to another VM.", "outcome"),
+		retries:          newCounter("retries_total", "Attempts after the first of a call."),
+
+		limitRejections: newCounterVec("limit_refused_total", "Calls that the limits of their workspaces did not admit, by workspace.", "workspace"),
+		limitRequests:   newCounterVec("limit_asked_total", "Calls that waited for the word of the VM that keeps their workspace's limit.", "outcome"),
+
+		rateLimitedSends: newCounterVec("throttled_sends_total", "Requests sent to endpoints that have named a limit, by the way on which they came.", "way"),
+		permitRequests:   newCounterVec("permits_asked_total", "Questions to the VMs that keep endpoints' limits for one request each.", "outcome"),
+
+		rejectedDocuments: newGauge("refused_documents", "Documents refused whose key has no accepted higher revision."),
+		documentsRevision: newGauge("documents_revision", "Highest revision of a document seen."),
+		reachableVMs:      newGauge("vms_reachable", "VMs of the own region that are reached, with this one."),
+		queueLength:       newGauge("queue_length", "Calls that wait for an endpoint."),
+		inFlight:          newGauge("in_flight", "Calls being served."),
+
+		controlBytes:    newCounterVec("control_bytes_total", "Bytes on the connections between VMs, forwarded calls included.", "direction"),
+		controlPayload:  newCounterVec("control_payload_bytes_total", "Bytes of the messages with which this VM asked others and of their answers, without frames.", "kind", "scope", "direction"),
+		controlMessages: newCounterVec("control_messages_total", "Control messages sent to other VMs.", "kind"),
+		platformReads:   newCounterVec("platform_reads_total", "Reads at the platform.", "outcome"),
+
+		members:          newGaugeVec("members", "VMs known, by state and region.", "state", "region"),
+		endpoints:        newGaugeVec("endpoints", "Endpoints of the own region, by state.", "state"),
+		quarantinedCalls: newGauge("calls_held", "Calls that endpoints do not get, as those that ran them crashed."),
+		routesVersion:    newGauge("routes_version", "Version of the table of routes in force."),
+		publishedAge:     newGauge("published_age_seconds", "Time since this VM last knew that it holds what the store holds."),
+		linesDropped:     newCounter("log_lines_dropped_total", "Log lines dropped as the ring was full."),
 	}
 	m.registry.MustRegister(
-		m.calls, m.firstToken, m.answer, m.tokens, m.spend, m.sentAway, m.forwards, m.retries,
-		m.limitRefused, m.limitAsked, m.throttled, m.permits,
-		m.refused, m.revision, m.reachable, m.queue, m.inFlight,
+		m.callsEnded, m.firstTokenTime, m.answerTime, m.tokens, m.spend, m.crossRegionCalls, m.forwards, m.retries,
+		m.limitRejections, m.limitRequests, m.rateLimitedSends, m.permitRequests,
+		m.rejectedDocuments, m.documentsRevision, m.reachableVMs, m.queueLength, m.inFlight,
 		m.controlBytes, m.controlPayload, m.controlMessages, m.platformReads,
-		m.members, m.endpoints, m.held, m.version, m.age, m.linesLost,
+		m.members, m.endpoints, m.quarantinedCalls, m.routesVersion, m.publishedAge, m.linesDropped,
 		collectors.NewGoCollector(),
 		collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}),
 	)
 	return m
 }
 
-// Handler serves the metrics in the format that the scraper asks for.
+// Handler serves the metrics in the format negotiated with the scraper.
 func (m *Metrics) Handler() http.Handler {
 	return promhttp.HandlerFor(m.registry, promhttp.HandlerOpts{
 		Registry: m.registry,
 	})
 }
 
-// CallEnded counts one answer to a caller with its times and tokens.
+// CallEnded records a response to a caller with its latencies and tokens.
 func (m *Metrics) CallEnded(c *call.Call, o call.Outcome, arrivedAt, now time.Time) {
 	priority := c.Priority.String()
-	m.calls.WithLabelValues(strconv.Itoa(int(o.Code)), string(o.Code.Class()), kindName(c.Kind), priority).Inc()
+	m.callsEnded.WithLabelValues(strconv.Itoa(int(o.Code)), string(o.Code.Class()), kindName(c.Kind), priority).Inc()
 	if !o.FirstAt.IsZero() {
-		m.firstToken.WithLabelValues(priority).Observe(o.FirstAt.Sub(arrivedAt).Seconds())
+		m.firstTokenTime.WithLabelValues(priority).Observe(o.FirstAt.Sub(arrivedAt).Seconds())
 	}
 	if o.Code.Class() == result.ClassDone {
-		m.answer.WithLabelValues(priority).Observe(now.Sub(arrivedAt).Seconds())
+		m.answerTime.WithLabelValues(priority).Observe(now.Sub(arrivedAt).Seconds())
 	}
-	m.used(o.Usage)
+	m.addUsage(o.Usage)
 }
 
-// used counts tokens. Cached ones are prompt tokens too.
-func (m *Metrics) used(u call.Usage) {
+// addUsage counts tokens. Cached tokens are included in the prompt tokens.
+func (m *Metrics) addUsage(u call.Usage) {
 	m.tokens.WithLabelValues("prompt").Add(float64(u.PromptTokens))
 	m.tokens.WithLabelValues("cached").Add(float64(u.CachedTokens))
 	m.tokens.WithLabelValues("generated").Add(float64(u.GeneratedTokens))
 }
 
-// Spent counts settled spend in millionths of the currency.
+// Spent adds settled spend, in millionths of the currency.
 func (m *Metrics) Spent(millionths float64) {
 	m.spend.Add(millionths)
 }
 
 // SentAway counts a call sent to another region.
 func (m *Metrics) SentAway(region string) {
-	m.sentAway.WithLabelValues(region).Inc()
+	m.crossRegionCalls.WithLabelValues(region).Inc()
 }
 
 // Forwarded counts a call forwarded to another VM, by the class of its outcome.
@@ -183,25 +183,25 @@
 	m.forwards.WithLabelValues(string(outcome)).Inc()
 }
 
-// Retried counts an attempt after the first of a call.
+// Retried counts a retry of a call.
 func (m *Metrics) Retried() {
 	m.retries.Inc()
 }
 
-// SetDocuments sets the number of refused documents and the highest revision seen.
+// SetDocuments sets the number of rejected documents and the highest revision seen.
 func (m *Metrics) SetDocuments(refused int, revision uint64) {
-	m.refused.Set(float64(refused))
-	m.revision.Set(float64(revision))
+	m.rejectedDocuments.Set(float64(refused))
+	m.documentsRevision.Set(float64(revision))
 }
 
-// SetReachable sets the number of VMs of the own region that are reached.
+// SetReachable sets the number of reachable VMs of this VM's region, itself included.
 func (m *Metrics) SetReachable(vms int) {
-	m.reachable.Set(float64(vms))
+	m.reachableVMs.Set(float64(vms))
 }
 
-// SetQueue sets the number of calls that wait for an endpoint.
+// SetQueue sets the number of calls waiting for an endpoint.
 func (m *Metrics) SetQueue(calls int) {
-	m.queue.Set(float64(calls))
+	m.queueLength.Set(float64(calls))
 }
 
 // AddInFlight changes the number of calls being served, by 1 or -1.
@@ -209,15 +209,16 @@
 	m.inFlight.Add(float64(calls))
 }
 
-// Control counts bytes of control messages.
+// Control counts bytes on the connections between VMs.
 func (m *Metrics) Control(d Direction, bytes int) {
 	m.controlBytes.WithLabelValues(string(d)).Add(float64(bytes))
 }
 
-// ControlPayload counts the bytes of messages to another VM, and of its answers.
-func (m *Metrics) ControlPayload(kind string, far bool, sent, received int) {
+// ControlPayload counts the bytes of messages to another VM and of its responses,
+// without framing.
+func (m *Metrics) ControlPayload(kind string, crossRegion bool, sent, received int) {
 	scope := "region"
-	if far {
+	if crossRegion {
 		scope = "between_regions"
 	}
 	m.controlPayload.WithLabelValues(kind, scope, string(DirectionOut)).Add(float64(sent))
@@ -229,9 +230,9 @@
 	m.controlMessages.WithLabelValues(string(kind)).Inc()
 }
 
-// PlatformRead counts a read at the platform by its error, which may be nil.
+// PlatformRead counts a read from the platform, by the kind of its error if any.
 func (m *Metrics) PlatformRead(err error) {
-	outcome := readOK
+	outcome := readOutcomeOK
 	if err != nil {
 		outcome = string(platform.KindOutage)
 	}
@@ -242,7 +243,7 @@
 	m.platformReads.WithLabelValues(outcome).Inc()
 }
 
-// SetMembers replaces the numbers of VMs by region, those reached and those suspected.
+// SetMembers replaces the numbers of reachable and of suspected VMs by region.
 func (m *Metrics) SetMembers(reached, suspected map[string]int) {
 	m.members.Reset()
 	for region, count := range reached {
@@ -253,41 +254,43 @@
 	}
 }
 
-// SetEndpoints sets the numbers of the own region's endpoints that take work,
-// warm and cold.
+// SetEndpoints sets the numbers of warm and of cold endpoints of this VM's region
+// that accept calls.
 func (m *Metrics) SetEndpoints(warm, cold int) {
 	m.endpoints.WithLabelValues("warm").Set(float64(warm))
 	m.endpoints.WithLabelValues("cold").Set(float64(cold))
 }
 
-// SetHeld sets how many calls are held as endpoints crashed under them.
+// SetHeld sets the number of quarantined calls, which crashed endpoints before.
 func (m *Metrics) SetHeld(calls int) {
-	m.held.Set(float64(calls))
+	m.quarantinedCalls.Set(float64(calls))
 }
 
-// SetRoutes sets the version of the table in force.
+// SetRoutes sets the version of the active routing table.
 func (m *Metrics) SetRoutes(version uint64) {
-	m.version.Set(float64(version))
+	m.routesVersion.Set(float64(version))
 }
 
-// SetPublishedAge sets how long ago this VM knew that it holds what the store holds.
+// SetPublishedAge sets the time since this VM's copy of the store was last known to
+// be current.
 func (m *Metrics) SetPublishedAge(age time.Duration) {
-	m.age.Set(age.Seconds())
+	m.publishedAge.Set(age.Seconds())
 }
 
-// ThrottledSend counts a request to an endpoint that has named a limit.
+// ThrottledSend counts a request sent to an endpoint that has a rate limit.
 func (m *Metrics) ThrottledSend(way throttle.Way) {
-	m.throttled.WithLabelValues(string(way)).Inc()
+	m.rateLimitedSends.WithLabelValues(string(way)).Inc()
 }
 
-// PermitAsked counts a question for a request to an endpoint with a limit.
+// PermitAsked counts a request for a permit to use an endpoint that has a rate
+// limit, by its outcome.
 func (m *Metrics) PermitAsked(outcome string) {
-	m.permits.WithLabelValues(outcome).Inc()
+	m.permitRequests.WithLabelValues(outcome).Inc()
 }
 
-// LinesDropped counts log lines that were dropped.
+// LinesDropped counts dropped log lines.
 func (m *Metrics) LinesDropped(lines int64) {
-	m.linesLost.Add(float64(lines))
+	m.linesDropped.Add(float64(lines))
 }
 
 func kindName(k call.Kind) string {
@@ -301,7 +304,7 @@
 	}
 }
 
-func counter(name, help string) prometheus.Counter {
+func newCounter(name, help string) prometheus.Counter {
 	return prometheus.NewCounter(prometheus.CounterOpts{
 		Namespace: namespace,
 		Name:      name,
@@ -309,7 +312,7 @@
 	})
 }
 
-func counters(name, help string, labels ...string) *prometheus.CounterVec {
+func newCounterVec(name, help string, labels ...string) *prometheus.CounterVec {
 	return prometheus.NewCounterVec(prometheus.CounterOpts{
 		Namespace: namespace,
 		Name:      name,
@@ -317,7 +320,7 @@
 	}, labels)
 }
 
-func gauge(name, help string) prometheus.Gauge {
+func newGauge(name, help string) prometheus.Gauge {
 	return prometheus.NewGauge(prometheus.GaugeOpts{
 		Namespace: namespace,
 		Name:      name,
@@ -325,7 +328,7 @@
 	})
 }
 
-func gauges(name, help string, labels ...string) *prometheus.GaugeVec {
+func newGaugeVec(name, help string, labels ...string) *prometheus.GaugeVec {
 	return prometheus.NewGaugeVec(prometheus.GaugeOpts{
 		Namespace: namespace,
 		Name:      name,
@@ -333,7 +336,7 @@
 	}, labels)
 }
 
-func histograms(name, help string, buckets []float64) *prometheus.HistogramVec {
+func newHistogramVec(name, help string, buckets []float64) *prometheus.HistogramVec {
 	return prometheus.NewHistogramVec(prometheus.HistogramOpts{
 		Namespace: namespace,
 		Name:      name,
--- a/metrics/metrics_test.go
+++ b/metrics/metrics_test.go
@@ -18,23 +18,23 @@
 	"github.com/fuchsianotch/fuchsianotch/throttle"
 )
 
-const secret = "tee-time-club"
+const callData = "tee-time-club"
 
-// used gives metrics with every method called.
-func used() *Metrics {
+// populatedMetrics returns metrics on which every method was called.
+func populatedMetrics() *Metrics {
 	m := New()
 	start := time.Now()
 	m.CallEnded(&call.Call{
-		ID:        secret,
-		Workspace: secret,
+		ID:        callData,
+		Workspace: callData,
 		Kind:      call.KindService,
-		Service:   secret,
-		Path:      secret,
-		Body:      []byte(secret),
+		Service:   callData,
+		Path:      callData,
+		Body:      []byte(callData),
 	}, call.Outcome{
 		Code:     result.Done,
 		FirstAt:  start.Add(time.Second),
-		Endpoint: secret,
+		Endpoint: callData,
 		Usage: call.Usage{
 			PromptTokens:    5,
 			CachedTokens:    3,
@@ -73,7 +73,8 @@
 	return m
 }
 
-// series returns each series of the system's own with its value or count.
+// series returns the value of each of the gateway's own series, the sum for
+// histograms.
 func series(t *testing.T, m *Metrics) map[string]float64 {
 	families, err := m.registry.Gather()
 	assert.NilError(t, err)
@@ -95,7 +96,7 @@
 }
 
 func TestSeries(t *testing.T) {
-	assert.DeepEqual(t, series(t, used()), map[string]float64{
+	assert.DeepEqual(t, series(t, populatedMetrics()), map[string]float64{
 		"fuchsianotch_calls_total done 1000 service urgent": 1,
 		"fuchsianotch_first_token_seconds urgent":           1,
 		"fuchsianotch_answer_seconds urgent":                2,
@@ -136,22 +137,21 @@
 	})
 }
 
-// TestNothingOfACall proves that a call's end shows no workspace in any series, and
-// that none shows the request, the
-// target's path or the payload.
-func TestNothingOfACall(t *testing.T) {
-	for name := range series(t, used()) {
-		assert.Assert(t, !strings.Contains(name, secret), name)
+// TestNoCallDataInSeries checks that ending a call puts neither its workspace nor
+// its ID, target or payload into a label.
+func TestNoCallDataInSeries(t *testing.T) {
+	for name := range series(t, populatedMetrics()) {
+		assert.Assert(t, !strings.Contains(name, callData), name)
 	}
 }
 
-// TestDocs compares the metrics with their page, both ways.
+// TestDocs checks that docs/metrics.md lists exactly the exported metrics.
 func TestDocs(t *testing.T) {
 	page, err := os.ReadFile("../docs/metrics.md")
 	assert.NilError(t, err)
 	documented := regexp.MustCompile(`fuchsianotch_[a-z_]+`).FindAllString(string(page), -1)
 	var names []string
-	for name := range series(t, used()) {
+	for name := range series(t, populatedMetrics()) {
 		names = append(names, strings.Fields(name)[0])
 	}
 	for _, list := range []*[]string{&documented, &names} {
--- a/metrics/workspace.go
+++ b/metrics/workspace.go
@@ -3,43 +3,44 @@
 import "sync"
 
 const (
-	// workspacesMost bounds the workspaces that have a series of their own.
-	workspacesMost = 64
-	// otherWorkspaces is the series of all others.
-	otherWorkspaces = "_other"
+	// maxWorkspaceSeries is the maximum number of workspaces with their own series.
+	maxWorkspaceSeries = 64
+	// otherWorkspacesLabel is the label shared by all other workspaces.
+	otherWorkspacesLabel = "_other"
 )
 
-// workspaceNames are those that have a series of their own: the first that came.
-type workspaceNames struct {
+// workspaceLabels assigns labels to workspaces, first come, first served.
+type workspaceLabels struct {
 	mu    sync.Mutex
 	known map[string]bool
 }
 
-// label returns the label of a workspace.
-func (w *workspaceNames) label(workspace string) string {
+// label returns the workspace's name, or otherWorkspacesLabel once
+// maxWorkspaceSeries names are in use.
+func (w *workspaceLabels) label(workspace string) string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.known == nil {
 		w.known = make(map[string]bool)
 	}
-	if !w.known[workspace] && len(w.known) >= workspacesMost {
-		return otherWorkspaces
+	if !w.known[workspace] && len(w.known) >= maxWorkspaceSeries {
+		return otherWorkspacesLabel
 	}
 	w.known[workspace] = true
 	return workspace
 }
 
-// LimitRefused counts a call that its workspace's limit did not admit.
+// LimitRefused counts a call rejected by its workspace's rate limit.
 func (m *Metrics) LimitRefused(workspace string) {
-	m.limitRefused.WithLabelValues(m.workspaces.label(workspace)).Inc()
+	m.limitRejections.WithLabelValues(m.workspaces.label(workspace)).Inc()
 }
 
-// LimitAsked counts a call that waited for the word of the VM that keeps its
-// workspace's limit; answered is false if none came in time.
+// LimitAsked counts a call that waited for the VM that manages its workspace's
+// limit; answered is false if that VM did not respond in time.
 func (m *Metrics) LimitAsked(answered bool) {
 	outcome := "answered"
 	if !answered {
 		outcome = "unanswered"
 	}
-	m.limitAsked.WithLabelValues(outcome).Inc()
+	m.limitRequests.WithLabelValues(outcome).Inc()
 }
--- a/metrics/workspace_test.go
+++ b/metrics/workspace_test.go
@@ -9,7 +9,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestWorkspaceSeries holds that any number of workspaces makes a bounded number of series.
+// TestWorkspaceSeries checks that the number of series stays bounded however many
+// workspaces there are.
 func TestWorkspaceSeries(t *testing.T) {
 	m := New()
 	for i := range 15000 {
@@ -17,6 +18,6 @@
 	}
 	w := httptest.NewRecorder()
 	m.Handler().ServeHTTP(w, httptest.NewRequest("GET", "/metrics", nil))
-	assert.Equal(t, strings.Count(w.Body.String(), "fuchsianotch_limit_refused_total{"), workspacesMost+1)
+	assert.Equal(t, strings.Count(w.Body.String(), "fuchsianotch_limit_refused_total{"), maxWorkspaceSeries+1)
 	assert.Assert(t, strings.Contains(w.Body.String(), `fuchsianotch_limit_refused_total{workspace="_other"} 14936`))
 }
