--- a/survey/survey.go
+++ b/survey/survey.go
@@ -1,7 +1,7 @@
-// Package survey decides how often engines are asked for their load, and which of
-// their answers other VMs are told. It answers fleets of many engines of which most
-// have little to do: questions and words about those say nothing that changes where a
-// call goes, and cost a VM more than all other control.
+// Package survey decides when an engine's load is polled and which load reports are
+// published to other VMs. Idle engines are polled less often and their unchanged
+// load is not published, as neither affects routing and both would dominate the
+// control traffic of a large fleet.
 package survey
 
 import (
@@ -11,52 +11,53 @@
 )
 
 const (
-	// BusyEvery is the interval at which an engine with work is asked.
+	// BusyEvery is the polling interval of a busy engine.
 	BusyEvery = time.Second
-	// IdleEvery is the same for one without: it is found silent or cold by then.
-	IdleEvery = 3 * time.Second
-	// early is by how much sooner than its time an engine may be asked, so that
-	// questions in rounds of BusyEvery do not slip by a whole round.
-	early = 150 * time.Millisecond
-
-	// againEvery is when an unchanged load is told again while there is any: what was
-	// told fades at those that heard it.
-	againEvery = 2 * time.Second
-	// newsPart is the part by which the calls at an engine must have changed, and
-	// newsCachePart that of its memory, to be told at once.
-	newsPart      = 0.1
-	newsCachePart = 0.05
+	// IdlePollInterval is the polling interval of an idle engine. It bounds how late
+	// an unresponsive or cold one is detected.
+	IdlePollInterval = 3 * time.Second
+	// pollTolerance is how early a poll may start, so that jitter does not delay it
+	// to the next round.
+	pollTolerance = 150 * time.Millisecond
+
+	// refreshInterval is how often the unchanged load of a busy engine is published
+	// again, as receivers discount old reports.
+	refreshInterval = 2 * time.Second
+	// minCallsChange and minCacheChange are the smallest changes published at once:
+	// a fraction of the engine's calls and of its cache capacity.
+	minCallsChange = 0.1
+	minCacheChange = 0.05
 )
 
-// IsDue reports whether an engine is to be asked that gave its last load at l.At.
-// inFlight says that this VM has calls there.
+// IsDue reports whether to poll an engine whose last load report is l. inFlight is
+// set if this VM has calls at the engine, which then counts as busy.
 func IsDue(l routing.Load, inFlight bool, now time.Time) bool {
-	every := BusyEvery
+	interval := BusyEvery
 	if isIdle(l) && !inFlight {
-		every = IdleEvery
+		interval = IdlePollInterval
 	}
-	return now.Sub(l.At) >= every-early
+	return now.Sub(l.At) >= interval-pollTolerance
 }
 
-// IsNews reports whether others are to be told of a load, after they were told of
-// another one. The zero load stands for nothing told.
-func IsNews(told, l routing.Load) bool {
-	if isIdle(l) && isIdle(told) {
+// IsNews reports whether to publish load l, given the load published last, which is
+// zero if there is none.
+func IsNews(published, l routing.Load) bool {
+	if isIdle(l) && isIdle(published) {
 		return false
 	}
-	if isIdle(l) != isIdle(told) || l.At.Sub(told.At) >= againEvery {
+	if isIdle(l) != isIdle(published) || l.At.Sub(published.At) >= refreshInterval {
 		return true
 	}
-	before, after := float64(told.Running+told.Waiting), float64(l.Running+l.Waiting)
-	cache := newsCachePart * float64(l.CacheTokens)
-	return differs(before, after, max(1, newsPart*before)) ||
-		(cache > 0 && differs(float64(told.CacheUsed), float64(l.CacheUsed), cache))
+	before, after := float64(published.Running+published.Waiting), float64(l.Running+l.Waiting)
+	cache := minCacheChange * float64(l.CacheTokens)
+	return differsBy(before, after, max(1, minCallsChange*before)) ||
+		(cache > 0 && differsBy(float64(published.CacheUsed), float64(l.CacheUsed), cache))
 }
 
 func isIdle(l routing.Load) bool {
 	return l.Running+l.Waiting == 0
 }
 
-func differs(a, b, least float64) bool {
+func differsBy(a, b, least float64) bool {
 	return max(a, b)-min(a, b) >= least
 }
--- a/survey/survey_test.go
+++ b/survey/survey_test.go
@@ -13,7 +13,7 @@
 
 var origin = time.Unix(1e9, 0)
 
-// loadRow is a load as the table of cases has it, at some milliseconds.
+// loadRow is a load report in testdata.
 type loadRow struct {
 	AtMs    int64 `json:"at_ms"`
 	Running int
@@ -40,7 +40,7 @@
 		Told *loadRow
 		Load *loadRow
 		News bool
-	}](t, "testdata/news.json") {
+	}](t, "testdata/publish.json") {
 		t.Run(c.Name, func(t *testing.T) {
 			assert.Equal(t, IsNews(c.Told.load(), c.Load.load()), c.News)
 		})
@@ -62,81 +62,80 @@
 	}
 }
 
-// TestPlayedLoad plays 1,000 engines that calls of 300 ms come to, and holds that few
-// questions and words remain of one an engine and second while there is little to do,
-// and that other VMs believe hardly less right than if they were told all of that: at
-// 50 calls a second 36% of the questions and 1% of the words.
-func TestPlayedLoad(t *testing.T) {
+// TestSimulatedLoad guards against polling and publishing mostly idle engines too
+// often, and against other VMs seeing a much less accurate load than if every engine
+// were polled and published each second.
+func TestSimulatedLoad(t *testing.T) {
 	for _, c := range datatest.Read[[]struct {
 		Name      string
 		PerSecond float64 `json:"per_second"`
-		// Asked and Told are the most questions and words, of those of an engine each
-		// second, and Worse how much further off the believed load may be, in parts of the
-		// calls, than if each engine were asked and told each second.
+		// Asked and Told limit the polls and publications per engine and second. Worse
+		// limits the additional error of the published load, as a fraction of the
+		// calls, over polling and publishing every engine each second.
 		Asked float64
 		Told  float64
 		Worse float64
-	}](t, "testdata/played.json") {
+	}](t, "testdata/simulated.json") {
 		t.Run(c.Name, func(t *testing.T) {
-			asked, told, off := playLoad(c.PerSecond, IsDue, IsNews)
-			_, _, best := playLoad(c.PerSecond, eachSecond, all)
-			t.Logf("asked %.3f told %.3f off %.3f, with all %.3f", asked, told, off, best)
-			assert.Assert(t, asked <= c.Asked, "asked %.3f", asked)
-			assert.Assert(t, told <= c.Told, "told %.3f", told)
-			assert.Assert(t, off <= best+c.Worse, "off by %.3f and %.3f", off, best)
+			polled, published, deviation := simulateLoad(c.PerSecond, IsDue, IsNews)
+			_, _, baseline := simulateLoad(c.PerSecond, pollEverySecond, publishAll)
+			t.Logf("polled %.3f, published %.3f per engine and second; error %.3f, baseline %.3f", polled, published, deviation, baseline)
+			assert.Assert(t, polled <= c.Asked, "polled %.3f per engine and second", polled)
+			assert.Assert(t, published <= c.Told, "published %.3f per engine and second", published)
+			assert.Assert(t, deviation <= baseline+c.Worse, "error %.3f, baseline %.3f", deviation, baseline)
 		})
 	}
 }
 
 const (
-	playedEngines = 1000
-	playedSteps   = 600
-	playedStep    = 100 * time.Millisecond
-	// playedEnds is the part of the calls that end in a step.
-	playedEnds = 1.0 / 3
+	simulatedEngines = 1000
+	simulatedSteps   = 600
+	simulatedStep    = 100 * time.Millisecond
+	// endProbability is the fraction of calls that end in each step.
+	endProbability = 1.0 / 3
 )
 
-func eachSecond(l routing.Load, _ bool, now time.Time) bool {
+func pollEverySecond(l routing.Load, _ bool, now time.Time) bool {
 	return now.Sub(l.At) >= BusyEvery
 }
 
-func all(routing.Load, routing.Load) bool { return true }
+func publishAll(routing.Load, routing.Load) bool { return true }
 
-func playLoad(perSecond float64, due func(routing.Load, bool, time.Time) bool, news func(told, l routing.Load) bool) (asked, told, off float64) {
-	draw := rand.New(rand.NewPCG(1, 1))
-	running := make([]int, playedEngines)
-	last := make([]routing.Load, playedEngines)
-	words := make([]routing.Load, playedEngines)
+func simulateLoad(perSecond float64, isDue func(routing.Load, bool, time.Time) bool, shouldPublish func(told, l routing.Load) bool) (polled, published, deviation float64) {
+	random := rand.New(rand.NewPCG(1, 1))
+	running := make([]int, simulatedEngines)
+	last := make([]routing.Load, simulatedEngines)
+	known := make([]routing.Load, simulatedEngines)
 	calls := 0.0
-	for step := range playedSteps {
-		now := origin.Add(time.Duration(step) * playedStep)
+	for step := range simulatedSteps {
+		now := origin.Add(time.Duration(step) * simulatedStep)
 		for i := range running {
 			for range running[i] {
-				if draw.Float64() < playedEnds {
+				if random.Float64() < endProbability {
 					running[i]--
 				}
 			}
 		}
-		for arrivals := perSecond * playedStep.Seconds(); arrivals > draw.Float64(); arrivals-- {
-			running[draw.IntN(playedEngines)]++
+		for arrivals := perSecond * simulatedStep.Seconds(); arrivals > random.Float64(); arrivals-- {
+			running[random.IntN(simulatedEngines)]++
 		}
 		for i := range running {
-			if due(last[i], false, now) {
-				asked++
+			if isDue(last[i], false, now) {
+				polled++
 				last[i] = routing.Load{
 					At:          now,
 					Running:     running[i],
 					CacheTokens: 1000,
 				}
-				if news(words[i], last[i]) {
-					told++
-					words[i] = last[i]
+				if shouldPublish(known[i], last[i]) {
+					published++
+					known[i] = last[i]
 				}
 			}
 			calls += float64(running[i])
-			off += max(float64(words[i].Running-running[i]), float64(running[i]-words[i].Running))
+			deviation += max(float64(known[i].Running-running[i]), float64(running[i]-known[i].Running))
 		}
 	}
-	each := playedEngines * playedSteps * playedStep.Seconds()
-	return asked / each, told / each, off / max(calls, 1)
+	engineSeconds := simulatedEngines * simulatedSteps * simulatedStep.Seconds()
+	return polled / engineSeconds, published / engineSeconds, deviation / max(calls, 1)
 }
