--- a/site/forward.go
+++ b/site/forward.go
@@ -31,7 +31,7 @@
 		Call: peer.CallMessage(n.withRemoteObjective(c, vm), n.now()),
 	}, sink, func(uint64) {})
 	if ctx.Err() != nil && outcome.Code == result.PeerLost {
-		return call.Refused(result.Refuse(result.EndpointTimeout, "deadline exceeded or caller disconnected while VM %s ran the call", vm.ID).Because(ctx.Err()))
+		return call.Refused(result.Refuse(result.EndpointTimeout, "VM %s had the call as its time ended or the caller left", vm.ID).Because(ctx.Err()))
 	}
 	if ctx.Err() == nil && outcome.Code == result.PeerUnreachable {
 		n.control.send(ctx, func(c *control, now time.Time) {
@@ -102,7 +102,7 @@
 }
 
 func (n *Node) notServed() *result.Refusal {
-	return result.Refuse(result.NotReady, "VM %s does not serve this call", n.deployment.VM)
+	return result.Refuse(result.NotReady, "VM %s does not serve the call", n.deployment.VM)
 }
 
 // readmit repeats admission under a newer table than the sender's: the key may have been
@@ -122,7 +122,7 @@
 		service = terms.Route.Pick(rand.Uint64())
 	}
 	if service == "" {
-		return result.Refuse(result.NotReady, "VM %s has a newer routing table without this route", n.deployment.VM)
+		return result.Refuse(result.NotReady, "VM %s has a newer table without the route", n.deployment.VM)
 	}
 	c.Service = service
 	c.Routed.Homes = terms.Homes
--- a/site/resume.go
+++ b/site/resume.go
@@ -52,7 +52,7 @@
 	deadline := n.now().Add(resumeTimeout)
 	for now := n.now(); !n.control.snapshot().members.Current(now); now = n.now() {
 		if ctx.Err() != nil || !now.Before(deadline) {
-			return result.Refuse(result.NotReady, "VM %s was paused and has not refreshed its endpoint state yet", n.deployment.VM).Until(now.Add(resumeTimeout))
+			return result.Refuse(result.NotReady, "VM %s has paused and has no news of the endpoints yet", n.deployment.VM).Until(now.Add(resumeTimeout))
 		}
 		worker.SleepUntil(ctx, now, now.Add(resumePollInterval))
 	}
--- a/site/site.go
+++ b/site/site.go
@@ -282,10 +282,10 @@
 func (n *Node) admit(a route.Ask) (route.Terms, *result.Refusal) {
 	table := n.control.snapshot().table
 	if table == nil {
-		return route.Terms{}, result.Refuse(result.NotReady, "configuration not loaded yet").Until(n.now().Add(notReadyRetryAfter))
+		return route.Terms{}, result.Refuse(result.NotReady, "no configuration is known yet").Until(n.now().Add(notReadyRetryAfter))
 	}
 	if table.Keyed() && n.keysTooStale() {
-		return route.Terms{}, result.Refuse(result.NotReady, "VM %s has not confirmed its configuration with the store recently enough to rule out revoked keys", n.deployment.VM).Until(n.now().Add(notReadyRetryAfter))
+		return route.Terms{}, result.Refuse(result.NotReady, "VM %s has not heard of the store for too long to know which keys have ended", n.deployment.VM).Until(n.now().Add(notReadyRetryAfter))
 	}
 	return table.Admit(a)
 }
