--- a/endpoint/connection.go
+++ b/endpoint/connection.go
@@ -13,12 +13,12 @@
 )
 
 // Bounds of the client's connections. An endpoint keeps an idle connection for
-// longer than idleFor, so that one is seldom closed as it is reused.
+// longer than idleConnTimeout, so that one is seldom closed as it is reused.
 const (
-	dialWithin     = 2 * time.Second
-	idleFor        = 15 * time.Second
-	idlePerHost    = 1024
-	maxHeaderBytes = 64 << 10
+	dialTimeout         = 2 * time.Second
+	idleConnTimeout     = 15 * time.Second
+	maxIdleConnsPerHost = 1024
+	maxHeaderBytes      = 64 << 10
 )
 
 // transports returns one transport that reuses connections and one that doesn't.
@@ -26,8 +26,8 @@
 // it as idle at the moment of sending, which would leave the outcome unknown.
 func transports(client *http.Client) (pooled, single http.RoundTripper) {
 	base := &http.Transport{
-		MaxIdleConnsPerHost:    idlePerHost,
-		IdleConnTimeout:        idleFor,
+		MaxIdleConnsPerHost:    maxIdleConnsPerHost,
+		IdleConnTimeout:        idleConnTimeout,
 		MaxResponseHeaderBytes: maxHeaderBytes,
 	}
 	if client != nil && client.Transport != nil {
@@ -39,7 +39,7 @@
 	}
 	base.Proxy = nil
 	base.DisableCompression = true
-	base.DialContext = dialer(base.DialContext)
+	base.DialContext = trackedDialer(base.DialContext)
 	once := base.Clone()
 	once.DisableKeepAlives = true
 	return base, once
@@ -47,116 +47,116 @@
 
 type dialFunc func(ctx context.Context, network, addr string) (net.Conn, error)
 
-func dialer(dial dialFunc) dialFunc {
+func trackedDialer(dial dialFunc) dialFunc {
 	if dial == nil {
-		dial = tcp.Dialer(dialWithin).DialContext
+		dial = tcp.Dialer(dialTimeout).DialContext
 	}
 	return func(ctx context.Context, network, addr string) (net.Conn, error) {
 		conn, err := dial(ctx, network, addr)
 		if err != nil {
 			return nil, err
 		}
-		return &connection{Conn: conn}, nil
+		return &trackedConn{Conn: conn}, nil
 	}
 }
 
-// connection counts the bytes offered to the kernel, and asks before the first
+// trackedConn counts the bytes offered to the kernel, and asks before the first
 // byte of a request.
-type connection struct {
+type trackedConn struct {
 	net.Conn
 
-	offered atomic.Int64
-	// distrusted is set once it brought a crossed answer.
-	distrusted atomic.Bool
-	closed     atomic.Bool
-	gate       atomic.Pointer[func() error]
+	offeredBytes atomic.Int64
+	// tainted is set once it brought a crossed answer.
+	tainted     atomic.Bool
+	closed      atomic.Bool
+	beforeWrite atomic.Pointer[func() error]
 }
 
 // Write counts before it writes, so that no byte goes out uncounted.
-func (c *connection) Write(p []byte) (int, error) {
+func (c *trackedConn) Write(p []byte) (int, error) {
 	if c.closed.Load() {
 		return 0, net.ErrClosed
 	}
-	if gate := c.gate.Swap(nil); gate != nil {
+	if gate := c.beforeWrite.Swap(nil); gate != nil {
 		if err := (*gate)(); err != nil {
 			return 0, err
 		}
 	}
-	c.offered.Add(int64(len(p)))
+	c.offeredBytes.Add(int64(len(p)))
 	return c.Conn.Write(p)
 }
 
 // Close lets no further byte be counted, and none go out.
-func (c *connection) Close() error {
+func (c *trackedConn) Close() error {
 	c.closed.Store(true)
 	return c.Conn.Close()
 }
 
-// track follows one attempt over its connection.
-type track struct {
-	// gate is asked before the first byte goes out.
-	gate func() error
-
-	mu      sync.Mutex
-	conn    *connection
-	reused  bool
-	offered int64
-	sent    bool
-	denied  error
+// connTracker follows one attempt over its connection.
+type connTracker struct {
+	// beforeSend is asked before the first byte goes out.
+	beforeSend func() error
+
+	mu            sync.Mutex
+	conn          *trackedConn
+	reused        bool
+	offeredBefore int64
+	sent          bool
+	beforeSendErr error
 }
 
-func (t *track) trace(ctx context.Context) context.Context {
+func (t *connTracker) withTrace(ctx context.Context) context.Context {
 	return httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: t.gotConn})
 }
 
-func (t *track) gotConn(info httptrace.GotConnInfo) {
+func (t *connTracker) gotConn(info httptrace.GotConnInfo) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.settle()
-	conn, ok := info.Conn.(*connection)
+	t.updateSent()
+	conn, ok := info.Conn.(*trackedConn)
 	if !ok {
 		t.sent = true
 		return
 	}
-	if conn.distrusted.Load() {
+	if conn.tainted.Load() {
 		_ = conn.Close()
 	}
 	t.conn = conn
 	t.reused = info.Reused
-	t.offered = conn.offered.Load()
-	gate := t.ask
-	conn.gate.Store(&gate)
+	t.offeredBefore = conn.offeredBytes.Load()
+	gate := t.runBeforeSend
+	conn.beforeWrite.Store(&gate)
 }
 
-func (t *track) ask() error {
-	err := t.gate()
+func (t *connTracker) runBeforeSend() error {
+	err := t.beforeSend()
 	if err != nil {
 		t.mu.Lock()
-		t.denied = err
+		t.beforeSendErr = err
 		t.mu.Unlock()
 	}
 	return err
 }
 
-func (t *track) settle() {
-	if t.conn != nil && t.conn.offered.Load() != t.offered {
+func (t *connTracker) updateSent() {
+	if t.conn != nil && t.conn.offeredBytes.Load() != t.offeredBefore {
 		t.sent = true
 	}
 }
 
-// distrust keeps the connection from further use after the head of another
+// taint keeps the connection from further use after the head of another
 // attempt's answer: what follows is one answer off as well. The transport closes
 // it with the body, but an answer without a body gave it back to the pool already.
-func (t *track) distrust() {
+func (t *connTracker) taint() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.conn != nil {
-		t.conn.distrusted.Store(true)
+		t.conn.tainted.Store(true)
 	}
 }
 
-// stale reports whether a reused connection broke before any byte went out.
-func (t *track) stale() bool {
+// brokeBeforeSend reports whether a reused connection broke before any byte went out.
+func (t *connTracker) brokeBeforeSend() bool {
 	sent, denied := t.abort()
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -165,12 +165,12 @@
 
 // abort closes the connection and says whether any byte went out on it. No
 // byte can follow, so the answer is final. The error is the gate's, if any.
-func (t *track) abort() (sent bool, denied error) {
+func (t *connTracker) abort() (sent bool, denied error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.conn != nil {
 		_ = t.conn.Close()
 	}
-	t.settle()
-	return t.sent, t.denied
+	t.updateSent()
+	return t.sent, t.beforeSendErr
 }
--- a/endpoint/dialect.go
+++ b/endpoint/dialect.go
@@ -11,12 +11,12 @@
 // Dialect is how the endpoints of routed calls spell what goes with a request
 // and an answer. It holds names and formats only.
 type Dialect struct {
-	// SetHeader sets the headers of an attempt that are not the caller's.
-	SetHeader func(h http.Header, t Terms)
-	// ReadHead reads what an answer's head says besides its status.
-	ReadHead func(status int, h http.Header, now time.Time) Head
-	// ReadRate reads from the head of any answer at which rate the endpoint takes requests.
-	ReadRate func(h http.Header) fleet.Rate
+	// SetRequestHeader sets the headers of an attempt that are not the caller's.
+	SetRequestHeader func(h http.Header, t RequestParams)
+	// ReadResponseHead reads what an answer's head says besides its status.
+	ReadResponseHead func(status int, h http.Header, now time.Time) ResponseHead
+	// ReadRateLimit reads from the head of any answer at which rate the endpoint takes requests.
+	ReadRateLimit func(h http.Header) fleet.Rate
 	// ReadColdFor reads from an answer to a health check how long the endpoint is
 	// cold yet; zero for a warm one.
 	ReadColdFor func(h http.Header) time.Duration
@@ -25,17 +25,17 @@
 	DecodeReport func(data []byte, now time.Time) (Load, error)
 }
 
-// Terms are what an attempt tells the endpoint.
-type Terms struct {
+// RequestParams are what an attempt tells the endpoint.
+type RequestParams struct {
 	// Instance is the endpoint's id: another one at its address refuses.
 	Instance string
-	// WholeBy is when the endpoint may stop working.
-	WholeBy time.Time
-	Now     time.Time
+	// Deadline is when the endpoint may stop working.
+	Deadline time.Time
+	Now      time.Time
 	// Workspace holds the key of the caller; empty means that none was needed.
 	Workspace string
-	// Rank orders requests in the endpoint's queue, 0 first.
-	Rank int
+	// Priority orders requests in the endpoint's queue, 0 first.
+	Priority int
 	// ResumeAfter is the id of the last event that the caller has.
 	ResumeAfter string
 	// FetchFrom is the address of an engine that holds more of the prompt.
@@ -44,20 +44,20 @@
 	ID string
 }
 
-// Head is what an answer's head says.
-type Head struct {
+// ResponseHead is what an answer's head says.
+type ResponseHead struct {
 	// ID is the attempt's id, empty where the answer names none.
 	ID string
 	// NotRun is the endpoint's word that it did not run the request, and
 	// OtherInstance that the address belongs to another endpoint now.
-	NotRun        bool
-	OtherInstance bool
+	NotRun           bool
+	InstanceMismatch bool
 	// Signed says that the answer has the endpoint's signature.
 	Signed bool
-	// Leaving says that the endpoint gets no more requests on this connection.
-	Leaving bool
-	// ComeBackAt is when a refusing endpoint asks to be tried again.
-	ComeBackAt time.Time
+	// ClosesConnection says that the endpoint gets no more requests on this connection.
+	ClosesConnection bool
+	// RetryAt is when a refusing endpoint asks to be tried again.
+	RetryAt time.Time
 }
 
 // routedHeader returns the headers of a routed attempt.
@@ -70,12 +70,12 @@
 	if resume == "" {
 		resume = a.Call.Routed.ResumeAfter
 	}
-	c.dialect.SetHeader(h, Terms{
+	c.dialect.SetRequestHeader(h, RequestParams{
 		Instance:    a.Endpoint.ID,
-		WholeBy:     callerBy(a.Call),
+		Deadline:    effectiveDeadline(a.Call),
 		Now:         c.now(),
 		Workspace:   a.Call.Workspace,
-		Rank:        a.Call.Routed.Turn(),
+		Priority:    a.Call.Routed.Turn(),
 		ResumeAfter: resume,
 		FetchFrom:   a.FetchFrom,
 		ID:          a.ID,
@@ -84,7 +84,7 @@
 		// An empty value keeps net/http from adding its own.
 		h["User-Agent"] = nil
 	}
-	for name, plain := range replayHeaders {
+	for name, plain := range idempotencyKeyHeaders {
 		if values, ok := h[name]; ok {
 			delete(h, name)
 			h[plain] = values
@@ -93,7 +93,7 @@
 	return h
 }
 
-func callerBy(c *call.Call) time.Time {
+func effectiveDeadline(c *call.Call) time.Time {
 	by := c.WholeBy
 	if !c.Routed.CallerBy.IsZero() && c.Routed.CallerBy.Before(by) {
 		by = c.Routed.CallerBy
--- a/endpoint/endpoint.go
+++ b/endpoint/endpoint.go
@@ -15,8 +15,8 @@
 	"github.com/fuchsianotch/fuchsianotch/result"
 )
 
-// DefaultMaxAnswer bounds one answer, in bytes, when Options names no bound.
-const DefaultMaxAnswer = 16 << 20
+// DefaultMaxResponseBytes bounds one answer, in bytes, when Options names no bound.
+const DefaultMaxResponseBytes = 16 << 20
 
 // Options configure a Client. The zero value is usable.
 type Options struct {
@@ -26,8 +26,8 @@
 	Client *http.Client
 	// Now is the clock; nil means time.Now.
 	Now func() time.Time
-	// MaxAnswer bounds one answer, in bytes; zero means DefaultMaxAnswer.
-	MaxAnswer int
+	// MaxResponseBytes bounds one answer, in bytes; zero means DefaultMaxAnswer.
+	MaxResponseBytes int
 	// Dialect is that of the endpoints of routed calls; it may be left out where
 	// there are none.
 	Dialect Dialect
@@ -36,27 +36,27 @@
 // Client sends calls to endpoints. It is safe for concurrent use.
 type Client struct {
 	// pooled reuses connections; single opens one for each call.
-	pooled    http.RoundTripper
-	single    http.RoundTripper
-	now       func() time.Time
-	maxAnswer int
-	dialect   Dialect
+	pooled           http.RoundTripper
+	unpooled         http.RoundTripper
+	now              func() time.Time
+	maxResponseBytes int
+	dialect          Dialect
 }
 
 // New makes a client.
 func New(o Options) *Client {
 	c := &Client{
-		now:       o.Now,
-		maxAnswer: o.MaxAnswer,
-		dialect:   o.Dialect,
+		now:              o.Now,
+		maxResponseBytes: o.MaxResponseBytes,
+		dialect:          o.Dialect,
 	}
 	if c.now == nil {
 		c.now = time.Now
 	}
-	if c.maxAnswer <= 0 {
-		c.maxAnswer = DefaultMaxAnswer
+	if c.maxResponseBytes <= 0 {
+		c.maxResponseBytes = DefaultMaxResponseBytes
 	}
-	c.pooled, c.single = transports(o.Client)
+	c.pooled, c.unpooled = transports(o.Client)
 	return c
 }
 
@@ -130,10 +130,10 @@
 	// Held is an own failure of the endpoint, to be passed on if no other
 	// attempt follows.
 	Held *call.Answer
-	// OtherInstance says that the address belongs to another endpoint now, and
+	// InstanceMismatch says that the address belongs to another endpoint now, and
 	// Leaving that the endpoint closes the connection after this answer.
-	OtherInstance bool
-	Leaving       bool
+	InstanceMismatch bool
+	ClosesConnection bool
 }
 
 // Send makes one attempt and passes the answer on. It returns when the answer
--- a/endpoint/endpoint_test.go
+++ b/endpoint/endpoint_test.go
@@ -21,8 +21,8 @@
 	"github.com/fuchsianotch/fuchsianotch/result"
 )
 
-// row is one fault and what must come of it; testdata/outcomes.json holds them.
-type row struct {
+// outcomeCase is one fault and what must come of it; testdata/outcomes.json holds them.
+type outcomeCase struct {
 	Name       string            `json:"name"`
 	Call       string            `json:"call"`
 	AnswerID   string            `json:"answer_id"`
@@ -34,12 +34,12 @@
 	SinkFails  bool              `json:"sink_fails"`
 	NoDial     bool              `json:"no_dial"`
 	// Warm is the id in the answer to a call before; empty means no call before.
-	Warm   string   `json:"warm"`
-	Answer []string `json:"answer"`
-	Want   want     `json:"want"`
+	Warm   string      `json:"warm"`
+	Answer []string    `json:"answer"`
+	Want   wantOutcome `json:"want"`
 }
 
-type want struct {
+type wantOutcome struct {
 	Code       string `json:"code"`
 	Sent       bool   `json:"sent"`
 	Delivered  int    `json:"delivered"`
@@ -67,7 +67,7 @@
 }
 
 func TestOutcomes(t *testing.T) {
-	for _, r := range load[[]row](t, "testdata/outcomes.json") {
+	for _, r := range load[[]outcomeCase](t, "testdata/outcomes.json") {
 		t.Run(r.Name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) { r.test(t) })
 		})
@@ -81,10 +81,10 @@
 	body   strings.Builder
 }
 
-func (r row) test(t *testing.T) {
+func (r outcomeCase) test(t *testing.T) {
 	ctx, leave := context.WithCancel(t.Context())
 	defer leave()
-	f := &fake{
+	f := &scriptedEndpoint{
 		t:         t,
 		script:    r.Answer,
 		warm:      r.Warm,
@@ -94,9 +94,9 @@
 	}
 	transport := &http.Transport{DialContext: f.dial}
 	client := New(Options{
-		Client:    &http.Client{Transport: transport},
-		Now:       f.now,
-		MaxAnswer: r.MaxAnswer,
+		Client:           &http.Client{Transport: transport},
+		Now:              f.now,
+		MaxResponseBytes: r.MaxAnswer,
 	})
 	if r.Warm != "" {
 		o := client.Send(ctx, r.warmUp(), r.sink(&received{}))
@@ -110,7 +110,7 @@
 	r.check(t, o, &got, f)
 }
 
-func (r row) warmUp() Attempt {
+func (r outcomeCase) warmUp() Attempt {
 	return Attempt{
 		ID:       "warm",
 		Endpoint: fleet.Endpoint{Addr: "127.0.0.1:1"},
@@ -118,7 +118,7 @@
 	}
 }
 
-func (r row) attempt() Attempt {
+func (r outcomeCase) attempt() Attempt {
 	a := Attempt{
 		ID:         "own",
 		AnswerID:   r.AnswerID,
@@ -132,7 +132,7 @@
 	return a
 }
 
-func (r row) call(kind string) *call.Call {
+func (r outcomeCase) call(kind string) *call.Call {
 	in := 10 * time.Second
 	if r.WholeIn.Duration != 0 {
 		in = r.WholeIn.Duration
@@ -162,7 +162,7 @@
 	return c
 }
 
-func (r row) sink(got *received) Sink {
+func (r outcomeCase) sink(got *received) Sink {
 	return Sink{
 		Head: func(status int, header http.Header) error {
 			if got.status != 0 {
@@ -182,7 +182,7 @@
 	}
 }
 
-func (r row) check(t *testing.T, o Outcome, got *received, f *fake) {
+func (r outcomeCase) check(t *testing.T, o Outcome, got *received, f *scriptedEndpoint) {
 	w := r.Want
 	assert.Equal(t, o.Code.String(), w.Code, "%v", o.Err)
 	assert.Equal(t, o.Err == nil, o.Code == result.Done)
@@ -195,9 +195,9 @@
 	if id == "" {
 		id = "own"
 	}
-	passed := summary(t, got.body.String(), id)
+	passed := summarizeEvents(t, got.body.String(), id)
 	if w.Passed == "completion" {
-		refusal := (&exchange{attempt: Attempt{ID: id}}).checkCompletion([]byte(passed))
+		refusal := (&exchange{attempt: Attempt{ID: id}}).validateCompletion([]byte(passed))
 		assert.Assert(t, refusal == nil, "%v", refusal)
 		passed = w.Passed
 	}
--- a/endpoint/events.go
+++ b/endpoint/event_reader.go
@@ -10,45 +10,45 @@
 
 // Bounds of an event stream's reader.
 const (
-	readerBytes = 4 << 10
-	maxLine     = 1 << 20
+	readBufferBytes = 4 << 10
+	maxLineBytes    = 1 << 20
 )
 
 // Errors of a malformed event stream.
 var (
-	errLineTooLong   = errors.New("a line of the event stream is too long")
-	errUnknownField  = errors.New("a line of the event stream has an unknown field")
-	errSeveralData   = errors.New("an event has several data lines")
-	errCarriage      = errors.New("a data line holds a carriage return")
-	errEventTooLarge = errors.New("the event stream is too large")
+	errLineTooLong       = errors.New("a line of the event stream is too long")
+	errUnknownField      = errors.New("a line of the event stream has an unknown field")
+	errMultipleDataLines = errors.New("an event has several data lines")
+	errCarriageReturn    = errors.New("a data line holds a carriage return")
+	errEventTooLarge     = errors.New("the event stream is too large")
 )
 
-// events reads server-sent events. It is stricter than the standard, because
-// callers' readers must see the same events: one data line for each event, no
+// eventReader reads server-sent eventReader. It is stricter than the standard, because
+// callers' readers must see the same eventReader: one data line for each event, no
 // unknown field, and no line end inside a line. Comments are dropped.
-type events struct {
+type eventReader struct {
 	reader *bufio.Reader
 	line   []byte
 	data   []byte
-	// left is how many bytes may still be read.
-	left int
+	// remaining is how many bytes may still be read.
+	remaining int
 }
 
 var eventReaders = sync.Pool{
 	New: func() any {
-		return &events{reader: bufio.NewReaderSize(nil, readerBytes)}
+		return &eventReader{reader: bufio.NewReaderSize(nil, readBufferBytes)}
 	},
 }
 
-func newEvents(body io.Reader, maxBytes int) *events {
-	e, _ := eventReaders.Get().(*events)
+func newEventReader(body io.Reader, maxBytes int) *eventReader {
+	e, _ := eventReaders.Get().(*eventReader)
 	e.reader.Reset(body)
-	e.left = maxBytes
+	e.remaining = maxBytes
 	return e
 }
 
-func (e *events) release() {
-	if cap(e.line)+cap(e.data) > keptBytes {
+func (e *eventReader) release() {
+	if cap(e.line)+cap(e.data) > maxPooledBytes {
 		return
 	}
 	e.reader.Reset(nil)
@@ -57,7 +57,7 @@
 
 // next returns the data of the next event and its name, valid until the next
 // call. An unfinished event at the end is io.ErrUnexpectedEOF.
-func (e *events) next() (data []byte, named bool, err error) {
+func (e *eventReader) next() (data []byte, named bool, err error) {
 	e.data = e.data[:0]
 	hasData := false
 	for {
@@ -80,7 +80,7 @@
 		switch string(field) {
 		case "data":
 			if hasData {
-				return nil, false, errSeveralData
+				return nil, false, errMultipleDataLines
 			}
 			hasData = true
 			e.data = append(e.data, value...)
@@ -94,24 +94,24 @@
 }
 
 // readLine returns one line without its end. A line without an end is cut.
-func (e *events) readLine() ([]byte, error) {
+func (e *eventReader) readLine() ([]byte, error) {
 	e.line = e.line[:0]
 	for {
 		part, err := e.reader.ReadSlice('\n')
-		e.left -= len(part)
-		if e.left < 0 {
+		e.remaining -= len(part)
+		if e.remaining < 0 {
 			return nil, errEventTooLarge
 		}
-		if len(e.line)+len(part) > maxLine {
+		if len(e.line)+len(part) > maxLineBytes {
 			return nil, errLineTooLong
 		}
 		if err == nil && len(e.line) == 0 {
-			return trimLine(part)
+			return trimLineEnd(part)
 		}
 		e.line = append(e.line, part...)
 		switch {
 		case err == nil:
-			return trimLine(e.line)
+			return trimLineEnd(e.line)
 		case errors.Is(err, bufio.ErrBufferFull):
 			continue
 		case errors.Is(err, io.EOF) && len(e.line) > 0:
@@ -122,11 +122,11 @@
 	}
 }
 
-func trimLine(line []byte) ([]byte, error) {
+func trimLineEnd(line []byte) ([]byte, error) {
 	line = bytes.TrimSuffix(line, []byte("\n"))
 	line = bytes.TrimSuffix(line, []byte("\r"))
 	if bytes.IndexByte(line, '\r') >= 0 {
-		return nil, errCarriage
+		return nil, errCarriageReturn
 	}
 	return line, nil
 }
--- a/endpoint/events_test.go
+++ b/endpoint/event_reader_test.go
@@ -24,7 +24,7 @@
 		"data: cut",
 		"data: cut\n",
 		"\ufeffdata: x\n\n",
-		"data: " + strings.Repeat("x", 3*readerBytes) + "\n\n",
+		"data: " + strings.Repeat("x", 3*readBufferBytes) + "\n\n",
 	} {
 		f.Add([]byte(seed))
 	}
@@ -49,7 +49,7 @@
 }
 
 func readAll(r io.Reader, maxBytes int) ([]string, error) {
-	reader := newEvents(r, maxBytes)
+	reader := newEventReader(r, maxBytes)
 	defer reader.release()
 	var found []string
 	for {
--- a/endpoint/exchange.go
+++ b/endpoint/exchange.go
@@ -14,8 +14,8 @@
 	"github.com/fuchsianotch/fuchsianotch/result"
 )
 
-// maxStale is how many connections that broke while idle are given up for one attempt.
-const maxStale = 8
+// maxStaleRetries is how many connections that broke while idle are given up for one attempt.
+const maxStaleRetries = 8
 
 // exchange is one attempt under way.
 type exchange struct {
@@ -23,21 +23,21 @@
 	ctx     context.Context
 	attempt Attempt
 	sink    Sink
-	track   track
+	conn    connTracker
 	outcome Outcome
 	// completionID is the id of an own chat answer, in its JSON form.
 	completionID string
-	// headed says that Sink.Head was called; sinkFailed that the sink gave an error.
-	headed     bool
-	sinkFailed bool
-	// severalChoices rules resuming out: tokens are counted over one choice only.
-	severalChoices bool
+	// headForwarded says that Sink.Head was called; sinkFailed that the sink gave an error.
+	headForwarded bool
+	sinkFailed    bool
+	// multipleChoices rules resuming out: tokens are counted over one choice only.
+	multipleChoices bool
 }
 
 // run sends the request and receives the answer; nil means done.
 func (x *exchange) run() *result.Refusal {
-	if err := x.admit(); err != nil {
-		return notSent(err)
+	if err := x.checkDeadline(); err != nil {
+		return notSentRefusal(err)
 	}
 	resp, refusal := x.roundTrip()
 	if refusal != nil {
@@ -45,7 +45,7 @@
 	}
 	defer func() { _ = resp.Body.Close() }()
 	x.outcome.Sent = true
-	return x.receive(resp)
+	return x.handleResponse(resp)
 }
 
 // roundTrip sends the request once. A reused connection that broke before any
@@ -53,7 +53,7 @@
 func (x *exchange) roundTrip() (*http.Response, *result.Refusal) {
 	transport := x.transport()
 	for tries := 1; ; tries++ {
-		req, refusal := x.client.newRequest(x.track.trace(x.ctx), x.attempt)
+		req, refusal := x.client.newRequest(x.conn.withTrace(x.ctx), x.attempt)
 		if refusal != nil {
 			return nil, refusal
 		}
@@ -61,24 +61,24 @@
 		if err == nil {
 			return resp, nil
 		}
-		if x.track.stale() && tries < maxStale && x.ctx.Err() == nil {
+		if x.conn.brokeBeforeSend() && tries < maxStaleRetries && x.ctx.Err() == nil {
 			continue
 		}
-		return nil, x.unanswered(transport, err)
+		return nil, x.transportRefusal(transport, err)
 	}
 }
 
 func (x *exchange) transport() http.RoundTripper {
 	// The gate runs as the first byte goes out, where the transport shows it.
-	x.track.gate = x.sending
+	x.conn.beforeSend = x.beforeSend
 	if x.attempt.Call.Idempotent || x.attempt.Call.Kind == call.KindRouted {
 		return x.client.pooled
 	}
-	return x.client.single
+	return x.client.unpooled
 }
 
-// admit reports whether there is still time to send.
-func (x *exchange) admit() error {
+// checkDeadline reports whether there is still time to send.
+func (x *exchange) checkDeadline() error {
 	if err := x.ctx.Err(); err != nil {
 		return err
 	}
@@ -89,8 +89,8 @@
 	return nil
 }
 
-func (x *exchange) sending() error {
-	if err := x.admit(); err != nil {
+func (x *exchange) beforeSend() error {
+	if err := x.checkDeadline(); err != nil {
 		return err
 	}
 	if x.attempt.Sending == nil {
@@ -99,26 +99,26 @@
 	return x.attempt.Sending()
 }
 
-// unanswered judges an attempt that got no answer at all.
-func (x *exchange) unanswered(transport http.RoundTripper, err error) *result.Refusal {
-	sent, denied := x.track.abort()
+// transportRefusal judges an attempt that got no answer at all.
+func (x *exchange) transportRefusal(transport http.RoundTripper, err error) *result.Refusal {
+	sent, denied := x.conn.abort()
 	if _, ok := transport.(*http.Transport); !ok {
 		sent = true
 	}
 	x.outcome.Sent = sent
 	switch {
 	case sent:
-		return x.lost(err)
+		return x.readRefusal(err)
 	case denied != nil:
-		return notSent(denied)
+		return notSentRefusal(denied)
 	case x.ctx.Err() != nil:
-		return notSent(x.ctx.Err())
+		return notSentRefusal(x.ctx.Err())
 	default:
 		return result.Refuse(result.EndpointRefused, "the endpoint was not reached").Because(err)
 	}
 }
 
-func notSent(err error) *result.Refusal {
+func notSentRefusal(err error) *result.Refusal {
 	var refusal *result.Refusal
 	if errors.As(err, &refusal) {
 		return refusal
@@ -126,8 +126,8 @@
 	return result.Refuse(result.DeadlinePassed, "nothing was sent").Because(err)
 }
 
-// lost judges an error after the request went out.
-func (x *exchange) lost(err error) *result.Refusal {
+// readRefusal judges an error after the request went out.
+func (x *exchange) readRefusal(err error) *result.Refusal {
 	if x.ctx.Err() != nil {
 		return result.Refuse(result.EndpointTimeout, "the answer did not end in time").Because(x.ctx.Err())
 	}
@@ -142,19 +142,19 @@
 	return result.Refuse(result.EndpointFailed, "the answer is malformed").Because(err)
 }
 
-// receive judges the head of an answer, and takes the rest.
-func (x *exchange) receive(resp *http.Response) *result.Refusal {
+// handleResponse judges the head of an answer, and takes the rest.
+func (x *exchange) handleResponse(resp *http.Response) *result.Refusal {
 	if x.attempt.Call.Kind == call.KindRouted {
-		return x.receiveRouted(resp)
+		return x.handleRoutedResponse(resp)
 	}
-	if refusal := x.matchHead(resp.Header); refusal != nil {
+	if refusal := x.verifyRequestID(resp.Header); refusal != nil {
 		return refusal
 	}
-	x.outcome.Load = loadOf(resp.Header, x.client.now())
+	x.outcome.Load = parseLoadHeaders(resp.Header, x.client.now())
 	switch resp.StatusCode {
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable:
 		if resp.Header.Get(headerRun) == runNone {
-			x.outcome.ComeBackAt = retryAfter(resp.Header, x.client.now())
+			x.outcome.ComeBackAt = parseRetryAfter(resp.Header, x.client.now())
 			return result.Refuse(result.EndpointRefused, "the endpoint refused with status %d", resp.StatusCode)
 		}
 		return result.Refuse(result.EndpointFailed, "the endpoint answered status %d", resp.StatusCode)
@@ -169,27 +169,27 @@
 	if isStream && resp.StatusCode == http.StatusOK {
 		return x.receiveStream(resp)
 	}
-	return x.receiveWhole(resp)
+	return x.receiveBody(resp)
 }
 
-// matchHead refuses an answer that isn't marked as this attempt's own. This
+// verifyRequestID refuses an answer that isn't marked as this attempt's own. This
 // comes before the status, because a refusal may be crossed as well.
-func (x *exchange) matchHead(header http.Header) *result.Refusal {
+func (x *exchange) verifyRequestID(header http.Header) *result.Refusal {
 	ids := header.Values(headerRequestID)
 	if len(ids) == 0 {
 		return result.Refuse(result.EndpointFailed, "the answer has no id")
 	}
 	for _, id := range ids {
 		if id != x.attempt.ID {
-			x.track.distrust()
+			x.conn.taint()
 			return result.Refuse(result.AnswerCrossed, "the answer has the id of another attempt")
 		}
 	}
 	return nil
 }
 
-// retryAfter reads the header's seconds; zero means none.
-func retryAfter(header http.Header, now time.Time) time.Time {
+// parseRetryAfter reads the header's seconds; zero means none.
+func parseRetryAfter(header http.Header, now time.Time) time.Time {
 	seconds, err := strconv.Atoi(header.Get("Retry-After"))
 	if err != nil || seconds < 0 {
 		return time.Time{}
@@ -197,12 +197,12 @@
 	return now.Add(time.Duration(seconds) * time.Second)
 }
 
-// passHead passes the head to the sink once, and never on a resumed attempt.
-func (x *exchange) passHead(status int, header http.Header) *result.Refusal {
-	if x.headed {
+// forwardHead passes the head to the sink once, and never on a resumed attempt.
+func (x *exchange) forwardHead(status int, header http.Header) *result.Refusal {
+	if x.headForwarded {
 		return nil
 	}
-	x.headed = true
+	x.headForwarded = true
 	x.outcome.FirstAt = x.client.now()
 	if x.attempt.Began != nil {
 		x.attempt.Began()
@@ -210,14 +210,14 @@
 	if x.attempt.ResumeFrom > 0 || x.attempt.ResumeAfter != "" {
 		return nil
 	}
-	return x.sinkError(x.sink.Head(status, header))
+	return x.sinkRefusal(x.sink.Head(status, header))
 }
 
-func (x *exchange) passChunk(data []byte) *result.Refusal {
-	return x.sinkError(x.sink.Chunk(data))
+func (x *exchange) forwardChunk(data []byte) *result.Refusal {
+	return x.sinkRefusal(x.sink.Chunk(data))
 }
 
-func (x *exchange) sinkError(err error) *result.Refusal {
+func (x *exchange) sinkRefusal(err error) *result.Refusal {
 	if err == nil {
 		return nil
 	}
@@ -251,7 +251,7 @@
 	if x.sinkFailed || x.ctx.Err() != nil {
 		return false
 	}
-	if x.severalChoices && x.outcome.Delivered > 0 {
+	if x.multipleChoices && x.outcome.Delivered > 0 {
 		return false
 	}
 	switch code {
--- a/endpoint/fake_test.go
+++ b/endpoint/fake_test.go
@@ -20,9 +20,9 @@
 
 var errNoDial = errors.New("connection refused")
 
-// fake is an endpoint that plays a script of raw bytes over net.Pipe. A warm
-// fake answers the first request of all with an empty 200 of the given id.
-type fake struct {
+// scriptedEndpoint is an endpoint that plays a script of raw bytes over net.Pipe. A warm
+// scriptedEndpoint answers the first request of all with an empty 200 of the given id.
+type scriptedEndpoint struct {
 	t      *testing.T
 	script []string
 	warm   string
@@ -37,7 +37,7 @@
 	requests    []http.Header
 }
 
-func (f *fake) dial(context.Context, string, string) (net.Conn, error) {
+func (f *scriptedEndpoint) dial(context.Context, string, string) (net.Conn, error) {
 	if f.noDial {
 		return nil, errNoDial
 	}
@@ -48,11 +48,11 @@
 	return near, nil
 }
 
-func (f *fake) now() time.Time {
+func (f *scriptedEndpoint) now() time.Time {
 	return time.Now().Add(f.paused)
 }
 
-func (f *fake) serve(conn net.Conn) {
+func (f *scriptedEndpoint) serve(conn net.Conn) {
 	defer func() { _ = conn.Close() }()
 	reader := bufio.NewReader(conn)
 	for {
@@ -74,16 +74,16 @@
 	}
 }
 
-func (f *fake) play(conn net.Conn, step string) {
+func (f *scriptedEndpoint) play(conn net.Conn, step string) {
 	name, rest, _ := strings.Cut(step, " ")
 	id, text, _ := strings.Cut(rest, " ")
 	opening := `data: {"id":"chatcmpl-` + id + `","choices":[`
 	out := ""
 	switch name {
 	case "head":
-		out = head(rest)
+		out = responseHead(rest)
 	case "stream":
-		out = head("200 Content-Type: text/event-stream|X-Request-Id: " + rest)
+		out = responseHead("200 Content-Type: text/event-stream|X-Request-Id: " + rest)
 	case "role":
 		out = opening + `{"index":0,"delta":{"role":"assistant","content":""},"finish_reason":null}]}` + "\n\n"
 	case "token":
@@ -99,7 +99,7 @@
 	case "completion":
 		content, reason, _ := strings.Cut(text, " ")
 		body := fmt.Sprintf(`{"id":"chatcmpl-%s","choices":[{"message":{"content":%q},"finish_reason":%q}],"usage":{"completion_tokens":7}}`, id, content, reason)
-		out = head("200 X-Request-Id: $|Content-Length: "+strconv.Itoa(len(body))) + body
+		out = responseHead("200 X-Request-Id: $|Content-Length: "+strconv.Itoa(len(body))) + body
 		out = strings.Replace(out, "$", f.requests[len(f.requests)-1].Get(headerRequestID), 1)
 	case "raw":
 		out = rest
@@ -123,14 +123,14 @@
 	_, _ = io.WriteString(conn, out)
 }
 
-// head returns a head from "STATUS Name: value|Name: value".
-func head(text string) string {
+// responseHead returns a responseHead from "STATUS Name: value|Name: value".
+func responseHead(text string) string {
 	status, header, _ := strings.Cut(text, " ")
 	return "HTTP/1.1 " + status + " X\r\n" + strings.ReplaceAll(header, "|", "\r\n") + "\r\n\r\n"
 }
 
-// summary names the events of a passed stream, and checks their ids.
-func summary(t *testing.T, passed, id string) string {
+// summarizeEvents names the events of a passed stream, and checks their ids.
+func summarizeEvents(t *testing.T, passed, id string) string {
 	if !strings.HasPrefix(passed, "data: ") {
 		return passed
 	}
@@ -143,13 +143,13 @@
 		}
 		var c chunk
 		assert.NilError(t, json.Unmarshal([]byte(data), &c))
-		assert.Equal(t, string(c.ID), completionID(id))
-		names = append(names, nameOf(t, c))
+		assert.Equal(t, string(c.ID), quotedCompletionID(id))
+		names = append(names, eventName(t, c))
 	}
 	return strings.Join(names, " ")
 }
 
-func nameOf(t *testing.T, c chunk) string {
+func eventName(t *testing.T, c chunk) string {
 	if len(c.Choices) == 0 {
 		return "usage"
 	}
@@ -159,7 +159,7 @@
 		var text string
 		assert.NilError(t, json.Unmarshal(choice.Delta.Content, &text))
 		return text
-	case present(choice.FinishReason):
+	case isSet(choice.FinishReason):
 		return "finish"
 	default:
 		return "role"
--- a/endpoint/load.go
+++ b/endpoint/load.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	loadPath     = "/v1/load"
-	maxLoadBytes = 64 << 10
+	reportPath     = "/v1/load"
+	maxReportBytes = 64 << 10
 )
 
 // Load is what an endpoint says of itself. It lags behind the truth.
@@ -42,7 +42,7 @@
 // Report asks an endpoint for its load. Errors are of the connection, of the
 // status, or of the report's form.
 func (c *Client) Report(ctx context.Context, e fleet.Endpoint) (Load, error) {
-	path, decode := c.reportForm()
+	path, decode := c.reportFormat()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+e.Addr+path, nil)
 	if err != nil {
 		return Load{}, merry.Wrap(err)
@@ -55,7 +55,7 @@
 	if resp.StatusCode != http.StatusOK {
 		return Load{}, merry.Errorf("load report of %s: status %d", e.ID, resp.StatusCode)
 	}
-	data, err := io.ReadAll(io.LimitReader(resp.Body, maxLoadBytes))
+	data, err := io.ReadAll(io.LimitReader(resp.Body, maxReportBytes))
 	if err != nil {
 		return Load{}, merry.Wrap(err)
 	}
@@ -81,28 +81,28 @@
 		return 0, merry.Wrap(err)
 	}
 	defer func() { _ = resp.Body.Close() }()
-	if _, err := io.Copy(io.Discard, io.LimitReader(resp.Body, maxLoadBytes)); err != nil {
+	if _, err := io.Copy(io.Discard, io.LimitReader(resp.Body, maxReportBytes)); err != nil {
 		return 0, merry.Wrap(err)
 	}
 	return c.dialect.ReadColdFor(resp.Header), nil
 }
 
-// reportForm returns the path and the form of load reports.
-func (c *Client) reportForm() (string, func(data []byte, now time.Time) (Load, error)) {
+// reportFormat returns the path and the form of load reports.
+func (c *Client) reportFormat() (string, func(data []byte, now time.Time) (Load, error)) {
 	if c.dialect.DecodeReport != nil {
 		return c.dialect.ReportPath, c.dialect.DecodeReport
 	}
-	return loadPath, decodeLoad
+	return reportPath, decodeReport
 }
 
-func decodeLoad(data []byte, _ time.Time) (Load, error) {
+func decodeReport(data []byte, _ time.Time) (Load, error) {
 	var load Load
 	err := json.Unmarshal(data, &load)
 	return load, err
 }
 
-// loadOf reads the load headers of an answer; nil means that there are none.
-func loadOf(header http.Header, now time.Time) *Load {
+// parseLoadHeaders reads the load headers of an answer; nil means that there are none.
+func parseLoadHeaders(header http.Header, now time.Time) *Load {
 	running, err := strconv.Atoi(header.Get("X-Load-Running"))
 	leaving := header.Get("X-Leaving") == "true"
 	if (err != nil || running < 0) && !leaving {
@@ -110,14 +110,14 @@
 	}
 	return &Load{
 		At:      now,
-		Slots:   count(header.Get("X-Load-Slots")),
+		Slots:   parseCount(header.Get("X-Load-Slots")),
 		Running: max(running, 0),
-		Waiting: count(header.Get("X-Load-Waiting")),
+		Waiting: parseCount(header.Get("X-Load-Waiting")),
 		Leaving: leaving,
 	}
 }
 
-func count(text string) int {
+func parseCount(text string) int {
 	n, err := strconv.Atoi(text)
 	if err != nil {
 		return 0
--- a/endpoint/relay.go
+++ b/endpoint/relay.go
@@ -19,8 +19,8 @@
 // errPartialEvent marks a stream that ended in the middle of an event.
 var errPartialEvent = errors.New("the stream ended within an event")
 
-// hopHeaders concern one connection only and are never passed on.
-var hopHeaders = []string{
+// hopByHopHeaders concern one connection only and are never passed on.
+var hopByHopHeaders = []string{
 	"Connection",
 	"Keep-Alive",
 	"Proxy-Authenticate",
@@ -31,20 +31,20 @@
 	"Upgrade",
 }
 
-// receiveRouted judges the answer to a routed call and passes it on unchanged.
-func (x *exchange) receiveRouted(resp *http.Response) *result.Refusal {
-	head := x.client.dialect.ReadHead(resp.StatusCode, resp.Header, x.client.now())
-	x.outcome.Leaving = head.Leaving
+// handleRoutedResponse judges the answer to a routed call and passes it on unchanged.
+func (x *exchange) handleRoutedResponse(resp *http.Response) *result.Refusal {
+	head := x.client.dialect.ReadResponseHead(resp.StatusCode, resp.Header, x.client.now())
+	x.outcome.ClosesConnection = head.ClosesConnection
 	if head.ID != "" && head.ID != x.attempt.ID {
-		x.track.distrust()
+		x.conn.taint()
 		return result.Refuse(result.AnswerCrossed, "the answer has the id of another attempt")
 	}
-	if head.ID != "" && !head.OtherInstance && (head.Signed || head.NotRun) {
-		x.rated(resp.Header)
+	if head.ID != "" && !head.InstanceMismatch && (head.Signed || head.NotRun) {
+		x.reportRateLimit(resp.Header)
 	}
 	if head.NotRun {
-		x.outcome.ComeBackAt = head.ComeBackAt
-		x.outcome.OtherInstance = head.OtherInstance
+		x.outcome.ComeBackAt = head.RetryAt
+		x.outcome.InstanceMismatch = head.InstanceMismatch
 		return result.Refuse(result.EndpointRefused, "the endpoint refused with status %d", resp.StatusCode)
 	}
 	if !head.Signed || head.ID == "" {
@@ -53,13 +53,13 @@
 	if resp.StatusCode == http.StatusOK && isEventStream(resp.Header) {
 		return x.relayStream(resp)
 	}
-	return x.relayWhole(resp)
+	return x.relayBody(resp)
 }
 
-// rated tells what an own answer says of the endpoint's rate.
-func (x *exchange) rated(h http.Header) {
-	if x.attempt.Rated != nil && x.client.dialect.ReadRate != nil {
-		x.attempt.Rated(x.client.dialect.ReadRate(h))
+// reportRateLimit tells what an own answer says of the endpoint's rate.
+func (x *exchange) reportRateLimit(h http.Header) {
+	if x.attempt.Rated != nil && x.client.dialect.ReadRateLimit != nil {
+		x.attempt.Rated(x.client.dialect.ReadRateLimit(h))
 	}
 }
 
@@ -68,21 +68,21 @@
 	return err == nil && mediaType == eventStream
 }
 
-// relayWhole reads an answer to its end before any of it is passed on. An own
+// relayBody reads an answer to its end before any of it is passed on. An own
 // failure of the endpoint is held in the outcome: another endpoint may do better.
-func (x *exchange) relayWhole(resp *http.Response) *result.Refusal {
+func (x *exchange) relayBody(resp *http.Response) *result.Refusal {
 	if x.attempt.ResumeAfter != "" {
 		return result.Refuse(result.EndpointFailed, "the endpoint did not resume the stream")
 	}
 	body, _ := buffers.Get().(*bytes.Buffer)
-	defer putBuffer(body)
-	if _, err := body.ReadFrom(io.LimitReader(resp.Body, int64(x.client.maxAnswer)+1)); err != nil {
-		return x.lost(err)
+	defer releaseBuffer(body)
+	if _, err := body.ReadFrom(io.LimitReader(resp.Body, int64(x.client.maxResponseBytes)+1)); err != nil {
+		return x.readRefusal(err)
 	}
-	if body.Len() > x.client.maxAnswer {
-		return x.tooLarge()
+	if body.Len() > x.client.maxResponseBytes {
+		return x.tooLargeRefusal()
 	}
-	header := endToEnd(resp.Header)
+	header := endToEndHeader(resp.Header)
 	if x.attempt.Call.Method != http.MethodHead {
 		header.Set("Content-Length", strconv.Itoa(body.Len()))
 	}
@@ -94,19 +94,19 @@
 		}
 		return result.Refuse(result.EndpointFailed, "the endpoint answered status %d", resp.StatusCode)
 	}
-	if refusal := x.passHead(resp.StatusCode, header); refusal != nil {
+	if refusal := x.forwardHead(resp.StatusCode, header); refusal != nil {
 		return refusal
 	}
 	if body.Len() == 0 {
 		return nil
 	}
-	return x.passChunk(body.Bytes())
+	return x.forwardChunk(body.Bytes())
 }
 
-// endToEnd copies the headers that are not of one connection.
-func endToEnd(h http.Header) http.Header {
+// endToEndHeader copies the headers that are not of one connection.
+func endToEndHeader(h http.Header) http.Header {
 	out := h.Clone()
-	for _, name := range hopHeaders {
+	for _, name := range hopByHopHeaders {
 		out.Del(name)
 	}
 	return out
@@ -116,35 +116,35 @@
 // has is then always a number of whole events, after which another endpoint
 // can go on.
 func (x *exchange) relayStream(resp *http.Response) *result.Refusal {
-	reader, _ := eventRelays.Get().(*eventRelay)
+	reader, _ := rawEventReaders.Get().(*rawEventReader)
 	reader.reader.Reset(resp.Body)
 	defer reader.release()
 	var lastAt time.Time
 	for {
-		event, err := reader.next(x.client.maxAnswer)
+		event, err := reader.next(x.client.maxResponseBytes)
 		if errors.Is(err, io.EOF) {
-			return x.endRelay(resp)
+			return x.finishRelay(resp)
 		}
 		if err != nil {
-			return x.lost(err)
+			return x.readRefusal(err)
 		}
-		if x.hasEvent(event.id) {
+		if x.callerHasEvent(event.id) {
 			continue
 		}
-		if refusal := x.passHead(resp.StatusCode, endToEnd(resp.Header)); refusal != nil {
+		if refusal := x.forwardHead(resp.StatusCode, endToEndHeader(resp.Header)); refusal != nil {
 			return refusal
 		}
-		if refusal := x.passChunk(event.data); refusal != nil {
+		if refusal := x.forwardChunk(event.data); refusal != nil {
 			return refusal
 		}
 		x.outcome.Delivered++
 		x.outcome.LastEvent = event.id
-		lastAt = x.paced(lastAt)
+		lastAt = x.reportEventGap(lastAt)
 	}
 }
 
-// paced tells how long the stream took for one event, and gives the time of this one.
-func (x *exchange) paced(lastAt time.Time) time.Time {
+// reportEventGap tells how long the stream took for one event, and gives the time of this one.
+func (x *exchange) reportEventGap(lastAt time.Time) time.Time {
 	now := x.client.now()
 	if x.attempt.Paced != nil && !lastAt.IsZero() {
 		x.attempt.Paced(now.Sub(lastAt), x.attempt.Call.Routed.EventTokens)
@@ -152,16 +152,16 @@
 	return now
 }
 
-// endRelay ends a stream that ended between two events.
-func (x *exchange) endRelay(resp *http.Response) *result.Refusal {
+// finishRelay ends a stream that ended between two events.
+func (x *exchange) finishRelay(resp *http.Response) *result.Refusal {
 	x.outcome.Usage.PromptTokens = x.attempt.Call.PromptTokens
 	x.outcome.Usage.GeneratedTokens = x.outcome.Delivered * x.attempt.Call.Routed.EventTokens
-	return x.passHead(resp.StatusCode, endToEnd(resp.Header))
+	return x.forwardHead(resp.StatusCode, endToEndHeader(resp.Header))
 }
 
-// hasEvent reports whether the caller has an event already, which guards against
+// callerHasEvent reports whether the caller has an event already, which guards against
 // an endpoint that resumes too early.
-func (x *exchange) hasEvent(id string) bool {
+func (x *exchange) callerHasEvent(id string) bool {
 	resumeAfter := cmp.Or(x.attempt.ResumeAfter, x.attempt.Call.Routed.ResumeAfter)
 	have, err := strconv.ParseUint(resumeAfter, 10, 64)
 	if err != nil {
@@ -171,34 +171,34 @@
 	return err == nil && got <= have
 }
 
-// relayEvent is one whole event with its lines as they came.
-type relayEvent struct {
+// rawEvent is one whole event with its lines as they came.
+type rawEvent struct {
 	data []byte
 	id   string
 }
 
-// eventRelay cuts a body into events without changing a byte.
-type eventRelay struct {
+// rawEventReader cuts a body into events without changing a byte.
+type rawEventReader struct {
 	reader *bufio.Reader
 	data   []byte
 }
 
-var eventRelays = sync.Pool{
+var rawEventReaders = sync.Pool{
 	New: func() any {
-		return &eventRelay{reader: bufio.NewReaderSize(nil, readerBytes)}
+		return &rawEventReader{reader: bufio.NewReaderSize(nil, readBufferBytes)}
 	},
 }
 
-func (r *eventRelay) release() {
+func (r *rawEventReader) release() {
 	r.reader.Reset(nil)
-	if cap(r.data) <= keptBytes {
-		eventRelays.Put(r)
+	if cap(r.data) <= maxPooledBytes {
+		rawEventReaders.Put(r)
 	}
 }
 
 // next returns the next event, valid until the next call. The body's end is
 // io.EOF between two events and errPartialEvent within one.
-func (r *eventRelay) next(maxBytes int) (relayEvent, error) {
+func (r *rawEventReader) next(maxBytes int) (rawEvent, error) {
 	r.data = r.data[:0]
 	id := ""
 	start := 0
@@ -206,13 +206,13 @@
 		part, err := r.reader.ReadSlice('\n')
 		r.data = append(r.data, part...)
 		if len(r.data) > maxBytes {
-			return relayEvent{}, errEventTooLarge
+			return rawEvent{}, errEventTooLarge
 		}
 		if errors.Is(err, bufio.ErrBufferFull) {
 			continue
 		}
 		if err != nil {
-			return relayEvent{}, r.ended(err)
+			return rawEvent{}, r.readError(err)
 		}
 		line := bytes.TrimRight(r.data[start:], "\r\n")
 		start = len(r.data)
@@ -220,7 +220,7 @@
 			id = string(bytes.TrimSpace(value))
 		}
 		if len(line) == 0 {
-			return relayEvent{
+			return rawEvent{
 				data: r.data,
 				id:   id,
 			}, nil
@@ -228,7 +228,7 @@
 	}
 }
 
-func (r *eventRelay) ended(err error) error {
+func (r *rawEventReader) readError(err error) error {
 	if errors.Is(err, io.EOF) && len(r.data) > 0 {
 		return errPartialEvent
 	}
--- a/endpoint/relay_test.go
+++ b/endpoint/relay_test.go
@@ -38,21 +38,21 @@
 
 // testDialect has names of its own, so that none is built into the client.
 var testDialect = Dialect{
-	SetHeader: func(h http.Header, t Terms) {
+	SetRequestHeader: func(h http.Header, t RequestParams) {
 		h.Set("Instance", t.Instance)
 		if t.ResumeAfter != "" {
 			h.Set("Resume", t.ResumeAfter)
 		}
 	},
-	ReadHead: func(status int, h http.Header, _ time.Time) Head {
-		return Head{
-			ID:            h.Get("Attempt"),
-			NotRun:        h.Get("Not-Run") != "" || status == http.StatusMisdirectedRequest,
-			OtherInstance: status == http.StatusMisdirectedRequest,
-			Signed:        h.Get("Signed") != "",
+	ReadResponseHead: func(status int, h http.Header, _ time.Time) ResponseHead {
+		return ResponseHead{
+			ID:               h.Get("Attempt"),
+			NotRun:           h.Get("Not-Run") != "" || status == http.StatusMisdirectedRequest,
+			InstanceMismatch: status == http.StatusMisdirectedRequest,
+			Signed:           h.Get("Signed") != "",
 		}
 	},
-	ReadRate: func(h http.Header) fleet.Rate {
+	ReadRateLimit: func(h http.Header) fleet.Rate {
 		return fleet.Rate{
 			Named: h.Get("Rate") != "",
 		}
@@ -88,7 +88,7 @@
 			assert.Equal(t, body, c.Body)
 			assert.Equal(t, out.Delivered, c.Events)
 			assert.Equal(t, out.LastEvent, c.LastEvent)
-			assert.Equal(t, out.OtherInstance, c.OtherInstance)
+			assert.Equal(t, out.InstanceMismatch, c.OtherInstance)
 			for name, value := range c.Header {
 				assert.Equal(t, header.Get(name), value)
 			}
--- a/endpoint/request.go
+++ b/endpoint/request.go
@@ -28,8 +28,8 @@
 	contentTypeJSON = "application/json"
 )
 
-// ownHeaders are set by the client or the transport only.
-var ownHeaders = []string{
+// reservedHeaders are set by the client or the transport only.
+var reservedHeaders = []string{
 	headerRequestID,
 	headerPriority,
 	headerDeadline,
@@ -45,9 +45,9 @@
 	"Upgrade",
 }
 
-// replayHeaders make net/http believe that a request may be sent twice, if
+// idempotencyKeyHeaders make net/http believe that a request may be sent twice, if
 // they stand under these keys.
-var replayHeaders = map[string]string{
+var idempotencyKeyHeaders = map[string]string{
 	"Idempotency-Key":   "idempotency-key",
 	"X-Idempotency-Key": "x-idempotency-key",
 }
@@ -55,7 +55,7 @@
 // newRequest builds a request that the transport never sends twice.
 func (c *Client) newRequest(ctx context.Context, a Attempt) (*http.Request, *result.Refusal) {
 	if a.Call.Kind == call.KindRouted {
-		return c.newRouted(ctx, a)
+		return c.newRoutedRequest(ctx, a)
 	}
 	target, err := url.ParseRequestURI(a.Call.Path)
 	if err != nil {
@@ -73,9 +73,9 @@
 	return req, nil
 }
 
-// newRouted builds the request of a routed call: method, path, host and body
+// newRoutedRequest builds the request of a routed call: method, path, host and body
 // are the caller's to the byte.
-func (c *Client) newRouted(ctx context.Context, a Attempt) (*http.Request, *result.Refusal) {
+func (c *Client) newRoutedRequest(ctx context.Context, a Attempt) (*http.Request, *result.Refusal) {
 	req, err := http.NewRequestWithContext(ctx, a.Call.Method, "http://"+a.Endpoint.Addr, nil)
 	if err != nil {
 		return nil, result.Refuse(result.BadRequest, "the request is malformed").Because(err)
@@ -92,10 +92,10 @@
 	if h == nil {
 		h = make(http.Header)
 	}
-	for _, name := range ownHeaders {
+	for _, name := range reservedHeaders {
 		h.Del(name)
 	}
-	for name, plain := range replayHeaders {
+	for name, plain := range idempotencyKeyHeaders {
 		if values, ok := h[name]; ok {
 			delete(h, name)
 			h[plain] = values
@@ -121,20 +121,20 @@
 // to send it again. Where a method usually lacks a body, the transport probes
 // the empty one and sends none; elsewhere NoBody keeps "Content-Length: 0".
 func setBody(req *http.Request, body []byte) {
-	if len(body) == 0 && !usuallyLacksBody(req.Method) {
+	if len(body) == 0 && !usuallyHasNoBody(req.Method) {
 		req.Body = http.NoBody
 		return
 	}
 	req.ContentLength = int64(len(body))
-	req.Body = io.NopCloser(onlyReader{Reader: bytes.NewReader(body)})
+	req.Body = io.NopCloser(readerOnly{Reader: bytes.NewReader(body)})
 }
 
-// onlyReader hides the other methods of a reader.
-type onlyReader struct {
+// readerOnly hides the other methods of a reader.
+type readerOnly struct {
 	io.Reader
 }
 
-func usuallyLacksBody(method string) bool {
+func usuallyHasNoBody(method string) bool {
 	switch method {
 	case http.MethodGet, http.MethodHead, http.MethodDelete, http.MethodOptions, http.MethodTrace:
 		return true
--- a/endpoint/answer.go
+++ b/endpoint/response.go
@@ -12,8 +12,8 @@
 	"github.com/fuchsianotch/fuchsianotch/result"
 )
 
-// passedHeaders are the headers that go from the endpoint to the caller.
-var passedHeaders = []string{
+// forwardedHeaders are the headers that go from the endpoint to the caller.
+var forwardedHeaders = []string{
 	"Cache-Control",
 	"Content-Disposition",
 	"Content-Encoding",
@@ -26,24 +26,24 @@
 	headerRequestID,
 }
 
-// keptBytes is the largest buffer that goes back to a pool.
-const keptBytes = 256 << 10
+// maxPooledBytes is the largest buffer that goes back to a pool.
+const maxPooledBytes = 256 << 10
 
 var buffers = sync.Pool{
 	New: func() any { return new(bytes.Buffer) },
 }
 
-func putBuffer(b *bytes.Buffer) {
-	if b.Cap() > keptBytes {
+func releaseBuffer(b *bytes.Buffer) {
+	if b.Cap() > maxPooledBytes {
 		return
 	}
 	b.Reset()
 	buffers.Put(b)
 }
 
-func passed(header http.Header) http.Header {
-	h := make(http.Header, len(passedHeaders))
-	for _, name := range passedHeaders {
+func forwardedHeader(header http.Header) http.Header {
+	h := make(http.Header, len(forwardedHeaders))
+	for _, name := range forwardedHeaders {
 		if values := header[name]; len(values) > 0 {
 			h[name] = values
 		}
@@ -51,57 +51,57 @@
 	return h
 }
 
-// receiveWhole reads an answer to its end, checks it, and only then passes it on.
-func (x *exchange) receiveWhole(resp *http.Response) *result.Refusal {
+// receiveBody reads an answer to its end, checks it, and only then passes it on.
+func (x *exchange) receiveBody(resp *http.Response) *result.Refusal {
 	if x.attempt.ResumeFrom > 0 {
 		return result.Refuse(result.EndpointFailed, "the endpoint did not resume the stream")
 	}
 	body, _ := buffers.Get().(*bytes.Buffer)
-	defer putBuffer(body)
-	if refusal := x.readWhole(resp, body); refusal != nil {
+	defer releaseBuffer(body)
+	if refusal := x.readBody(resp, body); refusal != nil {
 		return refusal
 	}
 	data := body.Bytes()
 	if x.attempt.Call.Kind == call.KindChat && resp.StatusCode == http.StatusOK {
-		if refusal := x.checkCompletion(data); refusal != nil {
+		if refusal := x.validateCompletion(data); refusal != nil {
 			return refusal
 		}
-		data = x.renamed(data)
+		data = x.rewriteCompletionID(data)
 	}
-	header := passed(resp.Header)
+	header := forwardedHeader(resp.Header)
 	if x.attempt.Call.Method != http.MethodHead {
 		header.Set("Content-Length", strconv.Itoa(len(data)))
 	}
-	if refusal := x.passHead(resp.StatusCode, header); refusal != nil {
+	if refusal := x.forwardHead(resp.StatusCode, header); refusal != nil {
 		return refusal
 	}
 	if len(data) == 0 {
 		return nil
 	}
-	return x.passChunk(data)
+	return x.forwardChunk(data)
 }
 
-// readWhole fills body. An answer that shows no length could be cut unseen.
-func (x *exchange) readWhole(resp *http.Response, body *bytes.Buffer) *result.Refusal {
+// readBody fills body. An answer that shows no length could be cut unseen.
+func (x *exchange) readBody(resp *http.Response, body *bytes.Buffer) *result.Refusal {
 	hasLength := resp.ContentLength >= 0 || len(resp.TransferEncoding) > 0
 	if !hasLength {
 		return result.Refuse(result.EndpointCut, "the answer has neither a length nor an end")
 	}
-	if resp.ContentLength > int64(x.client.maxAnswer) && x.attempt.Call.Method != http.MethodHead {
-		return x.tooLarge()
+	if resp.ContentLength > int64(x.client.maxResponseBytes) && x.attempt.Call.Method != http.MethodHead {
+		return x.tooLargeRefusal()
 	}
-	_, err := body.ReadFrom(io.LimitReader(resp.Body, int64(x.client.maxAnswer)+1))
+	_, err := body.ReadFrom(io.LimitReader(resp.Body, int64(x.client.maxResponseBytes)+1))
 	if err != nil {
-		return x.lost(err)
+		return x.readRefusal(err)
 	}
-	if body.Len() > x.client.maxAnswer {
-		return x.tooLarge()
+	if body.Len() > x.client.maxResponseBytes {
+		return x.tooLargeRefusal()
 	}
 	return nil
 }
 
-func (x *exchange) tooLarge() *result.Refusal {
-	return result.Refuse(result.EndpointFailed, "the answer is over %d bytes", x.client.maxAnswer)
+func (x *exchange) tooLargeRefusal() *result.Refusal {
+	return result.Refuse(result.EndpointFailed, "the answer is over %d bytes", x.client.maxResponseBytes)
 }
 
 // completion is what is checked of a whole chat answer.
@@ -124,33 +124,33 @@
 	} `json:"prompt_tokens_details"`
 }
 
-func (x *exchange) checkCompletion(data []byte) *result.Refusal {
+func (x *exchange) validateCompletion(data []byte) *result.Refusal {
 	var c completion
 	if err := json.Unmarshal(data, &c); err != nil {
 		return result.Refuse(result.EndpointFailed, "the answer is malformed").Because(err)
 	}
-	if refusal := x.matchID(c.ID); refusal != nil {
+	if refusal := x.verifyCompletionID(c.ID); refusal != nil {
 		return refusal
 	}
 	if len(c.Choices) == 0 {
 		return result.Refuse(result.EndpointCut, "the answer has no choice")
 	}
 	for _, choice := range c.Choices {
-		if !present(choice.FinishReason) {
+		if !isSet(choice.FinishReason) {
 			return result.Refuse(result.EndpointCut, "the answer has no finish reason")
 		}
 	}
-	x.use(c.Usage)
+	x.recordUsage(c.Usage)
 	return nil
 }
 
-// matchID compares the id inside an answer, in its JSON form.
-func (x *exchange) matchID(raw json.RawMessage) *result.Refusal {
-	if !present(raw) {
+// verifyCompletionID compares the id inside an answer, in its JSON form.
+func (x *exchange) verifyCompletionID(raw json.RawMessage) *result.Refusal {
+	if !isSet(raw) {
 		return result.Refuse(result.EndpointFailed, "the answer has no id")
 	}
 	if x.completionID == "" {
-		x.completionID = completionID(x.attempt.ID)
+		x.completionID = quotedCompletionID(x.attempt.ID)
 	}
 	if string(raw) != x.completionID {
 		return result.Refuse(result.AnswerCrossed, "the answer has the id of another attempt")
@@ -158,21 +158,21 @@
 	return nil
 }
 
-func completionID(id string) string {
+func quotedCompletionID(id string) string {
 	return `"chatcmpl-` + id + `"`
 }
 
-// renamed returns the answer the id that the caller knows.
-func (x *exchange) renamed(data []byte) []byte {
+// rewriteCompletionID returns the answer the id that the caller knows.
+func (x *exchange) rewriteCompletionID(data []byte) []byte {
 	if x.attempt.AnswerID == "" || x.attempt.AnswerID == x.attempt.ID {
 		return data
 	}
-	own, known := completionID(x.attempt.ID), completionID(x.attempt.AnswerID)
+	own, known := quotedCompletionID(x.attempt.ID), quotedCompletionID(x.attempt.AnswerID)
 	return bytes.Replace(data, []byte(own), []byte(known), 1)
 }
 
-// present reports whether a JSON value is there and isn't null or an empty string.
-func present(raw json.RawMessage) bool {
+// isSet reports whether a JSON value is there and isn't null or an empty string.
+func isSet(raw json.RawMessage) bool {
 	switch string(raw) {
 	case "", "null", `""`:
 		return false
@@ -181,7 +181,7 @@
 	}
 }
 
-func (x *exchange) use(u *usage) {
+func (x *exchange) recordUsage(u *usage) {
 	if u == nil {
 		return
 	}
--- a/endpoint/storm_test.go
+++ b/endpoint/storm_test.go
@@ -34,26 +34,26 @@
 }
 
 const (
-	stormCalls   = 4000
-	stormAtOnce  = 1000
-	stormTokens  = 20
-	markerPrefix = "own-"
+	stormCalls       = 4000
+	stormConcurrency = 1000
+	stormTokens      = 20
+	markerPrefix     = "own-"
 )
 
-func faultOf(id string) int {
+func faultIndex(id string) int {
 	h := fnv.New32a()
 	_, _ = h.Write([]byte(id))
 	return int(h.Sum32()) % len(stormFaults)
 }
 
-// crossing answers each stream with the tokens of whichever request came last,
+// faultyServer answers each stream with the tokens of whichever request came last,
 // where the fault says so.
-type crossing struct {
+type faultyServer struct {
 	mu   sync.Mutex
 	last string
 }
 
-func (c *crossing) other(id string) string {
+func (c *faultyServer) other(id string) string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	other := c.last
@@ -64,10 +64,10 @@
 	return other
 }
 
-func (c *crossing) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (c *faultyServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	id := r.Header.Get(headerRequestID)
 	other := c.other(id)
-	name := stormFaults[faultOf(id)].name
+	name := stormFaults[faultIndex(id)].name
 	w.Header().Set(headerRequestID, id)
 	w.Header().Set("Content-Type", eventStream)
 	if name == "refused" {
@@ -104,11 +104,11 @@
 // cuts them. Each caller must get the whole of its own answer, or the whole
 // tokens up to the fault and the fault's code.
 func TestStorm(t *testing.T) {
-	server := httptest.NewServer(&crossing{})
+	server := httptest.NewServer(&faultyServer{})
 	defer server.Close()
 	client := New(Options{})
 	var group sync.WaitGroup
-	turns := make(chan struct{}, stormAtOnce)
+	turns := make(chan struct{}, stormConcurrency)
 	for n := range stormCalls {
 		turns <- struct{}{}
 		group.Go(func() {
@@ -139,7 +139,7 @@
 			return nil
 		},
 	})
-	expected := stormFaults[faultOf(id)]
+	expected := stormFaults[faultIndex(id)]
 	text := body.String()
 	assert.Check(t, o.Code == expected.code, "%s %s: %v: %v", id, expected.name, o.Err, errors.Unwrap(o.Err))
 	assert.Check(t, o.Delivered == expected.delivered, "%s %s: %d delivered", id, expected.name, o.Delivered)
--- a/endpoint/stream.go
+++ b/endpoint/stream.go
@@ -15,9 +15,9 @@
 
 const (
 	eventStream = "text/event-stream"
-	// drainWithin bounds the wait for a stream's end after its last event, so
+	// drainTimeout bounds the wait for a stream's end after its last event, so
 	// that the connection can be reused.
-	drainWithin = 20 * time.Millisecond
+	drainTimeout = 20 * time.Millisecond
 	// maxChoices is how many choices of one answer are followed.
 	maxChoices = 64
 )
@@ -62,43 +62,43 @@
 }
 
 func (d *chunkDelta) hasToken() bool {
-	return present(d.Content) || present(d.ReasoningContent) || present(d.ToolCalls)
+	return isSet(d.Content) || isSet(d.ReasoningContent) || isSet(d.ToolCalls)
 }
 
-// stream is a chat stream being passed on. Nothing is passed on before the
+// chatStream is a chat chatStream being passed on. Nothing is passed on before the
 // first token, and nothing of the end before [DONE]: what the caller has is
 // then always a number of whole tokens, from which another endpoint can go on.
-type stream struct {
-	decoder *decoder
+type chatStream struct {
+	decoder *jsonDecoder
 	chunk   chunk
-	// held are events that wait; heldTokens are the tokens in them.
-	held       bytes.Buffer
-	heldTokens int
+	// pending are events that wait; heldTokens are the tokens in them.
+	pending       bytes.Buffer
+	pendingTokens int
 	// seen and finished are sets of choices.
 	seen     uint64
 	finished uint64
 	started  bool
 }
 
-var streams = sync.Pool{
+var chatStreams = sync.Pool{
 	New: func() any {
-		return &stream{decoder: newDecoder()}
+		return &chatStream{decoder: newJSONDecoder()}
 	},
 }
 
-func (s *stream) release() {
-	if s.held.Cap() > keptBytes {
+func (s *chatStream) release() {
+	if s.pending.Cap() > maxPooledBytes {
 		return
 	}
-	s.held.Reset()
-	s.heldTokens = 0
+	s.pending.Reset()
+	s.pendingTokens = 0
 	s.seen = 0
 	s.finished = 0
 	s.started = false
-	streams.Put(s)
+	chatStreams.Put(s)
 }
 
-func (s *stream) whole() bool {
+func (s *chatStream) allFinished() bool {
 	return s.seen != 0 && s.seen == s.finished
 }
 
@@ -108,32 +108,32 @@
 	if err != nil || mediaType != eventStream {
 		return result.Refuse(result.EndpointFailed, "the answer is not an event stream")
 	}
-	if refusal := x.matchResume(resp.Header); refusal != nil {
+	if refusal := x.verifyResumePoint(resp.Header); refusal != nil {
 		return refusal
 	}
-	s, _ := streams.Get().(*stream)
+	s, _ := chatStreams.Get().(*chatStream)
 	defer s.release()
-	reader := newEvents(resp.Body, x.client.maxAnswer)
+	reader := newEventReader(resp.Body, x.client.maxResponseBytes)
 	defer reader.release()
 	for {
 		data, named, err := reader.next()
 		if err != nil {
-			return x.lost(err)
+			return x.readRefusal(err)
 		}
 		if named {
 			return result.Refuse(result.EndpointFailed, "the endpoint sent an event that is no chunk")
 		}
 		if bytes.Equal(data, doneData) {
-			return x.endStream(s, resp, reader)
+			return x.finishStream(s, resp, reader)
 		}
-		if refusal := x.takeChunk(s, resp, data); refusal != nil {
+		if refusal := x.handleChunk(s, resp, data); refusal != nil {
 			return refusal
 		}
 	}
 }
 
-// matchResume requires the endpoint to go on exactly where the caller is.
-func (x *exchange) matchResume(header http.Header) *result.Refusal {
+// verifyResumePoint requires the endpoint to go on exactly where the caller is.
+func (x *exchange) verifyResumePoint(header http.Header) *result.Refusal {
 	from := header.Get(headerResumedFrom)
 	if x.attempt.ResumeFrom == 0 && from == "" {
 		return nil
@@ -144,40 +144,40 @@
 	return nil
 }
 
-// takeChunk checks one chunk, and passes it on or holds it.
-func (x *exchange) takeChunk(s *stream, resp *http.Response, data []byte) *result.Refusal {
+// handleChunk checks one chunk, and passes it on or holds it.
+func (x *exchange) handleChunk(s *chatStream, resp *http.Response, data []byte) *result.Refusal {
 	s.chunk.reset()
 	if err := s.decoder.decode(data, &s.chunk); err != nil {
-		s.decoder = newDecoder()
+		s.decoder = newJSONDecoder()
 		return result.Refuse(result.EndpointFailed, "a chunk is malformed").Because(err)
 	}
-	if refusal := x.matchID(s.chunk.ID); refusal != nil {
+	if refusal := x.verifyCompletionID(s.chunk.ID); refusal != nil {
 		return refusal
 	}
-	if present(s.chunk.Error) {
+	if isSet(s.chunk.Error) {
 		return result.Refuse(result.EndpointFailed, "the endpoint broke the stream off with an error")
 	}
-	tokens, refusal := s.count()
+	tokens, refusal := s.countTokens()
 	if refusal != nil {
 		return refusal
 	}
-	x.severalChoices = s.seen&(s.seen-1) != 0
-	x.use(s.chunk.Usage)
+	x.multipleChoices = s.seen&(s.seen-1) != 0
+	x.recordUsage(s.chunk.Usage)
 	isOpening := !s.started && tokens == 0 && s.finished == 0
 	if isOpening && x.attempt.ResumeFrom > 0 {
 		// The caller has the opening from the attempt before.
 		return nil
 	}
-	s.hold(x.renamed(data), tokens)
-	if isOpening || s.whole() {
+	s.addPending(x.rewriteCompletionID(data), tokens)
+	if isOpening || s.allFinished() {
 		return nil
 	}
 	s.started = true
-	return x.release(s, resp)
+	return x.flushPending(s, resp)
 }
 
-// count returns the tokens in the chunk, at most one for each choice.
-func (s *stream) count() (tokens int, refusal *result.Refusal) {
+// countTokens returns the tokens in the chunk, at most one for each choice.
+func (s *chatStream) countTokens() (tokens int, refusal *result.Refusal) {
 	for i := range s.chunk.Choices {
 		choice := &s.chunk.Choices[i]
 		if choice.Index < 0 || choice.Index >= maxChoices {
@@ -191,43 +191,43 @@
 			}
 			tokens++
 		}
-		if present(choice.FinishReason) {
+		if isSet(choice.FinishReason) {
 			s.finished |= bit
 		}
 	}
 	return tokens, nil
 }
 
-func (s *stream) hold(data []byte, tokens int) {
-	s.held.WriteString("data: ")
-	s.held.Write(data)
-	s.held.WriteString("\n\n")
-	s.heldTokens += tokens
+func (s *chatStream) addPending(data []byte, tokens int) {
+	s.pending.WriteString("data: ")
+	s.pending.Write(data)
+	s.pending.WriteString("\n\n")
+	s.pendingTokens += tokens
 }
 
-// release passes all held events on in one piece.
-func (x *exchange) release(s *stream, resp *http.Response) *result.Refusal {
-	if !x.headed {
-		if refusal := x.passHead(resp.StatusCode, passed(resp.Header)); refusal != nil {
+// flushPending passes all held events on in one piece.
+func (x *exchange) flushPending(s *chatStream, resp *http.Response) *result.Refusal {
+	if !x.headForwarded {
+		if refusal := x.forwardHead(resp.StatusCode, forwardedHeader(resp.Header)); refusal != nil {
 			return refusal
 		}
 	}
-	if refusal := x.passChunk(s.held.Bytes()); refusal != nil {
+	if refusal := x.forwardChunk(s.pending.Bytes()); refusal != nil {
 		return refusal
 	}
-	x.outcome.Delivered += s.heldTokens
-	s.held.Reset()
-	s.heldTokens = 0
+	x.outcome.Delivered += s.pendingTokens
+	s.pending.Reset()
+	s.pendingTokens = 0
 	return nil
 }
 
-// endStream passes the end on, if the answer is whole.
-func (x *exchange) endStream(s *stream, resp *http.Response, reader *events) *result.Refusal {
-	if !s.whole() {
+// finishStream passes the end on, if the answer is whole.
+func (x *exchange) finishStream(s *chatStream, resp *http.Response, reader *eventReader) *result.Refusal {
+	if !s.allFinished() {
 		return result.Refuse(result.EndpointCut, "the stream ended without a finish reason")
 	}
-	s.hold(doneData, 0)
-	if refusal := x.release(s, resp); refusal != nil {
+	s.addPending(doneData, 0)
+	if refusal := x.flushPending(s, resp); refusal != nil {
 		return refusal
 	}
 	if x.outcome.Usage.GeneratedTokens == 0 {
@@ -239,8 +239,8 @@
 
 // drain reads to the end of the body, so that the connection can be reused. A
 // body that doesn't end soon loses its connection instead.
-func drain(body io.Closer, reader *events) {
-	stop := time.AfterFunc(drainWithin, func() { _ = body.Close() })
+func drain(body io.Closer, reader *eventReader) {
+	stop := time.AfterFunc(drainTimeout, func() { _ = body.Close() })
 	defer stop.Stop()
 	_, _ = reader.reader.ReadByte()
 }
