--- a/endpoint/benchmark_test.go
+++ b/endpoint/benchmark_test.go
@@ -11,7 +11,7 @@
 	"github.com/fuchsianotch/fuchsianotch/result"
 )
 
-// BenchmarkChunk measures reading, checking and passing on one chunk.
+// BenchmarkChunk measures the time to read, validate and forward one chunk.
 func BenchmarkChunk(b *testing.B) {
 	const chunks = 1000
 	token := `data: {"id":"chatcmpl-own","object":"chat.completion.chunk","created":1,"model":"m","choices":[{"index":0,"delta":{"content":"word "},"finish_reason":null}]}` + "\n\n"
--- a/endpoint/storm_test.go
+++ b/endpoint/concurrent_test.go
@@ -18,36 +18,36 @@
 	"github.com/fuchsianotch/fuchsianotch/result"
 )
 
-// stormFaults are dealt out by a hash of the attempt's id.
-var stormFaults = []struct {
+// serverFaults are the faults, chosen by a hash of the attempt's id.
+var serverFaults = []struct {
 	name      string
 	code      result.Code
 	delivered int
 }{
-	{name: "whole", code: result.Done, delivered: stormTokens},
-	{name: "whole again", code: result.Done, delivered: stormTokens},
+	{name: "whole", code: result.Done, delivered: tokensPerStream},
+	{name: "whole again", code: result.Done, delivered: tokensPerStream},
 	{name: "crossed head", code: result.AnswerCrossed},
-	{name: "crossed chunk", code: result.AnswerCrossed, delivered: stormTokens / 2},
-	{name: "cut", code: result.EndpointCut, delivered: stormTokens / 2},
-	{name: "no end", code: result.EndpointCut, delivered: stormTokens},
+	{name: "crossed chunk", code: result.AnswerCrossed, delivered: tokensPerStream / 2},
+	{name: "cut", code: result.EndpointCut, delivered: tokensPerStream / 2},
+	{name: "no end", code: result.EndpointCut, delivered: tokensPerStream},
 	{name: "refused", code: result.EndpointRefused},
 }
 
 const (
-	stormCalls       = 4000
-	stormConcurrency = 1000
-	stormTokens      = 20
-	markerPrefix     = "own-"
+	callCount          = 4000
+	maxConcurrentCalls = 1000
+	tokensPerStream    = 20
+	markerPrefix       = "own-"
 )
 
 func faultIndex(id string) int {
 	h := fnv.New32a()
 	_, _ = h.Write([]byte(id))
-	return int(h.Sum32()) % len(stormFaults)
+	return int(h.Sum32()) % len(serverFaults)
 }
 
-// faultyServer answers each stream with the tokens of whichever request came last,
-// where the fault says so.
+// faultyServer serves streams with the fault of each attempt. A crossed response has
+// the id of the latest request before it.
 type faultyServer struct {
 	mu   sync.Mutex
 	last string
@@ -67,7 +67,7 @@
 func (c *faultyServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	id := r.Header.Get(headerRequestID)
 	other := c.other(id)
-	name := stormFaults[faultIndex(id)].name
+	name := serverFaults[faultIndex(id)].name
 	w.Header().Set(headerRequestID, id)
 	w.Header().Set("Content-Type", eventStream)
 	if name == "refused" {
@@ -79,8 +79,8 @@
 		w.Header().Set(headerRequestID, other)
 		id = other
 	}
-	for i := range stormTokens {
-		if i == stormTokens/2 {
+	for i := range tokensPerStream {
+		if i == tokensPerStream/2 {
 			switch name {
 			case "cut":
 				_ = http.NewResponseController(w).Flush()
@@ -100,26 +100,26 @@
 	}
 }
 
-// TestStorm sends thousands of streams at once to an endpoint that crosses and
-// cuts them. Each caller must get the whole of its own answer, or the whole
-// tokens up to the fault and the fault's code.
-func TestStorm(t *testing.T) {
+// TestConcurrentFaults sends concurrent streams to an endpoint that mixes up and
+// truncates them. Each caller must receive its own tokens up to the fault, no others,
+// and the fault's code.
+func TestConcurrentFaults(t *testing.T) {
 	server := httptest.NewServer(&faultyServer{})
 	defer server.Close()
 	client := New(Options{})
 	var group sync.WaitGroup
-	turns := make(chan struct{}, stormConcurrency)
-	for n := range stormCalls {
-		turns <- struct{}{}
+	permits := make(chan struct{}, maxConcurrentCalls)
+	for n := range callCount {
+		permits <- struct{}{}
 		group.Go(func() {
-			defer func() { <-turns }()
-			stormCall(t, client, server.Listener.Addr().String(), fmt.Sprintf("call-%d.vm-1.%d", n, n%7))
+			defer func() { <-permits }()
+			checkConcurrentCall(t, client, server.Listener.Addr().String(), fmt.Sprintf("call-%d.vm-1.%d", n, n%7))
 		})
 	}
 	group.Wait()
 }
 
-func stormCall(t *testing.T, client *Client, addr, id string) {
+func checkConcurrentCall(t *testing.T, client *Client, addr, id string) {
 	var body strings.Builder
 	o := client.Send(context.Background(), Attempt{
 		ID:       id,
@@ -139,7 +139,7 @@
 			return nil
 		},
 	})
-	expected := stormFaults[faultIndex(id)]
+	expected := serverFaults[faultIndex(id)]
 	text := body.String()
 	assert.Check(t, o.Code == expected.code, "%s %s: %v: %v", id, expected.name, o.Err, errors.Unwrap(o.Err))
 	assert.Check(t, o.Delivered == expected.delivered, "%s %s: %d delivered", id, expected.name, o.Delivered)
--- a/endpoint/connection.go
+++ b/endpoint/connection.go
@@ -12,8 +12,8 @@
 	"github.com/fuchsianotch/fuchsianotch/common/tcp"
 )
 
-// Bounds of the client's connections. An endpoint keeps an idle connection for
-// longer than idleConnTimeout, so that one is seldom closed as it is reused.
+// Limits on the client's connections. idleConnTimeout must be shorter than the
+// endpoints' own idle timeout, or they close connections that are being reused.
 const (
 	dialTimeout         = 2 * time.Second
 	idleConnTimeout     = 15 * time.Second
@@ -21,9 +21,9 @@
 	maxHeaderBytes      = 64 << 10
 )
 
-// transports returns one transport that reuses connections and one that doesn't.
-// A non-idempotent call gets a connection of its own: the endpoint can't close
-// it as idle at the moment of sending, which would leave the outcome unknown.
+// transports returns one transport that reuses connections and one that does not.
+// Non-idempotent calls use the latter: an endpoint that closes an idle connection
+// while the request is being sent would leave the outcome unknown.
 func transports(client *http.Client) (pooled, single http.RoundTripper) {
 	base := &http.Transport{
 		MaxIdleConnsPerHost:    maxIdleConnsPerHost,
@@ -60,19 +60,19 @@
 	}
 }
 
-// trackedConn counts the bytes offered to the kernel, and asks before the first
+// trackedConn counts the bytes passed to Write and runs a hook before the first
 // byte of a request.
 type trackedConn struct {
 	net.Conn
 
 	offeredBytes atomic.Int64
-	// tainted is set once it brought a crossed answer.
+	// tainted is set once the connection delivered a response to another attempt.
 	tainted     atomic.Bool
 	closed      atomic.Bool
 	beforeWrite atomic.Pointer[func() error]
 }
 
-// Write counts before it writes, so that no byte goes out uncounted.
+// Write counts the bytes before writing, so that none is written uncounted.
 func (c *trackedConn) Write(p []byte) (int, error) {
 	if c.closed.Load() {
 		return 0, net.ErrClosed
@@ -86,15 +86,15 @@
 	return c.Conn.Write(p)
 }
 
-// Close lets no further byte be counted, and none go out.
+// Close rejects further writes before closing the connection.
 func (c *trackedConn) Close() error {
 	c.closed.Store(true)
 	return c.Conn.Close()
 }
 
-// connTracker follows one attempt over its connection.
+// connTracker follows the connections of one attempt.
 type connTracker struct {
-	// beforeSend is asked before the first byte goes out.
+	// beforeSend is called before the first byte is written.
 	beforeSend func() error
 
 	mu            sync.Mutex
@@ -138,15 +138,17 @@
 	return err
 }
 
+// updateSent sets sent if the current connection has written bytes. It requires t.mu.
 func (t *connTracker) updateSent() {
 	if t.conn != nil && t.conn.offeredBytes.Load() != t.offeredBefore {
 		t.sent = true
 	}
 }
 
-// taint keeps the connection from further use after the head of another
-// attempt's answer: what follows is one answer off as well. The transport closes
-// it with the body, but an answer without a body gave it back to the pool already.
+// taint prevents reuse of a connection after a response head with another
+// attempt's id, because the following responses may be shifted as well. The
+// transport closes the connection with an unread body, but has already returned it
+// to the pool if the response has no body.
 func (t *connTracker) taint() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -155,7 +157,7 @@
 	}
 }
 
-// brokeBeforeSend reports whether a reused connection broke before any byte went out.
+// brokeBeforeSend reports whether a reused connection broke before any byte was written.
 func (t *connTracker) brokeBeforeSend() bool {
 	sent, denied := t.abort()
 	t.mu.Lock()
@@ -163,8 +165,8 @@
 	return t.reused && !sent && denied == nil
 }
 
-// abort closes the connection and says whether any byte went out on it. No
-// byte can follow, so the answer is final. The error is the gate's, if any.
+// abort closes the connection and reports whether any byte was written. No write
+// can follow, so the result is final. beforeSendErr is the error of beforeSend, if any.
 func (t *connTracker) abort() (sent bool, denied error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/endpoint/decode.go
+++ b/endpoint/decode.go
@@ -6,10 +6,10 @@
 	"errors"
 )
 
-var errTrailingData = errors.New("something follows the chunk's JSON")
+var errTrailingData = errors.New("unexpected data after the chunk's JSON value")
 
-// jsonDecoder decodes one JSON value after the other with the same memory, which
-// json.Unmarshal would allocate for each. It can't be used after an error.
+// jsonDecoder decodes successive JSON values with reused memory, which
+// json.Unmarshal would allocate for each. It must not be used after an error.
 type jsonDecoder struct {
 	input      bytes.Reader
 	decoder    *json.Decoder
@@ -22,7 +22,7 @@
 	return d
 }
 
-// decode reads data, which must be one whole value, into v.
+// decode parses data, which must hold exactly one value, into v.
 func (d *jsonDecoder) decode(data []byte, v any) error {
 	data = bytes.TrimRight(data, " \t")
 	d.input.Reset(data)
--- a/endpoint/dialect.go
+++ b/endpoint/dialect.go
@@ -8,59 +8,59 @@
 	"github.com/fuchsianotch/fuchsianotch/fleet"
 )
 
-// Dialect is how the endpoints of routed calls spell what goes with a request
-// and an answer. It holds names and formats only.
+// Dialect is the header names and formats of the protocol of routed endpoints.
 type Dialect struct {
-	// SetRequestHeader sets the headers of an attempt that are not the caller's.
+	// SetRequestHeader sets the headers that do not come from the caller.
 	SetRequestHeader func(h http.Header, t RequestParams)
-	// ReadResponseHead reads what an answer's head says besides its status.
+	// ReadResponseHead parses the response head apart from its status.
 	ReadResponseHead func(status int, h http.Header, now time.Time) ResponseHead
-	// ReadRateLimit reads from the head of any answer at which rate the endpoint takes requests.
+	// ReadRateLimit parses the rate limit in the head of any response.
 	ReadRateLimit func(h http.Header) fleet.Rate
-	// ReadColdFor reads from an answer to a health check how long the endpoint is
-	// cold yet; zero for a warm one.
+	// ReadColdFor parses the remaining cold-start time from a health check response;
+	// zero for a warm endpoint.
 	ReadColdFor func(h http.Header) time.Duration
-	// ReportPath is where an endpoint tells its load, DecodeReport reads the answer.
+	// ReportPath is the path of load reports; DecodeReport decodes their body.
 	ReportPath   string
 	DecodeReport func(data []byte, now time.Time) (Load, error)
 }
 
-// RequestParams are what an attempt tells the endpoint.
+// RequestParams are the values that an attempt sends to the endpoint.
 type RequestParams struct {
-	// Instance is the endpoint's id: another one at its address refuses.
+	// Instance is the endpoint's id; any other endpoint at its address refuses.
 	Instance string
-	// Deadline is when the endpoint may stop working.
+	// Deadline is when the endpoint may stop working on the request.
 	Deadline time.Time
 	Now      time.Time
-	// Workspace holds the key of the caller; empty means that none was needed.
+	// Workspace is the owner of the caller's API key; empty if none was required.
 	Workspace string
 	// Priority orders requests in the endpoint's queue, 0 first.
 	Priority int
-	// ResumeAfter is the id of the last event that the caller has.
+	// ResumeAfter is the id of the last event that the caller received.
 	ResumeAfter string
-	// FetchFrom is the address of an engine that holds more of the prompt.
+	// FetchFrom is the address of an engine that has cached more of the prompt.
 	FetchFrom string
-	// ID is the attempt's.
+	// ID is the attempt's id.
 	ID string
 }
 
-// ResponseHead is what an answer's head says.
+// ResponseHead is the parsed head of a response.
 type ResponseHead struct {
-	// ID is the attempt's id, empty where the answer names none.
+	// ID is the attempt's id; empty if the response has none.
 	ID string
-	// NotRun is the endpoint's word that it did not run the request, and
-	// OtherInstance that the address belongs to another endpoint now.
-	NotRun           bool
+	// NotRun reports whether the endpoint states that it did not run the request.
+	NotRun bool
+	// InstanceMismatch reports whether the address now belongs to another endpoint.
 	InstanceMismatch bool
-	// Signed says that the answer has the endpoint's signature.
+	// Signed reports whether the response carries the endpoint's signature.
 	Signed bool
-	// ClosesConnection says that the endpoint gets no more requests on this connection.
+	// ClosesConnection reports whether the endpoint accepts no more requests on this
+	// connection.
 	ClosesConnection bool
-	// RetryAt is when a refusing endpoint asks to be tried again.
+	// RetryAt is when a refusing endpoint asks to be retried.
 	RetryAt time.Time
 }
 
-// routedHeader returns the headers of a routed attempt.
+// routedHeader builds the request headers of a routed attempt.
 func (c *Client) routedHeader(a Attempt) http.Header {
 	h := a.Call.Header.Clone()
 	if h == nil {
@@ -81,7 +81,7 @@
 		ID:          a.ID,
 	})
 	if _, ok := h["User-Agent"]; !ok {
-		// An empty value keeps net/http from adding its own.
+		// A nil value keeps net/http from adding its default.
 		h["User-Agent"] = nil
 	}
 	for name, plain := range idempotencyKeyHeaders {
@@ -93,6 +93,7 @@
 	return h
 }
 
+// effectiveDeadline returns the earlier of the call's and the caller's deadline.
 func effectiveDeadline(c *call.Call) time.Time {
 	by := c.WholeBy
 	if !c.Routed.CallerBy.IsZero() && c.Routed.CallerBy.Before(by) {
--- a/endpoint/endpoint.go
+++ b/endpoint/endpoint.go
@@ -1,7 +1,7 @@
-// Package endpoint is the client of model engines and plain services. It
-// passes an answer on only after matching it to its own attempt, and reports
-// a cut, crossed or malformed answer as a code instead. It never sends an
-// attempt twice.
+// Package endpoint is the HTTP client for model engines and plain services. It
+// matches every response to its own attempt before forwarding it, and reports a
+// truncated, mismatched or malformed response as a result code. It sends an
+// attempt at most once.
 package endpoint
 
 import (
@@ -15,27 +15,26 @@
 	"github.com/fuchsianotch/fuchsianotch/result"
 )
 
-// DefaultMaxResponseBytes bounds one answer, in bytes, when Options names no bound.
+// DefaultMaxResponseBytes limits a response when Options sets no limit.
 const DefaultMaxResponseBytes = 16 << 20
 
-// Options configure a Client. The zero value is usable.
+// Options configures a Client. The zero value is usable.
 type Options struct {
-	// Client lends its Transport; its redirects, cookies and timeout are not
-	// used. An *http.Transport is cloned. With any other RoundTripper it can't
-	// be seen whether bytes went out, so that Outcome.Sent is true once called.
+	// Client supplies the Transport; its redirect policy, cookie jar and timeout
+	// are ignored. An *http.Transport is cloned. Any other RoundTripper hides
+	// whether bytes were written, so Outcome.Sent is true once it was called.
 	Client *http.Client
 	// Now is the clock; nil means time.Now.
 	Now func() time.Time
-	// MaxResponseBytes bounds one answer, in bytes; zero means DefaultMaxAnswer.
+	// MaxResponseBytes limits one response; zero means DefaultMaxResponseBytes.
 	MaxResponseBytes int
-	// Dialect is that of the endpoints of routed calls; it may be left out where
-	// there are none.
+	// Dialect is the protocol of routed calls; optional where there are none.
 	Dialect Dialect
 }
 
 // Client sends calls to endpoints. It is safe for concurrent use.
 type Client struct {
-	// pooled reuses connections; single opens one for each call.
+	// pooled reuses connections; unpooled opens one per call.
 	pooled           http.RoundTripper
 	unpooled         http.RoundTripper
 	now              func() time.Time
@@ -43,7 +42,7 @@
 	dialect          Dialect
 }
 
-// New makes a client.
+// New creates a Client.
 func New(o Options) *Client {
 	c := &Client{
 		now:              o.Now,
@@ -60,84 +59,85 @@
 	return c
 }
 
-// Attempt is one sending of a call to one endpoint.
+// Attempt is one request to one endpoint.
 type Attempt struct {
-	// ID is unique per attempt: letters, digits, '-', '_' and '.'. The endpoint must echo it.
+	// ID is unique per attempt and consists of letters, digits, '-', '_' and '.'.
+	// The endpoint must echo it.
 	ID string
-	// AnswerID is the id that the caller reads in a chat answer, so that a
+	// AnswerID replaces ID in the chat response sent to the caller, so that a
 	// resumed stream keeps its id; empty means ID.
 	AnswerID string
 	Endpoint fleet.Endpoint
 	Call     *call.Call
 	// ResumeFrom is the number of generated tokens that earlier attempts
-	// passed on. Above zero, Sink.Head isn't called again.
+	// forwarded. If it is positive, Sink.Head is not called again.
 	ResumeFrom int
-	// ResumeAfter is the same for a routed stream: the id of the last event that
-	// earlier attempts passed on.
+	// ResumeAfter is the routed-stream equivalent of ResumeFrom: the id of the
+	// last event that earlier attempts forwarded.
 	ResumeAfter string
-	// FetchFrom is the address of an engine that holds more of the prompt.
+	// FetchFrom is the address of an engine that has cached more of the prompt.
 	FetchFrom string
-	// Began, if set, is told when the first part of the answer came.
+	// Began, if set, is called when the first part of the response arrives.
 	Began func()
-	// Paced, if set, is told of the time between two pieces of a routed stream,
-	// with the tokens of the later one.
+	// Paced, if set, receives the time between two events of a routed stream and
+	// the number of tokens in the later one.
 	Paced func(gap time.Duration, tokens int)
-	// Rated, if set, is told what the head of an own answer says of the rate at which
-	// the endpoint takes requests.
+	// Rated, if set, receives the rate limit from the head of a verified response.
 	Rated func(fleet.Rate)
-	// Sending, if set, is called once right before the first byte goes out.
-	// Its error stops the attempt with nothing sent.
+	// Sending, if set, is called once, right before the first byte is written.
+	// An error stops the attempt with nothing sent.
 	Sending func() error
 }
 
-// Sink takes an answer for the caller. An error of a function ends the attempt.
+// Sink receives a response for the caller. An error from a function ends the attempt.
 type Sink struct {
 	// Head is called once, before the first Chunk.
 	Head func(status int, header http.Header) error
-	// Chunk takes whole events of a stream, or a whole body. The data is valid
-	// during the call only.
+	// Chunk receives whole stream events or a whole body. The data is valid only
+	// during the call.
 	Chunk func(data []byte) error
 }
 
-// Outcome is what became of an attempt.
+// Outcome is the result of an attempt.
 type Outcome struct {
-	// Code is Done only for a whole answer that was passed on.
+	// Code is Done only if a complete response was forwarded.
 	Code result.Code
-	// Usage is as the endpoint reports it, less the tokens before ResumeFrom.
-	// For a broken stream it is the call's estimate and the tokens passed on.
+	// Usage is as reported by the endpoint, minus the tokens before ResumeFrom.
+	// For a broken stream it is the call's prompt estimate and the tokens forwarded.
 	Usage call.Usage
-	// Delivered counts the generated tokens that this attempt passed on. The
-	// next attempt resumes from ResumeFrom + Delivered.
+	// Delivered counts the generated tokens that this attempt forwarded. The next
+	// attempt resumes from ResumeFrom + Delivered.
 	Delivered int
-	// Sent is false only when no byte of the request went out.
+	// Sent is false only if no byte of the request was written.
 	Sent bool
-	// FirstAt is when the first part of the answer was passed on.
+	// FirstAt is when the first part of the response was forwarded.
 	FirstAt time.Time
-	// Load is what the answer said of the endpoint's load; nil means nothing.
+	// Load is the endpoint's load according to the response headers; nil if absent.
 	Load *Load
-	// ComeBackAt is when a refusing endpoint asks to be tried again; it may be zero.
+	// ComeBackAt is the retry time requested by a refusing endpoint; zero if none.
 	ComeBackAt time.Time
-	// Err is the reason for any code but Done.
+	// Err is the reason for any code other than Done.
 	Err error
-	// Resumable says that the call may go on at another endpoint and the
-	// caller will see one whole answer.
+	// Resumable reports whether another endpoint can continue the call so that the
+	// caller still receives one complete response.
 	Resumable bool
-	// CallerGone says that the caller's side ended the attempt, so that the
-	// endpoint is not to blame.
+	// CallerGone reports whether the caller's side ended the attempt, so that the
+	// endpoint is not at fault.
 	CallerGone bool
-	// LastEvent is the id of the last event that this attempt passed on.
+	// LastEvent is the id of the last event that this attempt forwarded.
 	LastEvent string
-	// Held is an own failure of the endpoint, to be passed on if no other
-	// attempt follows.
+	// Held is a server error from the endpoint, forwarded if no further attempt
+	// is made.
 	Held *call.Answer
-	// InstanceMismatch says that the address belongs to another endpoint now, and
-	// Leaving that the endpoint closes the connection after this answer.
+	// InstanceMismatch reports whether the address now belongs to another endpoint.
 	InstanceMismatch bool
+	// ClosesConnection reports whether the endpoint closes the connection after
+	// this response.
 	ClosesConnection bool
 }
 
-// Send makes one attempt and passes the answer on. It returns when the answer
-// is whole, or broken, or when the call's deadline is over.
+// Send makes one attempt and forwards the response. It returns when the
+// response is complete or broken, or when the call's deadline expires.
 func (c *Client) Send(ctx context.Context, a Attempt, sink Sink) Outcome {
 	cancel := func() {}
 	if !a.Call.WholeBy.IsZero() {
--- a/endpoint/endpoint_test.go
+++ b/endpoint/endpoint_test.go
@@ -21,7 +21,7 @@
 	"github.com/fuchsianotch/fuchsianotch/result"
 )
 
-// outcomeCase is one fault and what must come of it; testdata/outcomes.json holds them.
+// outcomeCase is one fault and the expected outcome, from testdata/outcomes.json.
 type outcomeCase struct {
 	Name       string            `json:"name"`
 	Call       string            `json:"call"`
@@ -33,7 +33,7 @@
 	Denied     bool              `json:"denied"`
 	SinkFails  bool              `json:"sink_fails"`
 	NoDial     bool              `json:"no_dial"`
-	// Warm is the id in the answer to a call before; empty means no call before.
+	// Warm is the id in the response to a preceding call; empty means no such call.
 	Warm   string      `json:"warm"`
 	Answer []string    `json:"answer"`
 	Want   wantOutcome `json:"want"`
@@ -48,9 +48,9 @@
 	CallerGone bool   `json:"caller_gone"`
 	Status     int    `json:"status"`
 	Passed     string `json:"passed"`
-	// Header names the headers passed, if set.
+	// Header lists the names of the forwarded headers; not checked if empty.
 	Header string `json:"header"`
-	// Requests is how many requests reached the endpoint; nil means one.
+	// Requests is the number of requests that reached the endpoint; nil means one.
 	Requests    *int `json:"requests"`
 	Connections int  `json:"connections"`
 }
@@ -74,7 +74,7 @@
 	}
 }
 
-// received is what the sink got.
+// received records what the sink was given.
 type received struct {
 	status int
 	header http.Header
@@ -82,15 +82,15 @@
 }
 
 func (r outcomeCase) test(t *testing.T) {
-	ctx, leave := context.WithCancel(t.Context())
-	defer leave()
+	ctx, cancel := context.WithCancel(t.Context())
+	defer cancel()
 	f := &scriptedEndpoint{
-		t:         t,
-		script:    r.Answer,
-		warm:      r.Warm,
-		noDial:    r.NoDial,
-		pausedFor: r.PausedFor.Duration,
-		leave:     leave,
+		t:          t,
+		script:     r.Answer,
+		warm:       r.Warm,
+		noDial:     r.NoDial,
+		pausedFor:  r.PausedFor.Duration,
+		cancelCall: cancel,
 	}
 	transport := &http.Transport{DialContext: f.dial}
 	client := New(Options{
@@ -127,7 +127,7 @@
 		ResumeFrom: r.ResumeFrom,
 	}
 	if r.Denied {
-		a.Sending = func() error { return result.Refuse(result.TicketExpired, "the rights were given up") }
+		a.Sending = func() error { return result.Refuse(result.TicketExpired, "the ticket was released") }
 	}
 	return a
 }
--- a/endpoint/event_reader.go
+++ b/endpoint/event_reader.go
@@ -8,7 +8,7 @@
 	"sync"
 )
 
-// Bounds of an event stream's reader.
+// Limits of an event stream's reader.
 const (
 	readBufferBytes = 4 << 10
 	maxLineBytes    = 1 << 20
@@ -16,21 +16,21 @@
 
 // Errors of a malformed event stream.
 var (
-	errLineTooLong       = errors.New("a line of the event stream is too long")
-	errUnknownField      = errors.New("a line of the event stream has an unknown field")
-	errMultipleDataLines = errors.New("an event has several data lines")
-	errCarriageReturn    = errors.New("a data line holds a carriage return")
-	errEventTooLarge     = errors.New("the event stream is too large")
+	errLineTooLong       = errors.New("event stream line is too long")
+	errUnknownField      = errors.New("event stream line has an unknown field")
+	errMultipleDataLines = errors.New("event has multiple data lines")
+	errCarriageReturn    = errors.New("event stream line contains a carriage return")
+	errEventTooLarge     = errors.New("event stream is too large")
 )
 
-// eventReader reads server-sent eventReader. It is stricter than the standard, because
-// callers' readers must see the same eventReader: one data line for each event, no
-// unknown field, and no line end inside a line. Comments are dropped.
+// eventReader parses server-sent events. It is stricter than the standard, so that
+// the caller's parser cannot see different events: one data line per event, no
+// unknown fields and no carriage return within a line. Comments are dropped.
 type eventReader struct {
 	reader *bufio.Reader
 	line   []byte
 	data   []byte
-	// remaining is how many bytes may still be read.
+	// remaining is the number of bytes that may still be read.
 	remaining int
 }
 
@@ -55,8 +55,9 @@
 	eventReaders.Put(e)
 }
 
-// next returns the data of the next event and its name, valid until the next
-// call. An unfinished event at the end is io.ErrUnexpectedEOF.
+// next returns the data of the next event and whether it has a name. The data is
+// valid until the following call. A stream that ends within an event fails with
+// io.ErrUnexpectedEOF.
 func (e *eventReader) next() (data []byte, named bool, err error) {
 	e.data = e.data[:0]
 	hasData := false
@@ -93,7 +94,8 @@
 	}
 }
 
-// readLine returns one line without its end. A line without an end is cut.
+// readLine returns one line without its line ending. A final line without one
+// fails with io.ErrUnexpectedEOF.
 func (e *eventReader) readLine() ([]byte, error) {
 	e.line = e.line[:0]
 	for {
--- a/endpoint/event_reader_test.go
+++ b/endpoint/event_reader_test.go
@@ -11,8 +11,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// FuzzEvents checks that every event is one clean line, that events read the
-// same when written anew and however the bytes arrive, and that bounds hold.
+// FuzzEvents checks that every event is a single line, that events survive being
+// rewritten and arriving one byte at a time, and that the size limit holds.
 func FuzzEvents(f *testing.F) {
 	for _, seed := range []string{
 		"data: {}\n\n",
--- a/endpoint/exchange.go
+++ b/endpoint/exchange.go
@@ -14,10 +14,10 @@
 	"github.com/fuchsianotch/fuchsianotch/result"
 )
 
-// maxStaleRetries is how many connections that broke while idle are given up for one attempt.
-const maxStaleRetries = 8
+// maxConnTries limits the connections tried when pooled ones turn out closed.
+const maxConnTries = 8
 
-// exchange is one attempt under way.
+// exchange is the state of one attempt.
 type exchange struct {
 	client  *Client
 	ctx     context.Context
@@ -25,16 +25,17 @@
 	sink    Sink
 	conn    connTracker
 	outcome Outcome
-	// completionID is the id of an own chat answer, in its JSON form.
+	// completionID is the expected chat response id as a quoted JSON string.
 	completionID string
-	// headForwarded says that Sink.Head was called; sinkFailed that the sink gave an error.
+	// headForwarded is set by the first call of forwardHead; sinkFailed once the
+	// sink returned an error.
 	headForwarded bool
 	sinkFailed    bool
-	// multipleChoices rules resuming out: tokens are counted over one choice only.
+	// multipleChoices rules out resuming, which counts the tokens of a single choice.
 	multipleChoices bool
 }
 
-// run sends the request and receives the answer; nil means done.
+// run sends the request and processes the response; nil means success.
 func (x *exchange) run() *result.Refusal {
 	if err := x.checkDeadline(); err != nil {
 		return notSentRefusal(err)
@@ -48,8 +49,8 @@
 	return x.handleResponse(resp)
 }
 
-// roundTrip sends the request once. A reused connection that broke before any
-// byte went out is replaced by another one; nothing was sent on it.
+// roundTrip sends the request once. If a reused connection breaks before any byte
+// is written, it tries another connection.
 func (x *exchange) roundTrip() (*http.Response, *result.Refusal) {
 	transport := x.transport()
 	for tries := 1; ; tries++ {
@@ -61,15 +62,17 @@
 		if err == nil {
 			return resp, nil
 		}
-		if x.conn.brokeBeforeSend() && tries < maxStaleRetries && x.ctx.Err() == nil {
+		if x.conn.brokeBeforeSend() && tries < maxConnTries && x.ctx.Err() == nil {
 			continue
 		}
 		return nil, x.transportRefusal(transport, err)
 	}
 }
 
+// transport returns the pooled transport for idempotent and routed calls and the
+// unpooled one for all others.
 func (x *exchange) transport() http.RoundTripper {
-	// The gate runs as the first byte goes out, where the transport shows it.
+	// Only *http.Transport exposes its connections and so runs beforeSend.
 	x.conn.beforeSend = x.beforeSend
 	if x.attempt.Call.Idempotent || x.attempt.Call.Kind == call.KindRouted {
 		return x.client.pooled
@@ -77,7 +80,7 @@
 	return x.client.unpooled
 }
 
-// checkDeadline reports whether there is still time to send.
+// checkDeadline returns an error if the call is cancelled or past its deadline.
 func (x *exchange) checkDeadline() error {
 	if err := x.ctx.Err(); err != nil {
 		return err
@@ -99,7 +102,7 @@
 	return x.attempt.Sending()
 }
 
-// transportRefusal judges an attempt that got no answer at all.
+// transportRefusal classifies an attempt that received no response.
 func (x *exchange) transportRefusal(transport http.RoundTripper, err error) *result.Refusal {
 	sent, denied := x.conn.abort()
 	if _, ok := transport.(*http.Transport); !ok {
@@ -126,7 +129,7 @@
 	return result.Refuse(result.DeadlinePassed, "nothing was sent").Because(err)
 }
 
-// readRefusal judges an error after the request went out.
+// readRefusal classifies an error after the request was sent.
 func (x *exchange) readRefusal(err error) *result.Refusal {
 	if x.ctx.Err() != nil {
 		return result.Refuse(result.EndpointTimeout, "the answer did not end in time").Because(x.ctx.Err())
@@ -142,7 +145,7 @@
 	return result.Refuse(result.EndpointFailed, "the answer is malformed").Because(err)
 }
 
-// handleResponse judges the head of an answer, and takes the rest.
+// handleResponse verifies the head of a response and forwards the rest.
 func (x *exchange) handleResponse(resp *http.Response) *result.Refusal {
 	if x.attempt.Call.Kind == call.KindRouted {
 		return x.handleRoutedResponse(resp)
@@ -172,8 +175,8 @@
 	return x.receiveBody(resp)
 }
 
-// verifyRequestID refuses an answer that isn't marked as this attempt's own. This
-// comes before the status, because a refusal may be crossed as well.
+// verifyRequestID rejects a response without this attempt's id. It runs before the
+// status is read, because a refusal can belong to another attempt as well.
 func (x *exchange) verifyRequestID(header http.Header) *result.Refusal {
 	ids := header.Values(headerRequestID)
 	if len(ids) == 0 {
@@ -188,7 +191,7 @@
 	return nil
 }
 
-// parseRetryAfter reads the header's seconds; zero means none.
+// parseRetryAfter converts a Retry-After header in seconds to a time; zero if absent.
 func parseRetryAfter(header http.Header, now time.Time) time.Time {
 	seconds, err := strconv.Atoi(header.Get("Retry-After"))
 	if err != nil || seconds < 0 {
@@ -197,7 +200,7 @@
 	return now.Add(time.Duration(seconds) * time.Second)
 }
 
-// forwardHead passes the head to the sink once, and never on a resumed attempt.
+// forwardHead sends the head to the sink once, except on a resumed attempt.
 func (x *exchange) forwardHead(status int, header http.Header) *result.Refusal {
 	if x.headForwarded {
 		return nil
@@ -225,7 +228,7 @@
 	return result.Refuse(result.EndpointTimeout, "the caller went away").Because(err)
 }
 
-// finish completes the outcome.
+// finish fills in the outcome.
 func (x *exchange) finish(refusal *result.Refusal) Outcome {
 	o := &x.outcome
 	if refusal == nil {
@@ -245,8 +248,8 @@
 	return *o
 }
 
-// resumable reports whether another endpoint may go on. What was passed on so far
-// is a number of whole tokens, or nothing.
+// resumable reports whether another endpoint can continue the call. Everything
+// forwarded so far ends on a token boundary.
 func (x *exchange) resumable(code result.Code) bool {
 	if x.sinkFailed || x.ctx.Err() != nil {
 		return false
--- a/endpoint/fake_test.go
+++ b/endpoint/fake_test.go
@@ -20,16 +20,16 @@
 
 var errNoDial = errors.New("connection refused")
 
-// scriptedEndpoint is an endpoint that plays a script of raw bytes over net.Pipe. A warm
-// scriptedEndpoint answers the first request of all with an empty 200 of the given id.
+// scriptedEndpoint is an endpoint that writes a script of raw bytes to a net.Pipe. If
+// warm is set, its first response is an empty 200 with that id.
 type scriptedEndpoint struct {
 	t      *testing.T
 	script []string
 	warm   string
 	noDial bool
-	// pausedFor is how far the client's clock has moved on once it has a connection.
-	pausedFor time.Duration
-	leave     context.CancelFunc
+	// pausedFor is how far the client's clock advances once it has a connection.
+	pausedFor  time.Duration
+	cancelCall context.CancelFunc
 
 	group       sync.WaitGroup
 	paused      time.Duration
@@ -112,9 +112,9 @@
 		assert.Check(f.t, err)
 		time.Sleep(d)
 	case "leave":
-		// The client has taken all so far: writes over a pipe are synchronous.
+		// The client has read everything so far: pipe writes are synchronous.
 		time.Sleep(time.Second)
-		f.leave()
+		f.cancelCall()
 	case "hang":
 		_, _ = io.Copy(io.Discard, conn)
 	default:
@@ -123,13 +123,13 @@
 	_, _ = io.WriteString(conn, out)
 }
 
-// responseHead returns a responseHead from "STATUS Name: value|Name: value".
+// responseHead builds a response head from "STATUS Name: value|Name: value".
 func responseHead(text string) string {
 	status, header, _ := strings.Cut(text, " ")
 	return "HTTP/1.1 " + status + " X\r\n" + strings.ReplaceAll(header, "|", "\r\n") + "\r\n\r\n"
 }
 
-// summarizeEvents names the events of a passed stream, and checks their ids.
+// summarizeEvents lists the events of a forwarded stream and checks their ids.
 func summarizeEvents(t *testing.T, passed, id string) string {
 	if !strings.HasPrefix(passed, "data: ") {
 		return passed
--- a/endpoint/load.go
+++ b/endpoint/load.go
@@ -18,29 +18,30 @@
 	maxReportBytes = 64 << 10
 )
 
-// Load is what an endpoint says of itself. It lags behind the truth.
+// Load is an endpoint's self-reported load, which may be out of date.
 type Load struct {
-	// At is when it was true, by the endpoint's clock; on an answer, when it arrived.
+	// At is the endpoint's time of a report, or the arrival time of a response.
 	At time.Time `json:"at"`
-	// Slots is how many requests run at once; Running and Waiting are requests now.
+	// Slots is the maximum number of concurrent requests; Running and Waiting are
+	// current counts.
 	Slots   int `json:"slots"`
 	Running int `json:"running"`
 	Waiting int `json:"waiting"`
-	// QueuedTokens are prompt tokens that wait for prefill. An answer doesn't tell them.
+	// QueuedTokens counts prompt tokens waiting for prefill; not part of responses.
 	QueuedTokens    int     `json:"queued_tokens"`
 	TokensPerSecond float64 `json:"tokens_per_second"`
-	// Leaving endpoints must get no new work.
+	// Leaving is set while the endpoint is draining and accepts no new requests.
 	Leaving bool `json:"leaving"`
-	// CacheUsed is the memory of running requests and CacheTokens all of it, in
-	// tokens; zero where the endpoint does not say.
+	// CacheUsed is the cache memory of running requests and CacheTokens the total,
+	// both in tokens; zero if not reported.
 	CacheUsed   int `json:"-"`
 	CacheTokens int `json:"-"`
-	// Incarnation is that of the endpoint, as in fleet.Endpoint.
+	// Incarnation corresponds to fleet.Endpoint.Incarnation.
 	Incarnation int64 `json:"-"`
 }
 
-// Report asks an endpoint for its load. Errors are of the connection, of the
-// status, or of the report's form.
+// Report requests an endpoint's load. It fails if the connection, the status or
+// the format of the report is bad.
 func (c *Client) Report(ctx context.Context, e fleet.Endpoint) (Load, error) {
 	path, decode := c.reportFormat()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+e.Addr+path, nil)
@@ -64,13 +65,13 @@
 		return Load{}, merry.Prependf(err, "load report of %s", e.ID)
 	}
 	if load.Slots < 0 || load.Running < 0 || load.Waiting < 0 || load.QueuedTokens < 0 || load.TokensPerSecond < 0 {
-		return Load{}, merry.Errorf("load report of %s: a number is negative", e.ID)
+		return Load{}, merry.Errorf("load report of %s: negative value", e.ID)
 	}
 	return load, nil
 }
 
-// ColdFor asks an endpoint how long it is cold yet. The check waits for a slot
-// like any request.
+// ColdFor requests an endpoint's remaining cold-start time. The health check
+// occupies a slot like any request.
 func (c *Client) ColdFor(ctx context.Context, e fleet.Endpoint, path string) (time.Duration, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+e.Addr+path, nil)
 	if err != nil {
@@ -87,7 +88,7 @@
 	return c.dialect.ReadColdFor(resp.Header), nil
 }
 
-// reportFormat returns the path and the form of load reports.
+// reportFormat returns the path and the decoder of load reports.
 func (c *Client) reportFormat() (string, func(data []byte, now time.Time) (Load, error)) {
 	if c.dialect.DecodeReport != nil {
 		return c.dialect.ReportPath, c.dialect.DecodeReport
@@ -101,7 +102,7 @@
 	return load, err
 }
 
-// parseLoadHeaders reads the load headers of an answer; nil means that there are none.
+// parseLoadHeaders reads the load headers of a response; nil if there are none.
 func parseLoadHeaders(header http.Header, now time.Time) *Load {
 	running, err := strconv.Atoi(header.Get("X-Load-Running"))
 	leaving := header.Get("X-Leaving") == "true"
--- a/endpoint/relay.go
+++ b/endpoint/relay.go
@@ -17,9 +17,9 @@
 )
 
 // errPartialEvent marks a stream that ended in the middle of an event.
-var errPartialEvent = errors.New("the stream ended within an event")
+var errPartialEvent = errors.New("stream ended within an event")
 
-// hopByHopHeaders concern one connection only and are never passed on.
+// hopByHopHeaders are never forwarded (RFC 9110, section 7.6.1).
 var hopByHopHeaders = []string{
 	"Connection",
 	"Keep-Alive",
@@ -31,7 +31,7 @@
 	"Upgrade",
 }
 
-// handleRoutedResponse judges the answer to a routed call and passes it on unchanged.
+// handleRoutedResponse verifies the response to a routed call and forwards it unchanged.
 func (x *exchange) handleRoutedResponse(resp *http.Response) *result.Refusal {
 	head := x.client.dialect.ReadResponseHead(resp.StatusCode, resp.Header, x.client.now())
 	x.outcome.ClosesConnection = head.ClosesConnection
@@ -56,7 +56,7 @@
 	return x.relayBody(resp)
 }
 
-// reportRateLimit tells what an own answer says of the endpoint's rate.
+// reportRateLimit passes the rate limit in a verified response to Attempt.Rated.
 func (x *exchange) reportRateLimit(h http.Header) {
 	if x.attempt.Rated != nil && x.client.dialect.ReadRateLimit != nil {
 		x.attempt.Rated(x.client.dialect.ReadRateLimit(h))
@@ -68,8 +68,8 @@
 	return err == nil && mediaType == eventStream
 }
 
-// relayBody reads an answer to its end before any of it is passed on. An own
-// failure of the endpoint is held in the outcome: another endpoint may do better.
+// relayBody reads the whole response before forwarding it. A server error is kept
+// in the outcome instead, since another endpoint may succeed.
 func (x *exchange) relayBody(resp *http.Response) *result.Refusal {
 	if x.attempt.ResumeAfter != "" {
 		return result.Refuse(result.EndpointFailed, "the endpoint did not resume the stream")
@@ -103,7 +103,7 @@
 	return x.forwardChunk(body.Bytes())
 }
 
-// endToEndHeader copies the headers that are not of one connection.
+// endToEndHeader copies the headers without the hop-by-hop ones.
 func endToEndHeader(h http.Header) http.Header {
 	out := h.Clone()
 	for _, name := range hopByHopHeaders {
@@ -112,9 +112,8 @@
 	return out
 }
 
-// relayStream passes events on as they come, whole ones only: what the caller
-// has is then always a number of whole events, after which another endpoint
-// can go on.
+// relayStream forwards complete events as they arrive, so that another endpoint
+// can always continue after the last one.
 func (x *exchange) relayStream(resp *http.Response) *result.Refusal {
 	reader, _ := rawEventReaders.Get().(*rawEventReader)
 	reader.reader.Reset(resp.Body)
@@ -143,7 +142,8 @@
 	}
 }
 
-// reportEventGap tells how long the stream took for one event, and gives the time of this one.
+// reportEventGap passes the time since the previous event to Attempt.Paced and
+// returns the current time.
 func (x *exchange) reportEventGap(lastAt time.Time) time.Time {
 	now := x.client.now()
 	if x.attempt.Paced != nil && !lastAt.IsZero() {
@@ -152,15 +152,15 @@
 	return now
 }
 
-// finishRelay ends a stream that ended between two events.
+// finishRelay completes a stream that ended on an event boundary.
 func (x *exchange) finishRelay(resp *http.Response) *result.Refusal {
 	x.outcome.Usage.PromptTokens = x.attempt.Call.PromptTokens
 	x.outcome.Usage.GeneratedTokens = x.outcome.Delivered * x.attempt.Call.Routed.EventTokens
 	return x.forwardHead(resp.StatusCode, endToEndHeader(resp.Header))
 }
 
-// callerHasEvent reports whether the caller has an event already, which guards against
-// an endpoint that resumes too early.
+// callerHasEvent reports whether the caller already received an event, which
+// happens if an endpoint resumes too early.
 func (x *exchange) callerHasEvent(id string) bool {
 	resumeAfter := cmp.Or(x.attempt.ResumeAfter, x.attempt.Call.Routed.ResumeAfter)
 	have, err := strconv.ParseUint(resumeAfter, 10, 64)
@@ -171,13 +171,13 @@
 	return err == nil && got <= have
 }
 
-// rawEvent is one whole event with its lines as they came.
+// rawEvent is one complete event with its lines unchanged.
 type rawEvent struct {
 	data []byte
 	id   string
 }
 
-// rawEventReader cuts a body into events without changing a byte.
+// rawEventReader splits a body into events without changing any byte.
 type rawEventReader struct {
 	reader *bufio.Reader
 	data   []byte
@@ -196,8 +196,8 @@
 	}
 }
 
-// next returns the next event, valid until the next call. The body's end is
-// io.EOF between two events and errPartialEvent within one.
+// next returns the next event, which is valid until the following call. The end of
+// the body is io.EOF between two events and errPartialEvent within one.
 func (r *rawEventReader) next(maxBytes int) (rawEvent, error) {
 	r.data = r.data[:0]
 	id := ""
@@ -235,8 +235,8 @@
 	return err
 }
 
-// LastEventID returns the id of the last event in a piece of a relayed stream,
-// empty where it holds none.
+// LastEventID returns the id of the last event in a chunk of a relayed stream, or
+// an empty string if there is none.
 func LastEventID(piece []byte) string {
 	id := ""
 	for line := range bytes.Lines(piece) {
--- a/endpoint/relay_test.go
+++ b/endpoint/relay_test.go
@@ -21,7 +21,7 @@
 type relayCase struct {
 	Name   string
 	Answer string
-	// End is what the endpoint does then: "close", "reset", or nothing.
+	// End is what the endpoint does after its response: "close", "reset", or nothing.
 	End           string
 	Resume        string
 	Code          result.Code
@@ -32,11 +32,13 @@
 	LastEvent     string `json:"last_event"`
 	OtherInstance bool   `json:"other_instance"`
 	Held          int
-	// Rated is what is told of the endpoint's rate, empty for nothing.
+	// Rated is the expected Named field of the reported rate limit, or "none" if
+	// none is reported; not checked if empty.
 	Rated string
 }
 
-// testDialect has names of its own, so that none is built into the client.
+// testDialect uses its own header names, so that a name hard-coded in the client
+// fails the tests.
 var testDialect = Dialect{
 	SetRequestHeader: func(h http.Header, t RequestParams) {
 		h.Set("Instance", t.Instance)
@@ -130,7 +132,7 @@
 	}
 }
 
-// serveRaw answers one request with raw bytes.
+// serveRaw responds to one request with raw bytes and returns the listen address.
 func serveRaw(t *testing.T, answer, end string) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -159,7 +161,7 @@
 		_ = conn.Close()
 	case "reset":
 		if tcp, ok := conn.(*net.TCPConn); ok {
-			// The bytes before must have arrived, or the reset overtakes them.
+			// Let the response arrive first: a reset discards unread data.
 			time.Sleep(50 * time.Millisecond)
 			_ = tcp.SetLinger(0)
 		}
@@ -167,8 +169,8 @@
 	}
 }
 
-// TestRoutedRequest holds that a request reaches the endpoint as the caller
-// sent it, with the terms in the dialect's headers.
+// TestRoutedRequest checks that a request reaches the endpoint as the caller sent
+// it, plus the headers of the dialect.
 func TestRoutedRequest(t *testing.T) {
 	got := make(chan string, 1)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
--- a/endpoint/request.go
+++ b/endpoint/request.go
@@ -28,7 +28,7 @@
 	contentTypeJSON = "application/json"
 )
 
-// reservedHeaders are set by the client or the transport only.
+// reservedHeaders are set only by the client or the transport.
 var reservedHeaders = []string{
 	headerRequestID,
 	headerPriority,
@@ -45,14 +45,14 @@
 	"Upgrade",
 }
 
-// idempotencyKeyHeaders make net/http believe that a request may be sent twice, if
-// they stand under these keys.
+// idempotencyKeyHeaders maps the keys that make net/http retry a request by itself
+// to spellings that it does not recognize.
 var idempotencyKeyHeaders = map[string]string{
 	"Idempotency-Key":   "idempotency-key",
 	"X-Idempotency-Key": "x-idempotency-key",
 }
 
-// newRequest builds a request that the transport never sends twice.
+// newRequest builds a request that the transport never retries.
 func (c *Client) newRequest(ctx context.Context, a Attempt) (*http.Request, *result.Refusal) {
 	if a.Call.Kind == call.KindRouted {
 		return c.newRoutedRequest(ctx, a)
@@ -73,8 +73,8 @@
 	return req, nil
 }
 
-// newRoutedRequest builds the request of a routed call: method, path, host and body
-// are the caller's to the byte.
+// newRoutedRequest builds the request of a routed call, with the caller's method,
+// path, host and body unchanged.
 func (c *Client) newRoutedRequest(ctx context.Context, a Attempt) (*http.Request, *result.Refusal) {
 	req, err := http.NewRequestWithContext(ctx, a.Call.Method, "http://"+a.Endpoint.Addr, nil)
 	if err != nil {
@@ -117,9 +117,9 @@
 	return h
 }
 
-// setBody gives the request a body without GetBody, which net/http would need
-// to send it again. Where a method usually lacks a body, the transport probes
-// the empty one and sends none; elsewhere NoBody keeps "Content-Length: 0".
+// setBody sets the body without GetBody, so that net/http cannot send it again.
+// For methods that usually have no body, the transport probes the reader and sends
+// none; for others, http.NoBody preserves "Content-Length: 0".
 func setBody(req *http.Request, body []byte) {
 	if len(body) == 0 && !usuallyHasNoBody(req.Method) {
 		req.Body = http.NoBody
@@ -129,7 +129,7 @@
 	req.Body = io.NopCloser(readerOnly{Reader: bytes.NewReader(body)})
 }
 
-// readerOnly hides the other methods of a reader.
+// readerOnly hides all methods of a reader except Read.
 type readerOnly struct {
 	io.Reader
 }
--- a/endpoint/response.go
+++ b/endpoint/response.go
@@ -12,7 +12,7 @@
 	"github.com/fuchsianotch/fuchsianotch/result"
 )
 
-// forwardedHeaders are the headers that go from the endpoint to the caller.
+// forwardedHeaders are the response headers that are forwarded to the caller.
 var forwardedHeaders = []string{
 	"Cache-Control",
 	"Content-Disposition",
@@ -26,7 +26,7 @@
 	headerRequestID,
 }
 
-// maxPooledBytes is the largest buffer that goes back to a pool.
+// maxPooledBytes is the largest buffer that is returned to a pool.
 const maxPooledBytes = 256 << 10
 
 var buffers = sync.Pool{
@@ -51,7 +51,7 @@
 	return h
 }
 
-// receiveBody reads an answer to its end, checks it, and only then passes it on.
+// receiveBody reads and validates the whole response before forwarding it.
 func (x *exchange) receiveBody(resp *http.Response) *result.Refusal {
 	if x.attempt.ResumeFrom > 0 {
 		return result.Refuse(result.EndpointFailed, "the endpoint did not resume the stream")
@@ -81,7 +81,8 @@
 	return x.forwardChunk(data)
 }
 
-// readBody fills body. An answer that shows no length could be cut unseen.
+// readBody fills body. It rejects a response without a length or chunked encoding,
+// whose truncation would go unnoticed.
 func (x *exchange) readBody(resp *http.Response, body *bytes.Buffer) *result.Refusal {
 	hasLength := resp.ContentLength >= 0 || len(resp.TransferEncoding) > 0
 	if !hasLength {
@@ -104,7 +105,7 @@
 	return result.Refuse(result.EndpointFailed, "the answer is over %d bytes", x.client.maxResponseBytes)
 }
 
-// completion is what is checked of a whole chat answer.
+// completion holds the validated fields of a non-streamed chat response.
 type completion struct {
 	ID      json.RawMessage    `json:"id"`
 	Choices []completionChoice `json:"choices"`
@@ -115,7 +116,7 @@
 	FinishReason json.RawMessage `json:"finish_reason"`
 }
 
-// usage is what a chat answer says of its tokens.
+// usage is the token usage in a chat response.
 type usage struct {
 	PromptTokens     int `json:"prompt_tokens"`
 	CompletionTokens int `json:"completion_tokens"`
@@ -144,7 +145,7 @@
 	return nil
 }
 
-// verifyCompletionID compares the id inside an answer, in its JSON form.
+// verifyCompletionID compares the id in a response body, given as raw JSON.
 func (x *exchange) verifyCompletionID(raw json.RawMessage) *result.Refusal {
 	if !isSet(raw) {
 		return result.Refuse(result.EndpointFailed, "the answer has no id")
@@ -162,7 +163,7 @@
 	return `"chatcmpl-` + id + `"`
 }
 
-// rewriteCompletionID returns the answer the id that the caller knows.
+// rewriteCompletionID replaces the attempt's id with the one sent to the caller.
 func (x *exchange) rewriteCompletionID(data []byte) []byte {
 	if x.attempt.AnswerID == "" || x.attempt.AnswerID == x.attempt.ID {
 		return data
@@ -171,7 +172,7 @@
 	return bytes.Replace(data, []byte(own), []byte(known), 1)
 }
 
-// isSet reports whether a JSON value is there and isn't null or an empty string.
+// isSet reports whether a JSON value is neither missing, null nor an empty string.
 func isSet(raw json.RawMessage) bool {
 	switch string(raw) {
 	case "", "null", `""`:
--- a/endpoint/stream.go
+++ b/endpoint/stream.go
@@ -15,17 +15,17 @@
 
 const (
 	eventStream = "text/event-stream"
-	// drainTimeout bounds the wait for a stream's end after its last event, so
-	// that the connection can be reused.
+	// drainTimeout limits the wait for the end of the body after the last event, which
+	// lets the connection be reused.
 	drainTimeout = 20 * time.Millisecond
-	// maxChoices is how many choices of one answer are followed.
+	// maxChoices is the number of choices that fit the bit sets of chatStream.
 	maxChoices = 64
 )
 
 var doneData = []byte("[DONE]")
 
-// chunk is what is checked of one event of a chat stream. Its slices keep
-// their memory from event to event.
+// chunk holds the validated fields of one event of a chat stream. Its slices are
+// reused from event to event.
 type chunk struct {
 	ID      json.RawMessage `json:"id"`
 	Choices []chunkChoice   `json:"choices"`
@@ -65,16 +65,16 @@
 	return isSet(d.Content) || isSet(d.ReasoningContent) || isSet(d.ToolCalls)
 }
 
-// chatStream is a chat chatStream being passed on. Nothing is passed on before the
-// first token, and nothing of the end before [DONE]: what the caller has is
-// then always a number of whole tokens, from which another endpoint can go on.
+// chatStream is the state of a forwarded chat stream. It holds back everything
+// before the first token and everything from the last finish reason to [DONE], so
+// that another endpoint can always resume on a token boundary.
 type chatStream struct {
 	decoder *jsonDecoder
 	chunk   chunk
-	// pending are events that wait; heldTokens are the tokens in them.
+	// pending are buffered events; pendingTokens counts the tokens in them.
 	pending       bytes.Buffer
 	pendingTokens int
-	// seen and finished are sets of choices.
+	// seen and finished are bit sets of choice indexes.
 	seen     uint64
 	finished uint64
 	started  bool
@@ -102,7 +102,7 @@
 	return s.seen != 0 && s.seen == s.finished
 }
 
-// receiveStream passes a chat stream on.
+// receiveStream validates and forwards a chat stream.
 func (x *exchange) receiveStream(resp *http.Response) *result.Refusal {
 	mediaType, _, err := mime.ParseMediaType(resp.Header.Get("Content-Type"))
 	if err != nil || mediaType != eventStream {
@@ -132,7 +132,8 @@
 	}
 }
 
-// verifyResumePoint requires the endpoint to go on exactly where the caller is.
+// verifyResumePoint requires the endpoint to resume exactly after the tokens that
+// the caller received.
 func (x *exchange) verifyResumePoint(header http.Header) *result.Refusal {
 	from := header.Get(headerResumedFrom)
 	if x.attempt.ResumeFrom == 0 && from == "" {
@@ -144,7 +145,7 @@
 	return nil
 }
 
-// handleChunk checks one chunk, and passes it on or holds it.
+// handleChunk validates one chunk and forwards or buffers it.
 func (x *exchange) handleChunk(s *chatStream, resp *http.Response, data []byte) *result.Refusal {
 	s.chunk.reset()
 	if err := s.decoder.decode(data, &s.chunk); err != nil {
@@ -165,7 +166,7 @@
 	x.recordUsage(s.chunk.Usage)
 	isOpening := !s.started && tokens == 0 && s.finished == 0
 	if isOpening && x.attempt.ResumeFrom > 0 {
-		// The caller has the opening from the attempt before.
+		// The previous attempt already forwarded the opening events.
 		return nil
 	}
 	s.addPending(x.rewriteCompletionID(data), tokens)
@@ -176,7 +177,7 @@
 	return x.flushPending(s, resp)
 }
 
-// countTokens returns the tokens in the chunk, at most one for each choice.
+// countTokens returns the tokens in the chunk, at most one per choice.
 func (s *chatStream) countTokens() (tokens int, refusal *result.Refusal) {
 	for i := range s.chunk.Choices {
 		choice := &s.chunk.Choices[i]
@@ -205,7 +206,7 @@
 	s.pendingTokens += tokens
 }
 
-// flushPending passes all held events on in one piece.
+// flushPending forwards all buffered events in one call.
 func (x *exchange) flushPending(s *chatStream, resp *http.Response) *result.Refusal {
 	if !x.headForwarded {
 		if refusal := x.forwardHead(resp.StatusCode, forwardedHeader(resp.Header)); refusal != nil {
@@ -221,7 +222,7 @@
 	return nil
 }
 
-// finishStream passes the end on, if the answer is whole.
+// finishStream forwards the buffered end of the stream if every choice has finished.
 func (x *exchange) finishStream(s *chatStream, resp *http.Response, reader *eventReader) *result.Refusal {
 	if !s.allFinished() {
 		return result.Refuse(result.EndpointCut, "the stream ended without a finish reason")
@@ -237,8 +238,8 @@
 	return nil
 }
 
-// drain reads to the end of the body, so that the connection can be reused. A
-// body that doesn't end soon loses its connection instead.
+// drain reads to the end of the body, so that the connection can be reused, or
+// closes it after drainTimeout.
 func drain(body io.Closer, reader *eventReader) {
 	stop := time.AfterFunc(drainTimeout, func() { _ = body.Close() })
 	defer stop.Stop()
