--- a/endpoint/connection.go
+++ b/endpoint/connection.go
@@ -12,22 +12,22 @@
 	"github.com/fuchsianotch/fuchsianotch/common/tcp"
 )
 
-// Bounds of the client's connections. An endpoint keeps an idle connection for
-// longer than idleFor, so that one is seldom closed as it is reused.
+// Limits on the client's connections. idleConnTimeout must be shorter than the
+// endpoints' own idle timeout, or they close connections that are being reused.
 const (
-	dialWithin     = 2 * time.Second
-	idleFor        = 15 * time.Second
-	idlePerHost    = 1024
-	maxHeaderBytes = 64 << 10
+	dialTimeout         = 2 * time.Second
+	idleConnTimeout     = 15 * time.Second
+	maxIdleConnsPerHost = 1024
+	maxHeaderBytes      = 64 << 10
 )
 
-// transports returns one transport that reuses connections and one that doesn't.
-// A non-idempotent call gets a connection of its own: the endpoint can't close
-// it as idle at the moment of sending, which would leave the outcome unknown.
+// transports returns one transport that reuses connections and one that does not.
+// Non-idempotent calls use the latter: an endpoint that closes an idle connection
+// while the request is being sent would leave the outcome unknown.
 func transports(client *http.Client) (pooled, single http.RoundTripper) {
 	base := &http.Transport{
-		MaxIdleConnsPerHost:    idlePerHost,
-		IdleConnTimeout:        idleFor,
+		MaxIdleConnsPerHost:    maxIdleConnsPerHost,
+		IdleConnTimeout:        idleConnTimeout,
 		MaxResponseHeaderBytes: maxHeaderBytes,
 	}
 	if client != nil && client.Transport != nil {
@@ -39,7 +39,7 @@
 	}
 	base.Proxy = nil
 	base.DisableCompression = true
-	base.DialContext = dialer(base.DialContext)
+	base.DialContext = trackedDialer(base.DialContext)
 	once := base.Clone()
 	once.DisableKeepAlives = true
 	return base, once
@@ -47,130 +47,132 @@
 
 type dialFunc func(ctx context.Context, network, addr string) (net.Conn, error)
 
-func dialer(dial dialFunc) dialFunc {
+func trackedDialer(dial dialFunc) dialFunc {
 	if dial == nil {
-		dial = tcp.Dialer(dialWithin).DialContext
+		dial = tcp.Dialer(dialTimeout).DialContext
 	}
 	return func(ctx context.Context, network, addr string) (net.Conn, error) {
 		conn, err := dial(ctx, network, addr)
 		if err != nil {
 			return nil, err
 		}
-		return &connection{Conn: conn}, nil
+		return &trackedConn{Conn: conn}, nil
 	}
 }
 
-// connection counts the bytes offered to the kernel, and asks before the first
+// trackedConn counts the bytes passed to Write and runs a hook before the first
 // byte of a request.
-type connection struct {
+type trackedConn struct {
 	net.Conn
 
-	offered atomic.Int64
-	// distrusted is set once it brought a crossed answer.
-	distrusted atomic.Bool
-	closed     atomic.Bool
-	gate       atomic.Pointer[func() error]
+	offeredBytes atomic.Int64
+	// tainted is set once the connection delivered a response to another attempt.
+	tainted     atomic.Bool
+	closed      atomic.Bool
+	beforeWrite atomic.Pointer[func() error]
 }
 
-// Write counts before it writes, so that no byte goes out uncounted.
-func (c *connection) Write(p []byte) (int, error) {
+// Write counts the bytes before writing, so that none is written uncounted.
+func (c *trackedConn) Write(p []byte) (int, error) {
 	if c.closed.Load() {
 		return 0, net.ErrClosed
 	}
-	if gate := c.gate.Swap(nil); gate != nil {
+	if gate := c.beforeWrite.Swap(nil); gate != nil {
 		if err := (*gate)(); err != nil {
 			return 0, err
 		}
 	}
-	c.offered.Add(int64(len(p)))
+	c.offeredBytes.Add(int64(len(p)))
 	return c.Conn.Write(p)
 }
 
-// Close lets no further byte be counted, and none go out.
-func (c *connection) Close() error {
+// Close rejects further writes before closing the connection.
+func (c *trackedConn) Close() error {
 	c.closed.Store(true)
 	return c.Conn.Close()
 }
 
-// track follows one attempt over its connection.
-type track struct {
-	// gate is asked before the first byte goes out.
-	gate func() error
-
-	mu      sync.Mutex
-	conn    *connection
-	reused  bool
-	offered int64
-	sent    bool
-	denied  error
+// connTracker follows the connections of one attempt.
+type connTracker struct {
+	// beforeSend is called before the first byte is written.
+	beforeSend func() error
+
+	mu            sync.Mutex
+	conn          *trackedConn
+	reused        bool
+	offeredBefore int64
+	sent          bool
+	beforeSendErr error
 }
 
-func (t *track) trace(ctx context.Context) context.Context {
+func (t *connTracker) withTrace(ctx context.Context) context.Context {
 	return httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: t.gotConn})
 }
 
-func (t *track) gotConn(info httptrace.GotConnInfo) {
+func (t *connTracker) gotConn(info httptrace.GotConnInfo) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.settle()
-	conn, ok := info.Conn.(*connection)
+	t.updateSent()
+	conn, ok := info.Conn.(*trackedConn)
 	if !ok {
 		t.sent = true
 		return
 	}
-	if conn.distrusted.Load() {
+	if conn.tainted.Load() {
 		_ = conn.Close()
 	}
 	t.conn = conn
 	t.reused = info.Reused
-	t.offered = conn.offered.Load()
-	gate := t.ask
-	conn.gate.Store(&gate)
+	t.offeredBefore = conn.offeredBytes.Load()
+	gate := t.runBeforeSend
+	conn.beforeWrite.Store(&gate)
 }
 
-func (t *track) ask() error {
-	err := t.gate()
+func (t *connTracker) runBeforeSend() error {
+	err := t.beforeSend()
 	if err != nil {
 		t.mu.Lock()
-		t.denied = err
+		t.beforeSendErr = err
 		t.mu.Unlock()
 	}
 	return err
 }
 
-func (t *track) settle() {
-	if t.conn != nil && t.conn.offered.Load() != t.offered {
+// updateSent sets sent if the current connection has written bytes. It requires t.mu.
+func (t *connTracker) updateSent() {
+	if t.conn != nil && t.conn.offeredBytes.Load() != t.offeredBefore {
 		t.sent = true
 	}
 }
 
-// distrust keeps the connection from further use after the head of another
-// attempt's answer: what follows is one answer off as well. The transport closes
-// it with the body, but an answer without a body gave it back to the pool already.
-func (t *track) distrust() {
+// taint prevents reuse of a connection after a response head with another
+// attempt's id, because the following responses may be shifted as well. The
+// transport closes the connection with an unread body, but has already returned it
+// to the pool if the response has no body.
+func (t *connTracker) taint() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.conn != nil {
-		t.conn.distrusted.Store(true)
+		t.conn.tainted.Store(true)
 	}
 }
 
-// stale reports whether a reused connection broke before any byte went out.
-func (t *track) stale() bool {
+// brokeBeforeSend reports whether a reused connection broke before any byte was written.
+func (t *connTracker) brokeBeforeSend() bool {
 	sent, denied := t.abort()
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.reused && !sent && denied == nil
 }
 
-// abort closes the connection and says whether any byte went out on it. No
-// byte can follow, so the answer is final. The error is the gate's, if any.
-func (t *track) abort() (sent bool, denied error) {
+// abort closes the connection and reports whether any byte was written. No write
+// can follow, so the result is final. beforeSendErr is the error of beforeSend, if any.
+func (t *connTracker) abort() (sent bool, denied error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.conn != nil {
 		_ = t.conn.Close()
 	}
-	t.settle()
-	return t.sent, t.denied
+	t.updateSent()
+	return t.sent, t.beforeSendErr
 }
--- a/endpoint/dialect.go
+++ b/endpoint/dialect.go
@@ -8,59 +8,59 @@
 	"github.com/fuchsianotch/fuchsianotch/fleet"
 )
 
-// Dialect is how the endpoints of routed calls spell what goes with a request
-// and an answer. It holds names and formats only.
+// Dialect is the header names and formats of the protocol of routed endpoints.
 type Dialect struct {
-	// SetHeader sets the headers of an attempt that are not the caller's.
-	SetHeader func(h http.Header, t Terms)
-	// ReadHead reads what an answer's head says besides its status.
-	ReadHead func(status int, h http.Header, now time.Time) Head
-	// ReadRate reads from the head of any answer at which rate the endpoint takes requests.
-	ReadRate func(h http.Header) fleet.Rate
-	// ReadColdFor reads from an answer to a health check how long the endpoint is
-	// cold yet; zero for a warm one.
+	// SetRequestHeader sets the headers that do not come from the caller.
+	SetRequestHeader func(h http.Header, t RequestParams)
+	// ReadResponseHead parses the response head apart from its status.
+	ReadResponseHead func(status int, h http.Header, now time.Time) ResponseHead
+	// ReadRateLimit parses the rate limit in the head of any response.
+	ReadRateLimit func(h http.Header) fleet.Rate
+	// ReadColdFor parses the remaining cold-start time from a health check response;
+	// zero for a warm endpoint.
 	ReadColdFor func(h http.Header) time.Duration
-	// ReportPath is where an endpoint tells its load, DecodeReport reads the answer.
+	// ReportPath is the path of load reports; DecodeReport decodes their body.
 	ReportPath   string
 	DecodeReport func(data []byte, now time.Time) (Load, error)
 }
 
-// Terms are what an attempt tells the endpoint.
-type Terms struct {
-	// Instance is the endpoint's id: another one at its address refuses.
+// RequestParams are the values that an attempt sends to the endpoint.
+type RequestParams struct {
+	// Instance is the endpoint's id; any other endpoint at its address refuses.
 	Instance string
-	// WholeBy is when the endpoint may stop working.
-	WholeBy time.Time
-	Now     time.Time
-	// Workspace holds the key of the caller; empty means that none was needed.
+	// Deadline is when the endpoint may stop working on the request.
+	Deadline time.Time
+	Now      time.Time
+	// Workspace is the owner of the caller's API key; empty if none was required.
 	Workspace string
-	// Rank orders requests in the endpoint's queue, 0 first.
-	Rank int
-	// ResumeAfter is the id of the last event that the caller has.
+	// Priority orders requests in the endpoint's queue, 0 first.
+	Priority int
+	// ResumeAfter is the id of the last event that the caller received.
 	ResumeAfter string
-	// FetchFrom is the address of an engine that holds more of the prompt.
+	// FetchFrom is the address of an engine that has cached more of the prompt.
 	FetchFrom string
-	// ID is the attempt's.
+	// ID is the attempt's id.
 	ID string
 }
 
-// Head is what an answer's head says.
-type Head struct {
-	// ID is the attempt's id, empty where the answer names none.
+// ResponseHead is the parsed head of a response.
+type ResponseHead struct {
+	// ID is the attempt's id; empty if the response has none.
 	ID string
-	// NotRun is the endpoint's word that it did not run the request, and
-	// OtherInstance that the address belongs to another endpoint now.
-	NotRun        bool
-	OtherInstance bool
-	// Signed says that the answer has the endpoint's signature.
+	// NotRun reports whether the endpoint states that it did not run the request.
+	NotRun bool
+	// InstanceMismatch reports whether the address now belongs to another endpoint.
+	InstanceMismatch bool
+	// Signed reports whether the response carries the endpoint's signature.
 	Signed bool
-	// Leaving says that the endpoint gets no more requests on this connection.
-	Leaving bool
-	// ComeBackAt is when a refusing endpoint asks to be tried again.
-	ComeBackAt time.Time
+	// ClosesConnection reports whether the endpoint accepts no more requests on this
+	// connection.
+	ClosesConnection bool
+	// RetryAt is when a refusing endpoint asks to be retried.
+	RetryAt time.Time
 }
 
-// routedHeader returns the headers of a routed attempt.
+// routedHeader builds the request headers of a routed attempt.
 func (c *Client) routedHeader(a Attempt) http.Header {
 	h := a.Call.Header.Clone()
 	if h == nil {
@@ -70,21 +70,21 @@
 	if resume == "" {
 		resume = a.Call.Routed.ResumeAfter
 	}
-	c.dialect.SetHeader(h, Terms{
+	c.dialect.SetRequestHeader(h, RequestParams{
 		Instance:    a.Endpoint.ID,
-		WholeBy:     callerBy(a.Call),
+		Deadline:    effectiveDeadline(a.Call),
 		Now:         c.now(),
 		Workspace:   a.Call.Workspace,
-		Rank:        a.Call.Routed.Turn(),
+		Priority:    a.Call.Routed.Turn(),
 		ResumeAfter: resume,
 		FetchFrom:   a.FetchFrom,
 		ID:          a.ID,
 	})
 	if _, ok := h["User-Agent"]; !ok {
-		// An empty value keeps net/http from adding its own.
+		// A nil value keeps net/http from adding its default.
 		h["User-Agent"] = nil
 	}
-	for name, plain := range replayHeaders {
+	for name, plain := range idempotencyKeyHeaders {
 		if values, ok := h[name]; ok {
 			delete(h, name)
 			h[plain] = values
@@ -93,7 +93,8 @@
 	return h
 }
 
-func callerBy(c *call.Call) time.Time {
+// effectiveDeadline returns the earlier of the call's and the caller's deadline.
+func effectiveDeadline(c *call.Call) time.Time {
 	by := c.WholeBy
 	if !c.Routed.CallerBy.IsZero() && c.Routed.CallerBy.Before(by) {
 		by = c.Routed.CallerBy
--- a/endpoint/events_test.go
+++ b/endpoint/event_reader_test.go
@@ -11,8 +11,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// FuzzEvents checks that every event is one clean line, that events read the
-// same when written anew and however the bytes arrive, and that bounds hold.
+// FuzzEvents checks that every event is a single line, that events survive being
+// rewritten and arriving one byte at a time, and that the size limit holds.
 func FuzzEvents(f *testing.F) {
 	for _, seed := range []string{
 		"data: {}\n\n",
@@ -24,7 +24,7 @@
 		"data: cut",
 		"data: cut\n",
 		"\ufeffdata: x\n\n",
-		"data: " + strings.Repeat("x", 3*readerBytes) + "\n\n",
+		"data: " + strings.Repeat("x", 3*readBufferBytes) + "\n\n",
 	} {
 		f.Add([]byte(seed))
 	}
@@ -49,7 +49,7 @@
 }
 
 func readAll(r io.Reader, maxBytes int) ([]string, error) {
-	reader := newEvents(r, maxBytes)
+	reader := newEventReader(r, maxBytes)
 	defer reader.release()
 	var found []string
 	for {
