--- a/contract/place.go
+++ b/contract/bucket.go
@@ -6,20 +6,21 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Keys of the published documents; contract buckets are "contracts/0", "contracts/1" and so on.
+// Keys of the published documents. The bucket with index N is "contracts/N".
 const (
 	KeyModels       = "models"
 	KeyRegions      = "regions"
 	KeyBucketPrefix = "contracts/"
 )
 
-// BucketOf returns the bucket that the workspace's contract is published in.
+// BucketOf returns the index of the bucket that holds the workspace's contract.
 func BucketOf(workspace string, buckets int) int {
 	return int(xxhash.Sum64String(workspace) % uint64(buckets))
 }
 
-// Terms returns the contract's terms in a region, if the region may serve it.
-func (c *Contract) Terms(region string) (RegionTerms, bool) {
+// Terms returns the limits in a region; ok is false if the region may not serve the
+// workspace.
+func (c *Contract) Terms(region string) (terms RegionTerms, ok bool) {
 	if c.Bound && region != c.Home {
 		return RegionTerms{}, false
 	}
--- a/contract/contract.go
+++ b/contract/contract.go
@@ -1,40 +1,41 @@
-// Package contract holds the documents that operators publish: contracts in
-// buckets, models with services, and regions. One pure validator judges each
-// document by its own bytes, so that every VM reaches the same verdict.
+// Package contract defines and validates the documents that operators publish:
+// contracts grouped in buckets, models with services, and regions. Validation
+// depends only on a document's key and bytes, so every VM accepts or rejects the
+// same documents.
 package contract
 
 import "time"
 
-// FormatVersion is the document format this build reads; others are refused.
+// FormatVersion is the only document format that this build accepts.
 const FormatVersion = 1
 
-// Contract is everything agreed with one workspace. Every limit follows from it.
+// Contract holds the API keys, limits and latency targets of one workspace.
 type Contract struct {
 	Workspace string `json:"workspace"`
-	// Keys hold hashes only; a caller's key is "<workspace>.<secret>".
+	// Keys holds hashes only; a caller presents "<workspace>.<secret>".
 	Keys []Key `json:"keys"`
-	// Home is the region the workspace belongs to. It must be among Regions.
+	// Home is the workspace's home region. It must be listed in Regions.
 	Home string `json:"home"`
-	// Bound forbids any region but Home to hold or see the workspace's data.
+	// Bound restricts the workspace's data to its home region.
 	Bound bool `json:"bound,omitempty"`
-	// Regions may serve the workspace, each with its own part of the limits.
+	// Regions lists the regions that may serve the workspace, with the limits of each.
 	Regions []RegionTerms `json:"regions"`
-	// Models and Services are those that the workspace may call.
+	// Models and Services list what the workspace may call.
 	Models   []string `json:"models,omitempty"`
 	Services []string `json:"services,omitempty"`
 	Answer   Answer   `json:"answer"`
 }
 
-// Key admits a caller. Only the hash of its secret is published.
+// Key is an API key of a workspace, published only as a hash of its secret.
 type Key struct {
 	// SHA256 is the lower-case hex digest of the secret part of the key.
 	SHA256 string `json:"sha256"`
-	// NotAfter ends the key; the zero time means no end.
+	// NotAfter is the key's expiry time; the zero time means that it never expires.
 	NotAfter time.Time `json:"not_after,omitzero"`
 }
 
-// RegionTerms is one region's part of a contract's limits.
-// A limit of zero means that nothing of that kind is admitted.
+// RegionTerms holds a contract's limits in one region. A limit of zero admits
+// nothing.
 type RegionTerms struct {
 	Region            string  `json:"region"`
 	RequestsPerSecond float64 `json:"requests_per_second"`
@@ -42,25 +43,24 @@
 	TokensPerSecond float64 `json:"tokens_per_second"`
 	// SpendPerHour is in millionths of the contract's currency.
 	SpendPerHour float64 `json:"spend_per_hour"`
-	// Concurrency is the number of calls in flight at once.
+	// Concurrency is the maximum number of calls in flight.
 	Concurrency int `json:"concurrency"`
-	// BorrowShare is the part of this region's tokens, from 0 to 1, that may
-	// be served by other regions of the contract. Zero forbids borrowing.
+	// BorrowShare is the fraction of this region's token rate, from 0 to 1, that
+	// other regions of the contract may serve. Zero disables borrowing.
 	BorrowShare float64 `json:"borrow_share,omitempty"`
 }
 
-// Answer is how fast the workspace must be answered. The bounds are relative to
-// a call's arrival, so they are the one place where durations are stored; each
-// call turns them into absolute deadlines when it arrives.
+// Answer holds a workspace's latency targets. They are relative to a call's
+// arrival, when they are converted to absolute deadlines.
 type Answer struct {
 	FirstTokenWithin Duration `json:"first_token_within"`
 	WholeWithin      Duration `json:"whole_within"`
-	// ReportWithin bounds calls of priority report, which tolerate delay.
+	// ReportWithin applies to calls of priority "report", which tolerate delay.
 	ReportWithin Duration `json:"report_within"`
 }
 
-// Bucket is one published document with some of the contracts. A workspace
-// belongs to the bucket BucketOf gives; a bucket holding another is refused.
+// Bucket is a document with the contracts of the workspaces that BucketOf
+// assigns to it. A bucket with any other workspace is rejected.
 type Bucket struct {
 	Format    int        `json:"format"`
 	Bucket    int        `json:"bucket"`
@@ -68,58 +68,59 @@
 	Contracts []Contract `json:"contracts"`
 }
 
-// Models is the published document of models and plain services.
+// Models is the document that lists models and plain services.
 type Models struct {
 	Format   int       `json:"format"`
 	Models   []Model   `json:"models"`
 	Services []Service `json:"services"`
 }
 
-// Model is one model that endpoints serve. Prices are in millionths of the
-// currency for a thousand tokens.
+// Model describes a model that endpoints serve. Prices are in millionths of the
+// currency per thousand tokens.
 type Model struct {
 	Model          string  `json:"model"`
 	PromptPrice    float64 `json:"prompt_price"`
 	GeneratedPrice float64 `json:"generated_price"`
-	// MaxTokens bounds the generated tokens of one call, and is the estimate
-	// for a call that names no bound.
+	// MaxTokens is the maximum number of generated tokens per call, and the
+	// estimate for calls that set no maximum.
 	MaxTokens int `json:"max_tokens"`
 }
 
-// Service is a plain HTTP service behind the system.
+// Service describes a plain HTTP service behind the gateway.
 type Service struct {
 	Service string `json:"service"`
-	// CallPrice is charged for each call, in millionths of the currency.
+	// CallPrice is the price per call, in millionths of the currency.
 	CallPrice float64       `json:"call_price"`
 	Calls     []ServiceCall `json:"calls"`
 }
 
-// ServiceCall says how calls with one method and path prefix may be treated.
-// A call that matches none is non-idempotent unless its method is GET or HEAD.
+// ServiceCall sets the idempotency and priority of calls by method and path
+// prefix. A call that matches none is non-idempotent unless its method is GET or
+// HEAD.
 type ServiceCall struct {
 	Method     string `json:"method"`
 	PathPrefix string `json:"path_prefix"`
-	// Idempotent calls may be repeated by the system.
+	// Idempotent allows the gateway to retry the call.
 	Idempotent bool `json:"idempotent"`
-	// Priority is "urgent", "chat" or "report"; empty means chat.
+	// Priority is "urgent", "chat" or "report"; empty means "chat".
 	Priority string `json:"priority,omitempty"`
 }
 
-// Regions is the published document of regions and what lies between them.
+// Regions is the document that lists regions and the links between them.
 type Regions struct {
 	Format  int      `json:"format"`
 	Regions []Region `json:"regions"`
 }
 
-// Region is one region with its data centres.
+// Region describes a region, its data centres and its links.
 type Region struct {
 	Region      string   `json:"region"`
 	DataCentres []string `json:"data_centres"`
-	// Links give the one-way delay to other regions, for estimates.
+	// Links holds estimates of the one-way latency to other regions.
 	Links []Link `json:"links,omitempty"`
 }
 
-// Link is the way from one region to another.
+// Link is the network path from one region to another.
 type Link struct {
 	To     string   `json:"to"`
 	OneWay Duration `json:"one_way"`
--- a/contract/duration.go
+++ b/contract/duration.go
@@ -2,5 +2,5 @@
 
 import "github.com/fuchsianotch/fuchsianotch/common/jsonc"
 
-// Duration is a duration written as a string such as "580ms" in documents.
+// Duration is encoded as a string such as "580ms".
 type Duration = jsonc.Duration
--- a/contract/parse.go
+++ b/contract/parse.go
@@ -8,16 +8,16 @@
 	"github.com/fuchsianotch/fuchsianotch/result"
 )
 
-// Bounds of the documents.
 const (
-	// MaxBytes is what the configuration service holds in one value.
+	// MaxBytes is the maximum size of a document, which is the configuration
+	// service's limit for one value.
 	MaxBytes = 1 << 20
-	// MaxBuckets bounds the number of contract documents.
+	// MaxBuckets is the maximum number of contract buckets.
 	MaxBuckets = 1 << 12
 )
 
-// Document is one published document. Exactly one of Bucket, Models and
-// Regions is set, as the key tells.
+// Document is a parsed document. The key determines which one of Bucket, Models
+// and Regions is set.
 type Document struct {
 	Key     string
 	Bucket  *Bucket
@@ -25,7 +25,7 @@
 	Regions *Regions
 }
 
-// KnownKey reports whether documents are published under the key.
+// KnownKey reports whether key names a document of this package.
 func KnownKey(key string) bool {
 	if key == KeyModels || key == KeyRegions {
 		return true
@@ -34,8 +34,8 @@
 	return ok
 }
 
-// bucketIndex reads N from "contracts/N". Only the plain decimal form counts,
-// so that no two keys name one bucket.
+// bucketIndex parses N from "contracts/N". It accepts only the canonical decimal
+// form, so that each bucket has exactly one key.
 func bucketIndex(key string) (int, bool) {
 	text, found := strings.CutPrefix(key, KeyBucketPrefix)
 	if !found {
@@ -48,9 +48,9 @@
 	return n, true
 }
 
-// Parse reads and checks one document. The verdict depends on the key and the
-// bytes alone. A refusal has a code from 4001 to 4007, and names the first
-// problem with its line, its field and what would be right.
+// Parse decodes and validates a document. The outcome depends only on key and
+// value. A refusal has a code from 4001 to 4007 and reports the first problem with
+// its line, its field and what is expected.
 func Parse(key string, value []byte) (*Document, *result.Refusal) {
 	if !KnownKey(key) {
 		return nil, result.Refuse(result.DocumentKey, "%q: want %q, %q or %q with a number below %d",
--- a/contract/parse_test.go
+++ b/contract/parse_test.go
@@ -16,7 +16,7 @@
 	"github.com/fuchsianotch/fuchsianotch/result"
 )
 
-// refusedCase changes one place of a base document and states the refusal.
+// refusedCase is one edit to a base document and the expected refusal.
 type refusedCase struct {
 	Name    string      `json:"name"`
 	Key     string      `json:"key"`
@@ -26,7 +26,7 @@
 	Message string      `json:"message"`
 }
 
-func baseDocuments(t testing.TB) map[string]string {
+func readBaseDocuments(t testing.TB) map[string]string {
 	t.Helper()
 	archive, err := txtar.ParseFile("testdata/base.txtar")
 	assert.NilError(t, err)
@@ -39,13 +39,13 @@
 
 func TestParseRefuses(t *testing.T) {
 	const path = "testdata/refused.json"
-	base := baseDocuments(t)
+	base := readBaseDocuments(t)
 	cases := readCases(t, path)
 	for i := range cases {
 		c := &cases[i]
 		t.Run(c.Name, func(t *testing.T) {
 			document := base[c.Key]
-			assert.Equal(t, strings.Count(document, c.Old), 1, "the place to change")
+			assert.Equal(t, strings.Count(document, c.Old), 1, "old must occur once in the base document")
 			d, refusal := Parse(c.Key, []byte(strings.Replace(document, c.Old, c.New, 1)))
 			assert.Assert(t, d == nil)
 			assert.Assert(t, refusal != nil)
@@ -78,7 +78,7 @@
 }
 
 func TestParseAccepts(t *testing.T) {
-	for key, document := range baseDocuments(t) {
+	for key, document := range readBaseDocuments(t) {
 		d, refusal := Parse(key, []byte(document))
 		assert.Assert(t, refusal == nil, "%v", refusal)
 		assert.Equal(t, d.Key, key)
@@ -89,7 +89,7 @@
 }
 
 func TestParseBoundsSize(t *testing.T) {
-	document := baseDocuments(t)["contracts/3"]
+	document := readBaseDocuments(t)["contracts/3"]
 	filled := append([]byte(document), bytes.Repeat([]byte(" "), MaxBytes-len(document))...)
 	_, refusal := Parse("contracts/3", filled)
 	assert.Assert(t, refusal == nil, "%v", refusal)
@@ -111,8 +111,8 @@
 	}
 }
 
-// exampleDocuments returns the example documents of one deployment by key.
-func exampleDocuments(t testing.TB, deployment string) map[string][]byte {
+// readExampleDocuments returns the example documents of a deployment by key.
+func readExampleDocuments(t testing.TB, deployment string) map[string][]byte {
 	t.Helper()
 	documents := map[string][]byte{}
 	root := filepath.Join("..", "examples", deployment)
@@ -129,13 +129,13 @@
 	return documents
 }
 
-// TestExamples also checks what no single document shows: that the names used
-// in contracts are published in the other documents.
+// TestExamples checks that the example documents are valid and that contracts
+// refer only to models, services and regions that the other documents define.
 func TestExamples(t *testing.T) {
 	for _, deployment := range []string{"tesfaye", "planhigion"} {
 		published := map[string]bool{}
 		var contracts []Contract
-		for key, value := range exampleDocuments(t, deployment) {
+		for key, value := range readExampleDocuments(t, deployment) {
 			d, refusal := Parse(key, value)
 			assert.Assert(t, refusal == nil, "%v", refusal)
 			switch {
@@ -163,14 +163,13 @@
 	}
 }
 
-// FuzzParse checks that no bytes make Parse panic, that the verdict is the
-// same each time, and that an accepted document written anew is accepted with
-// the same content.
+// FuzzParse checks that Parse never panics, is deterministic, and accepts a
+// re-encoded document with the same content.
 func FuzzParse(f *testing.F) {
-	for key, document := range baseDocuments(f) {
+	for key, document := range readBaseDocuments(f) {
 		f.Add(key, []byte(document))
 	}
-	for key, document := range exampleDocuments(f, "planhigion") {
+	for key, document := range readExampleDocuments(f, "planhigion") {
 		f.Add(key, document)
 	}
 	f.Add(KeyModels, []byte(`{"format": 1, "models": [/**/], "services": [],}//`))
@@ -187,18 +186,18 @@
 			assert.Equal(t, refusal.Code.Class(), result.ClassRefused)
 			return
 		}
-		written := d.content(t)
+		written := d.marshalContent(t)
 		if len(written) > MaxBytes {
 			return
 		}
 		again, refusal := Parse(key, written)
 		assert.Assert(t, refusal == nil, "%v", refusal)
-		assert.Equal(t, string(again.content(t)), string(written))
+		assert.Equal(t, string(again.marshalContent(t)), string(written))
 	})
 }
 
-// content writes the part of the document that is set.
-func (d *Document) content(t *testing.T) []byte {
+// marshalContent encodes the field of the document that is set.
+func (d *Document) marshalContent(t *testing.T) []byte {
 	t.Helper()
 	var part any = d.Bucket
 	switch d.Key {
