--- a/route/route.go
+++ b/route/route.go
@@ -1,6 +1,6 @@
-// Package route holds the table of routes that operators publish: which
-// service a request goes to, within which time, how often, and in which
-// regions. It is pure data with lookups.
+// Package route implements the routing table that operators publish. It maps a
+// request's host and path to a service, timeouts, an attempt limit, a priority and
+// the regions that may serve it.
 package route
 
 import (
@@ -12,71 +12,70 @@
 	"github.com/fuchsianotch/fuchsianotch/apikey"
 )
 
-// Kind says what may be repeated.
+// Kind says whether requests may be retried and whether responses are streamed.
 type Kind string
 
-// The kinds of routes.
+// Kinds of routes.
 const (
 	KindIdempotent    Kind = "idempotent"
 	KindNonIdempotent Kind = "non_idempotent"
 	KindStream        Kind = "stream"
 )
 
-// Route is the terms of the requests of one host under one path prefix. Its
-// times are relative to a request's arrival; whoever takes the request turns
-// them into deadlines.
+// Route configures the requests to one host under one path prefix. Its durations
+// are relative to a request's arrival, when they are converted to deadlines.
 type Route struct {
 	Name   string
 	Host   string
 	Prefix string
 	Kind   Kind
-	// Timeout bounds a request's whole time, Objective is the time by which the
-	// first byte earns full credit, Gap the longest pause between events that is
-	// still on time. Zero means none.
+	// Timeout limits the total duration of a request. Objective is the target time
+	// to first byte. Gap is the longest acceptable pause between events of a
+	// stream. Zero means none.
 	Timeout   time.Duration
 	Objective time.Duration
 	Gap       time.Duration
-	// Rank is the priority, 0 first.
+	// Rank is the priority; 0 is the highest.
 	Rank int
-	// Shares split the requests between services by weight.
+	// Shares splits the requests between services by weight.
 	Shares []Share
-	// MaxAttempts bounds the endpoints that may run one request.
+	// MaxAttempts is the maximum number of endpoints that may run one request.
 	MaxAttempts int
-	// HasPrompts says that requests name the parts of their prompts.
+	// HasPrompts says that requests identify the blocks of their prompts.
 	HasPrompts bool
-	// Resumable says that a broken stream may go on at another endpoint.
+	// Resumable says that another endpoint may resume an interrupted stream.
 	Resumable bool
-	// Homes are the regions that may serve the requests; none means all.
+	// Homes lists the regions that may serve the requests; empty means all.
 	Homes []string
-	// Public requests need no key.
+	// Public says that requests need no API key.
 	Public bool
 }
 
-// Share is one service's part of a route.
+// Share is the weight of one service in a route's traffic split.
 type Share struct {
 	Service string
 	Weight  int
 }
 
-// Service is what the operators say of the endpoints of one service.
+// Service configures the endpoints of one service.
 type Service struct {
 	Name       string
 	HealthPath string
-	// MaxConnections bounds the connections of all callers to one endpoint.
+	// MaxConnections limits the connections of all callers to one endpoint.
 	MaxConnections int
-	// ColdFor is how long an endpoint is cold after its start, and
-	// ColdPerSecond how many requests a second it then bears.
+	// ColdFor is the warm-up time after an endpoint's start, during which
+	// ColdPerSecond limits its request rate.
 	ColdFor       time.Duration
 	ColdPerSecond float64
 	// IsEngine says that the endpoints are model engines, which report their load.
 	IsEngine bool
-	// CacheTokens is an engine's memory, in tokens.
+	// CacheTokens is the capacity of an engine's KV cache, in tokens.
 	CacheTokens int
-	// EventTokens is how many generated tokens one event of a stream holds.
+	// EventTokens is the number of generated tokens per event of a stream.
 	EventTokens int
 }
 
-// Limits bound what a caller's connection may cost; zero means no bound.
+// Limits holds the limits on a caller's connection; zero means unlimited.
 type Limits struct {
 	MaxHeaderBytes int
 	MaxBodyBytes   int
@@ -84,18 +83,19 @@
 	IdleWithin     time.Duration
 }
 
-// Options make up a Table.
+// Options configures a Table.
 type Options struct {
 	Version  uint64
 	Routes   []Route
 	Services []Service
 	Limits   Limits
-	// Keyed says that requests need a key, Workspaces are those that hold keys.
+	// Keyed says that requests on routes that are not public need an API key of one
+	// of Workspaces.
 	Keyed      bool
 	Workspaces []Workspace
 }
 
-// Table is all routes of one version. It never changes once it is made.
+// Table is one version of the routing table. It is immutable.
 type Table struct {
 	Version    uint64
 	Limits     Limits
@@ -108,7 +108,7 @@
 	byKey      map[apikey.Digest]keyEntry
 }
 
-// New makes a table.
+// New builds a table and its indexes.
 func New(o Options) *Table {
 	t := &Table{
 		Version:    o.Version,
@@ -120,22 +120,22 @@
 	}
 	t.indexWorkspaces()
 	for _, r := range o.Routes {
-		host := normalHost(r.Host)
+		host := normalizeHost(r.Host)
 		t.byHost[host] = append(t.byHost[host], r)
 	}
 	for _, list := range t.byHost {
 		slices.SortStableFunc(list, func(a, b Route) int { return len(b.Prefix) - len(a.Prefix) })
 	}
-	t.lastRank = t.findLastRank()
+	t.lastRank = t.maxRank()
 	for _, s := range o.Services {
 		t.services[s.Name] = s
 	}
 	return t
 }
 
-// Match finds the route of a host with the longest prefix that begins the path.
+// Match returns the host's route with the longest prefix of the path.
 func (t *Table) Match(host, path string) (*Route, bool) {
-	list := t.byHost[normalHost(host)]
+	list := t.byHost[normalizeHost(host)]
 	for i := range list {
 		if strings.HasPrefix(path, list[i].Prefix) {
 			return &list[i], true
@@ -144,10 +144,10 @@
 	return nil, false
 }
 
-// Bound returns the homes of each route of a host that is bound to some.
+// Bound returns the allowed regions of each route of a host that restricts them.
 func (t *Table) Bound(host string) [][]string {
 	var bound [][]string
-	for _, r := range t.byHost[normalHost(host)] {
+	for _, r := range t.byHost[normalizeHost(host)] {
 		if len(r.Homes) > 0 {
 			bound = append(bound, r.Homes)
 		}
@@ -155,21 +155,22 @@
 	return bound
 }
 
-// normalHost returns a host without its port, in lower case.
-func normalHost(host string) string {
+// normalizeHost strips the port and converts the host to lower case.
+func normalizeHost(host string) string {
 	if name, _, err := net.SplitHostPort(host); err == nil {
 		host = name
 	}
 	return strings.ToLower(host)
 }
 
-// Service returns what is known of a service.
+// Service returns the configuration of a service.
 func (t *Table) Service(name string) (Service, bool) {
 	s, ok := t.services[name]
 	return s, ok
 }
 
-// Pick draws a service by the weights; it is empty where no share has weight.
+// Pick maps a random number to a service in proportion to the weights. It returns ""
+// if all weights are zero.
 func (r *Route) Pick(draw uint64) string {
 	sum := 0
 	for _, s := range r.Shares {
@@ -178,10 +179,10 @@
 	if sum == 0 {
 		return ""
 	}
-	left := int(draw % uint64(sum))
+	offset := int(draw % uint64(sum))
 	for _, s := range r.Shares {
-		left -= max(s.Weight, 0)
-		if left < 0 {
+		offset -= max(s.Weight, 0)
+		if offset < 0 {
 			return s.Service
 		}
 	}
--- a/route/route_test.go
+++ b/route/route_test.go
@@ -28,8 +28,8 @@
 	}
 }
 
-// TestPick holds that a split follows the weights, and that a share without
-// weight gets nothing.
+// TestPick checks that the split follows the weights and that a service with weight
+// zero gets no requests.
 func TestPick(t *testing.T) {
 	r := Route{
 		Shares: []Share{{Service: "a", Weight: 90}, {Service: "none"}, {Service: "b", Weight: 10}},
--- a/route/standing.go
+++ b/route/standing.go
@@ -1,23 +1,23 @@
 package route
 
-// Standing is where a rank stands among those that calls have under a table.
+// Standing is a rank's position among the ranks in use in a table.
 type Standing int
 
-// The standings, the first served first.
+// Standings, from the highest to the lowest priority.
 const (
 	StandingFirst Standing = iota
 	StandingMiddle
 	StandingLast
 )
 
-// middleRank is the first rank after the middle ones, whatever other ranks there are.
-const middleRank = 2
+// lastStandingRank is the lowest rank number that is always StandingLast.
+const lastStandingRank = 2
 
-// Standing returns where a rank stands. Ranks are an order and no measure: where the
-// operators give none but the first two, calls of the second make room for the others.
+// Standing classifies a rank relative to the lowest priority in use, so that a table
+// with only ranks 0 and 1 treats rank 1 as StandingLast.
 func (t *Table) Standing(rank int) Standing {
 	switch {
-	case rank >= min(t.lastRank, middleRank):
+	case rank >= min(t.lastRank, lastStandingRank):
 		return StandingLast
 	case rank <= 0:
 		return StandingFirst
@@ -26,20 +26,20 @@
 	}
 }
 
-// findLastRank returns the last rank that calls may have under the table.
-func (t *Table) findLastRank() int {
+// maxRank returns the highest rank number that a request can have under the table.
+func (t *Table) maxRank() int {
 	last := 0
-	routesCount := !t.keyed
+	routeRanksApply := !t.keyed
 	for i := range t.workspaces {
 		if rank := t.workspaces[i].Rank; rank != nil {
 			last = max(last, *rank)
 		} else {
-			routesCount = true
+			routeRanksApply = true
 		}
 	}
 	for _, list := range t.byHost {
 		for i := range list {
-			if routesCount || list[i].Public {
+			if routeRanksApply || list[i].Public {
 				last = max(last, list[i].Rank)
 			}
 		}
--- a/route/standing_test.go
+++ b/route/standing_test.go
@@ -9,14 +9,14 @@
 	"github.com/fuchsianotch/fuchsianotch/common/datatest"
 )
 
-// TestStanding holds that ranks stand by their order among those in force.
+// TestStanding checks that ranks are classified relative to the ranks in use.
 func TestStanding(t *testing.T) {
 	for _, c := range datatest.Read[[]struct {
 		Name       string
 		Routes     []int
 		Public     []int
 		Workspaces []*int
-		// Want are the standings of the ranks 0, 1 and 2.
+		// Want holds the standings of ranks 0, 1 and 2.
 		Want []Standing
 	}](t, "testdata/standing.json") {
 		t.Run(c.Name, func(t *testing.T) {
--- a/route/workspace.go
+++ b/route/workspace.go
@@ -7,63 +7,64 @@
 	"github.com/fuchsianotch/fuchsianotch/result"
 )
 
-// Workspace is what operators publish of one customer whose calls come under routes.
+// Workspace configures one customer: its API keys, priority, regions and rate limit.
 type Workspace struct {
 	Name string
-	// Keys admit the workspace's callers. A caller's key has such a digest.
+	// Keys holds the digests of the workspace's API keys.
 	Keys []apikey.Digest
-	// Rank goes before that of a route; nil means that the route's counts.
+	// Rank overrides the route's rank; nil keeps it.
 	Rank *int
-	// Homes are the regions that may serve the workspace; none means all.
+	// Homes lists the regions that may serve the workspace; empty means all.
 	Homes []string
 	Limit Limit
 }
 
-// Unit is what a limit counts.
+// Unit is the unit of a rate limit.
 type Unit string
 
-// The units of limits.
+// Units of rate limits.
 const (
 	UnitRequests Unit = "requests"
 	UnitTokens   Unit = "tokens"
 )
 
-// Limit bounds what all VMs together admit of one workspace.
+// Limit is the token bucket that all VMs together enforce for one workspace.
 type Limit struct {
 	Unit Unit
-	// PerSecond is the rate, in the limit's unit; zero means no limit.
+	// PerSecond is the refill rate, in units per second; zero means unlimited.
 	PerSecond float64
-	// Burst is what may be saved up, in the limit's unit.
+	// Burst is the bucket's capacity, in units.
 	Burst float64
-	// TokensUnknown is what a request counts that does not name its tokens.
+	// TokensUnknown is the cost of a request that does not state its tokens.
 	TokensUnknown float64
 }
 
-// IsZero reports whether nothing is limited.
+// IsZero reports whether the workspace is unlimited.
 func (l Limit) IsZero() bool {
 	return l.PerSecond <= 0
 }
 
-// Ask is what a request shows of itself before its body is read.
+// Ask holds what Admit needs of a request, all of it known before the body is read.
 type Ask struct {
 	Host string
 	Path string
-	// Key is the digest of the caller's key, zero where it presents none.
+	// Key is the digest of the caller's API key, or zero if there is none.
 	Key apikey.Digest
 }
 
-// Terms are what a request is served under.
+// Terms is the configuration that applies to an admitted request.
 type Terms struct {
 	Table *Table
 	Route *Route
-	// Workspace is nil where requests need no key.
+	// Workspace is nil if the request needs no API key.
 	Workspace *Workspace
-	// Homes are the regions that may serve the request; none means all.
+	// Homes lists the regions that may serve the request; empty means all.
 	Homes []string
 	Rank  int
 }
 
-// Admit finds the terms of a request. The codes of refusals are 2002, 2005 and 2009.
+// Admit matches a request to its route, authenticates it and returns the terms that
+// apply. Refusals have code 2002, 2005 or 2009.
 func (t *Table) Admit(a Ask) (Terms, *result.Refusal) {
 	found, ok := t.Match(a.Host, a.Path)
 	if !ok {
@@ -82,7 +83,7 @@
 	if !ok {
 		return Terms{}, result.Refuse(result.Unauthenticated, "the key is missing, malformed or unknown; expected one header Authorization: Bearer <key>")
 	}
-	homes, ok := commonHomes(found.Homes, workspace.Homes)
+	homes, ok := intersectHomes(found.Homes, workspace.Homes)
 	if !ok {
 		return Terms{}, result.Refuse(result.NoCommonHome, "no region is a home of both the route and the workspace")
 	}
@@ -94,25 +95,24 @@
 	return terms, nil
 }
 
-// Keyed reports whether requests on routes that are not public need a key.
+// Keyed reports whether requests on routes that are not public need an API key.
 func (t *Table) Keyed() bool {
 	return t.keyed
 }
 
-// Workspace returns the workspace of a name.
+// Workspace returns the workspace with the given name.
 func (t *Table) Workspace(name string) (*Workspace, bool) {
 	w, ok := t.byName[name]
 	return w, ok
 }
 
-// Workspaces returns all workspaces. They must not be changed.
+// Workspaces returns all workspaces. The caller must not modify the slice.
 func (t *Table) Workspaces() []Workspace {
 	return t.workspaces
 }
 
-// workspaceOf finds the workspace that holds a key. The index is by digest, so a
-// look-up takes the same for any number of workspaces, and how long it takes says
-// nothing of the key itself.
+// workspaceOf returns the workspace that a key belongs to. Lookups go by digest, so
+// that their duration reveals nothing about the key.
 func (t *Table) workspaceOf(key apikey.Digest) (*Workspace, bool) {
 	entry := t.byKey[key]
 	if !entry.digest.Equal(key) || key.IsZero() {
@@ -121,7 +121,7 @@
 	return entry.workspace, true
 }
 
-// keyEntry is one key with its holder.
+// keyEntry is an entry of the index by key.
 type keyEntry struct {
 	digest    apikey.Digest
 	workspace *Workspace
@@ -143,9 +143,9 @@
 	}
 }
 
-// commonHomes returns the regions that two lists of homes allow, where an empty
-// list allows all. It is false if there is none.
-func commonHomes(a, b []string) ([]string, bool) {
+// intersectHomes returns the regions that both lists allow; an empty list allows all.
+// ok is false if no region is in both.
+func intersectHomes(a, b []string) (homes []string, ok bool) {
 	if len(a) == 0 {
 		return b, true
 	}
--- a/route/workspace_test.go
+++ b/route/workspace_test.go
@@ -11,14 +11,14 @@
 	"github.com/fuchsianotch/fuchsianotch/result"
 )
 
-type workspaceRow struct {
+type workspaceCase struct {
 	Name  string
 	Keys  []string
 	Rank  *int
 	Homes []string
 }
 
-func (w workspaceRow) workspace() Workspace {
+func (w workspaceCase) workspace() Workspace {
 	out := Workspace{
 		Name:  w.Name,
 		Rank:  w.Rank,
@@ -40,12 +40,12 @@
 	Code      result.Code
 }
 
-// TestAdmit holds that a request is served under the workspace that holds its key,
-// in regions that are homes of both, and that a public route needs no key.
+// TestAdmit checks that a request gets the workspace of its API key and the regions
+// that route and workspace have in common, and that a public route needs no key.
 func TestAdmit(t *testing.T) {
 	data := datatest.Read[struct {
 		Routes     []Route
-		Workspaces []workspaceRow
+		Workspaces []workspaceCase
 		Cases      []admitCase
 	}](t, "testdata/admit.json")
 	o := Options{
@@ -59,7 +59,7 @@
 	table := New(o)
 	for _, c := range data.Cases {
 		t.Run(c.Name, func(t *testing.T) {
-			terms, refusal := table.Admit(ask(c.Path, c.Key))
+			terms, refusal := table.Admit(newRequest(c.Path, c.Key))
 			if c.Code != 0 {
 				assert.Assert(t, refusal != nil)
 				assert.Equal(t, refusal.Code, c.Code)
@@ -77,18 +77,18 @@
 	}
 }
 
-// TestAdmitWithoutKeys holds that a table without workspaces asks for no key.
+// TestAdmitWithoutKeys checks that a table without API keys requires none.
 func TestAdmitWithoutKeys(t *testing.T) {
 	table := New(Options{
 		Version: 1,
 		Routes:  []Route{{Host: "h", Prefix: "/a/"}},
 	})
-	terms, refusal := table.Admit(ask("/a/x", "any"))
+	terms, refusal := table.Admit(newRequest("/a/x", "any"))
 	assert.Assert(t, refusal == nil)
 	assert.Assert(t, terms.Workspace == nil)
 }
 
-func ask(path, key string) Ask {
+func newRequest(path, key string) Ask {
 	a := Ask{
 		Host: "h",
 		Path: path,
@@ -99,8 +99,7 @@
 	return a
 }
 
-// BenchmarkAdmit looks up a key among 16 and 15,000 workspaces of two keys: 182 and
-// 172 ns.
+// BenchmarkAdmit measures admission with 16 and with 15,000 workspaces of two keys each.
 func BenchmarkAdmit(b *testing.B) {
 	for _, count := range []int{16, 15000} {
 		b.Run(fmt.Sprint(count), func(b *testing.B) {
@@ -109,16 +108,16 @@
 				Keyed:  true,
 			}
 			for i := range count {
-				o.Workspaces = append(o.Workspaces, workspaceRow{
+				o.Workspaces = append(o.Workspaces, workspaceCase{
 					Name: fmt.Sprintf("w%d", i),
 					Keys: []string{fmt.Sprintf("a%d", i), fmt.Sprintf("b%d", i)},
 				}.workspace())
 			}
 			table := New(o)
-			asked := ask("/a/x", "a7")
+			request := newRequest("/a/x", "a7")
 			b.ReportAllocs()
 			for b.Loop() {
-				if _, refusal := table.Admit(asked); refusal != nil {
+				if _, refusal := table.Admit(request); refusal != nil {
 					b.Fatal(refusal)
 				}
 			}
