--- a/result/refusal.go
+++ b/result/refusal.go
@@ -8,17 +8,17 @@
 	"github.com/ansel1/merry/v2"
 )
 
-// Refusal is an error that carries a code to a caller, a peer or an operator.
+// Refusal is an error with a result code for a caller, a peer or an operator.
 type Refusal struct {
 	Code    Code
 	Message string
-	// ComeBackAt is when another try may succeed; zero means no such time is known.
+	// ComeBackAt is the earliest time at which a retry may succeed; zero means unknown.
 	ComeBackAt time.Time
-	// Cause is the error underneath, for operators only; it may be nil.
+	// Cause is the underlying error, shown to operators only; it may be nil.
 	Cause error
 }
 
-// Refuse makes a Refusal with a message for the one who asked.
+// Refuse returns a Refusal with a formatted message for its recipient.
 func Refuse(code Code, format string, args ...any) *Refusal {
 	return &Refusal{
 		Code:    code,
@@ -26,19 +26,19 @@
 	}
 }
 
-// Until returns the refusal with the time to come back set.
+// Until sets ComeBackAt and returns the refusal.
 func (r *Refusal) Until(at time.Time) *Refusal {
 	r.ComeBackAt = at
 	return r
 }
 
-// Because returns the refusal with its cause, which keeps its stack trace.
+// Because sets Cause, wrapped with a stack trace, and returns the refusal.
 func (r *Refusal) Because(cause error) *Refusal {
 	r.Cause = merry.Wrap(cause)
 	return r
 }
 
-// Error returns the code's number and name with the message.
+// Error returns the code, its name and the message.
 func (r *Refusal) Error() string {
 	return fmt.Sprintf("%d %s: %s", r.Code, r.Code, r.Message)
 }
@@ -48,7 +48,7 @@
 	return r.Cause
 }
 
-// Of returns the refusal inside err. An error without one becomes fallback.
+// Of returns the Refusal that err wraps, or a new one with code fallback and cause err.
 func Of(err error, fallback Code) *Refusal {
 	var r *Refusal
 	if errors.As(err, &r) {
--- a/result/result.go
+++ b/result/result.go
@@ -1,16 +1,17 @@
-// Package result numbers every outcome that the system reports. Each code
-// belongs to one class: done, not run, unknown, or refused document or setting.
+// Package result defines the result codes that the gateway reports. Each code
+// belongs to a class that says whether the call ran.
 package result
 
 import "net/http"
 
-// Code numbers one outcome. Codes are never reused.
+// Code is a result code. Codes of retired results are never reused.
 type Code int
 
-// Class says what a caller may conclude from a code.
+// Class says whether the call ran.
 type Class string
 
-// The classes. ClassNotRun is certain: nothing ran. ClassUnknown may have run.
+// Classes of result codes. ClassNotRun guarantees that nothing ran; with ClassUnknown
+// the call may have run. ClassRefused is for documents and settings.
 const (
 	ClassDone    Class = "done"
 	ClassNotRun  Class = "not_run"
@@ -22,7 +23,7 @@
 const (
 	Done     Code = 1000
 	Replayed Code = 1001
-	// FailurePassed is an endpoint's own failure, passed on as it is.
+	// FailurePassed is an error response of the endpoint, forwarded unchanged.
 	FailurePassed Code = 1002
 )
 
@@ -90,77 +91,77 @@
 	SettingFile         Code = 5004
 )
 
-// Info describes one code. HTTPStatus is zero where no caller ever sees it.
+// Info describes a code. HTTPStatus is zero for codes that callers never receive.
 type Info struct {
 	Code       Code   `json:"code"`
 	Name       string `json:"name"`
 	Class      Class  `json:"class"`
 	HTTPStatus int    `json:"http_status"`
 	Meaning    string `json:"meaning"`
-	// Advice is what the caller or operator should do.
+	// Advice says what the caller or operator should do.
 	Advice string `json:"advice"`
 }
 
 // Table lists every code in ascending order.
 var Table = []Info{
-	row(Done, "done", ClassDone, http.StatusOK, "The call ran and this is its whole answer.", "Nothing."),
-	row(Replayed, "replayed", ClassDone, http.StatusOK, "The ticket's call ran before; this is its recorded answer.", "Nothing."),
+	row(Done, "done", ClassDone, http.StatusOK, "The call ran and this is its whole answer.", "No action needed."),
+	row(Replayed, "replayed", ClassDone, http.StatusOK, "The ticket's call ran before; this is its recorded answer.", "No action needed."),
 	row(FailurePassed, "failure_passed", ClassDone, http.StatusOK, "The call ran and this is the endpoint's own failure, as it gave it.", "Read the endpoint's status."),
 
-	row(BadRequest, "bad_request", ClassNotRun, http.StatusBadRequest, "The request is malformed.", "Correct it."),
-	row(Unauthenticated, "unauthenticated", ClassNotRun, http.StatusUnauthorized, "The key is missing, unknown or ended.", "Use a key of the contract."),
-	row(BodyTooLarge, "body_too_large", ClassNotRun, http.StatusRequestEntityTooLarge, "The body is over the bound.", "Send less."),
+	row(BadRequest, "bad_request", ClassNotRun, http.StatusBadRequest, "The request is malformed.", "Correct the request."),
+	row(Unauthenticated, "unauthenticated", ClassNotRun, http.StatusUnauthorized, "The key is missing, unknown or ended.", "Use a valid key of the workspace."),
+	row(BodyTooLarge, "body_too_large", ClassNotRun, http.StatusRequestEntityTooLarge, "The body is over the bound.", "Send a smaller body."),
 	row(UnknownTarget, "unknown_target", ClassNotRun, http.StatusNotFound, "No such model or service.", "Correct the name."),
 	row(UnknownRoute, "unknown_route", ClassNotRun, http.StatusNotFound, "No such path.", "Correct the path."),
 	row(MethodNotAllowed, "method_not_allowed", ClassNotRun, http.StatusMethodNotAllowed, "The path does not take this method.", "Correct the method."),
-	row(NotInContract, "not_in_contract", ClassNotRun, http.StatusForbidden, "The contract does not allow this model or service.", "Ask the operator."),
-	row(BodyTooSlow, "body_too_slow", ClassNotRun, http.StatusRequestTimeout, "The body did not arrive in time.", "Send again."),
-	row(NoCommonHome, "no_common_home", ClassNotRun, http.StatusServiceUnavailable, "No region is a home of both the route and the workspace.", "Do not send it again; ask the operator."),
-	row(LimitRequests, "limit_requests", ClassNotRun, http.StatusTooManyRequests, "The contract's requests per second are used up.", "Come back at the given time."),
-	row(LimitTokens, "limit_tokens", ClassNotRun, http.StatusTooManyRequests, "The contract's tokens per second are used up.", "Come back at the given time."),
-	row(LimitSpend, "limit_spend", ClassNotRun, http.StatusTooManyRequests, "The contract's spend per hour is used up.", "Come back at the given time."),
-	row(LimitConcurrency, "limit_concurrency", ClassNotRun, http.StatusTooManyRequests, "The contract's calls in flight are all in use.", "Come back when a call has ended."),
-	row(LimitNoShare, "limit_no_share", ClassNotRun, http.StatusServiceUnavailable, "This VM holds no share of the workspace's limit now.", "Use the VMs named."),
-	row(LimitBorrow, "limit_borrow", ClassNotRun, http.StatusTooManyRequests, "The contract's borrowing share is used up.", "Come back at the given time."),
-	row(LimitEndpoint, "limit_endpoint", ClassNotRun, http.StatusServiceUnavailable, "The endpoints that could take the call have named a limit, which is used up.", "Come back at the given time."),
-	row(DeadlineUnmeetable, "deadline_unmeetable", ClassNotRun, http.StatusServiceUnavailable, "The deadline cannot be met now.", "Come back at the given time."),
-	row(QueueFull, "queue_full", ClassNotRun, http.StatusServiceUnavailable, "Too many calls wait already.", "Come back at the given time."),
-	row(NoEndpoint, "no_endpoint", ClassNotRun, http.StatusServiceUnavailable, "No endpoint of the target takes work in an allowed region.", "Come back at the given time."),
-	row(DeadlinePassed, "deadline_passed", ClassNotRun, http.StatusGatewayTimeout, "The deadline passed before the call was sent.", "Send again with a later deadline."),
-	row(NoSurplus, "no_surplus", ClassNotRun, http.StatusServiceUnavailable, "The other region has no surplus.", "Come back at the given time."),
-	row(RetryBudget, "retry_budget", ClassNotRun, http.StatusServiceUnavailable, "The endpoint refused and the retry budget is spent.", "Come back at the given time."),
-	row(EndpointRefused, "endpoint_refused", ClassNotRun, http.StatusServiceUnavailable, "The endpoint refused before running.", "Come back at the given time."),
-	row(Quarantined, "quarantined", ClassNotRun, http.StatusBadGateway, "The endpoints that ran this very call before crashed, so it is not sent to others.", "Do not send it again; change it, or ask the operator."),
-	row(WrongVM, "wrong_vm", ClassNotRun, http.StatusMisdirectedRequest, "Another VM serves this workspace.", "Use the VMs named."),
-	row(WrongRegion, "wrong_region", ClassNotRun, http.StatusMisdirectedRequest, "The contract does not allow this region; the body was not read.", "Use the VMs named."),
-	row(Stopping, "stopping", ClassNotRun, http.StatusServiceUnavailable, "This VM is stopping.", "Use the VMs named."),
+	row(NotInContract, "not_in_contract", ClassNotRun, http.StatusForbidden, "The contract does not allow this model or service.", "Contact the operator."),
+	row(BodyTooSlow, "body_too_slow", ClassNotRun, http.StatusRequestTimeout, "The body did not arrive in time.", "Retry."),
+	row(NoCommonHome, "no_common_home", ClassNotRun, http.StatusServiceUnavailable, "No region is a home of both the route and the workspace.", "Do not retry; contact the operator."),
+	row(LimitRequests, "limit_requests", ClassNotRun, http.StatusTooManyRequests, "The contract's requests per second are used up.", "Retry at the given time."),
+	row(LimitTokens, "limit_tokens", ClassNotRun, http.StatusTooManyRequests, "The contract's tokens per second are used up.", "Retry at the given time."),
+	row(LimitSpend, "limit_spend", ClassNotRun, http.StatusTooManyRequests, "The contract's spend per hour is used up.", "Retry at the given time."),
+	row(LimitConcurrency, "limit_concurrency", ClassNotRun, http.StatusTooManyRequests, "The contract's calls in flight are all in use.", "Retry when a call has finished."),
+	row(LimitNoShare, "limit_no_share", ClassNotRun, http.StatusServiceUnavailable, "This VM holds no share of the workspace's limit now.", "Use the listed VMs."),
+	row(LimitBorrow, "limit_borrow", ClassNotRun, http.StatusTooManyRequests, "The contract's borrowing share is used up.", "Retry at the given time."),
+	row(LimitEndpoint, "limit_endpoint", ClassNotRun, http.StatusServiceUnavailable, "The endpoints that could take the call have named a limit, which is used up.", "Retry at the given time."),
+	row(DeadlineUnmeetable, "deadline_unmeetable", ClassNotRun, http.StatusServiceUnavailable, "The deadline cannot be met now.", "Retry at the given time."),
+	row(QueueFull, "queue_full", ClassNotRun, http.StatusServiceUnavailable, "Too many calls wait already.", "Retry at the given time."),
+	row(NoEndpoint, "no_endpoint", ClassNotRun, http.StatusServiceUnavailable, "No endpoint of the target takes work in an allowed region.", "Retry at the given time."),
+	row(DeadlinePassed, "deadline_passed", ClassNotRun, http.StatusGatewayTimeout, "The deadline passed before the call was sent.", "Retry with a later deadline."),
+	row(NoSurplus, "no_surplus", ClassNotRun, http.StatusServiceUnavailable, "The other region has no surplus.", "Retry at the given time."),
+	row(RetryBudget, "retry_budget", ClassNotRun, http.StatusServiceUnavailable, "The endpoint refused and the retry budget is spent.", "Retry at the given time."),
+	row(EndpointRefused, "endpoint_refused", ClassNotRun, http.StatusServiceUnavailable, "The endpoint refused before running.", "Retry at the given time."),
+	row(Quarantined, "quarantined", ClassNotRun, http.StatusBadGateway, "The endpoints that ran this very call before crashed, so it is not sent to others.", "Do not retry unchanged; change the call or contact the operator."),
+	row(WrongVM, "wrong_vm", ClassNotRun, http.StatusMisdirectedRequest, "Another VM serves this workspace.", "Use the listed VMs."),
+	row(WrongRegion, "wrong_region", ClassNotRun, http.StatusMisdirectedRequest, "The contract does not allow this region; the body was not read.", "Use the listed VMs."),
+	row(Stopping, "stopping", ClassNotRun, http.StatusServiceUnavailable, "This VM is stopping.", "Use the listed VMs."),
 	row(NotReady, "not_ready", ClassNotRun, http.StatusServiceUnavailable, "This VM has no configuration yet.", "Use another VM."),
-	row(PeerUnreachable, "peer_unreachable", ClassNotRun, http.StatusServiceUnavailable, "The VM to forward to was not reached; nothing was sent.", "Use the VMs named."),
-	row(TicketRequired, "ticket_required", ClassNotRun, http.StatusPreconditionRequired, "A non-idempotent call needs a ticket; one is enclosed.", "Send again with the ticket."),
-	row(TicketInvalid, "ticket_invalid", ClassNotRun, http.StatusBadRequest, "The ticket is malformed or not genuine.", "Ask for a new ticket."),
-	row(TicketExpired, "ticket_expired", ClassNotRun, http.StatusGone, "The ticket's time is over and it was never used.", "Ask for a new ticket."),
-	row(TicketMismatch, "ticket_mismatch", ClassNotRun, http.StatusConflict, "The ticket was used for another call.", "Ask for a new ticket."),
-	row(RecordsFull, "records_full", ClassNotRun, http.StatusServiceUnavailable, "The VM cannot record one more answer.", "Come back at the given time."),
-
-	row(EndpointCut, "endpoint_cut", ClassUnknown, http.StatusBadGateway, "The endpoint cut the answer short.", "The call may have run; check before a repeat."),
-	row(EndpointTimeout, "endpoint_timeout", ClassUnknown, http.StatusGatewayTimeout, "The deadline passed after the call was sent.", "The call may have run; check before a repeat."),
-	row(AnswerCrossed, "answer_crossed", ClassUnknown, http.StatusBadGateway, "The endpoint answered with another call's answer.", "The call may have run; check before a repeat."),
-	row(EndpointFailed, "endpoint_failed", ClassUnknown, http.StatusBadGateway, "The endpoint failed after the call was sent.", "The call may have run; check before a repeat."),
-	row(ExecutorGone, "executor_gone", ClassUnknown, http.StatusBadGateway, "The ticket's executor is gone, or could not be asked.", "Send again with the same ticket; if that does not help, check before a repeat."),
-	row(PeerLost, "peer_lost", ClassUnknown, http.StatusBadGateway, "The VM that had the call was lost.", "Send again with the same ticket; without one, check first."),
-	row(RecordLost, "record_lost", ClassUnknown, http.StatusBadGateway, "The call ran or may have run, and its answer is no longer held.", "The call may have run; check before a repeat."),
-
-	row(DocumentSyntax, "document_syntax", ClassRefused, 0, "The document is not JSON with comments.", "Correct the place named."),
-	row(DocumentUnknown, "document_unknown", ClassRefused, 0, "The document has a field that is not known.", "Remove or correct the field."),
-	row(DocumentFormat, "document_format", ClassRefused, 0, "The document's format version is not read by this build.", "Publish the format named."),
-	row(DocumentField, "document_field", ClassRefused, 0, "A field's value is missing or wrong.", "Correct the field named."),
-	row(DocumentDuplicate, "document_duplicate", ClassRefused, 0, "A name stands twice.", "Remove one."),
-	row(DocumentTooLarge, "document_too_large", ClassRefused, 0, "The document is over one megabyte.", "Use more buckets."),
-	row(DocumentKey, "document_key", ClassRefused, 0, "The document's key is not one of the known keys.", "Publish under a known key."),
-	row(SettingSyntax, "setting_syntax", ClassRefused, 0, "The settings file is not JSON with comments.", "Correct the place named."),
-	row(SettingUnknownField, "setting_unknown_field", ClassRefused, 0, "The settings file has a field that is not known.", "Remove or correct the field."),
-	row(SettingValue, "setting_value", ClassRefused, 0, "A setting's value is missing or wrong.", "Correct the field named."),
-	row(SettingFile, "setting_file", ClassRefused, 0, "The settings file cannot be read.", "Correct the path or its rights."),
+	row(PeerUnreachable, "peer_unreachable", ClassNotRun, http.StatusServiceUnavailable, "The VM to forward to was not reached; nothing was sent.", "Use the listed VMs."),
+	row(TicketRequired, "ticket_required", ClassNotRun, http.StatusPreconditionRequired, "A non-idempotent call needs a ticket; one is enclosed.", "Retry with the ticket."),
+	row(TicketInvalid, "ticket_invalid", ClassNotRun, http.StatusBadRequest, "The ticket is malformed or not genuine.", "Request a new ticket."),
+	row(TicketExpired, "ticket_expired", ClassNotRun, http.StatusGone, "The ticket's time is over and it was never used.", "Request a new ticket."),
+	row(TicketMismatch, "ticket_mismatch", ClassNotRun, http.StatusConflict, "The ticket was used for another call.", "Request a new ticket."),
+	row(RecordsFull, "records_full", ClassNotRun, http.StatusServiceUnavailable, "The VM cannot record one more answer.", "Retry at the given time."),
+
+	row(EndpointCut, "endpoint_cut", ClassUnknown, http.StatusBadGateway, "The endpoint cut the answer short.", "The call may have run; check before retrying."),
+	row(EndpointTimeout, "endpoint_timeout", ClassUnknown, http.StatusGatewayTimeout, "The deadline passed after the call was sent.", "The call may have run; check before retrying."),
+	row(AnswerCrossed, "answer_crossed", ClassUnknown, http.StatusBadGateway, "The endpoint answered with another call's answer.", "The call may have run; check before retrying."),
+	row(EndpointFailed, "endpoint_failed", ClassUnknown, http.StatusBadGateway, "The endpoint failed after the call was sent.", "The call may have run; check before retrying."),
+	row(ExecutorGone, "executor_gone", ClassUnknown, http.StatusBadGateway, "The ticket's executor is gone, or could not be asked.", "Retry with the same ticket; if that does not help, check before retrying."),
+	row(PeerLost, "peer_lost", ClassUnknown, http.StatusBadGateway, "The VM that had the call was lost.", "Retry with the same ticket; without one, check first."),
+	row(RecordLost, "record_lost", ClassUnknown, http.StatusBadGateway, "The call ran or may have run, and its answer is no longer held.", "The call may have run; check before retrying."),
+
+	row(DocumentSyntax, "document_syntax", ClassRefused, 0, "The document is not JSON with comments.", "Correct the reported location."),
+	row(DocumentUnknown, "document_unknown", ClassRefused, 0, "The document has an unknown field.", "Remove or correct the field."),
+	row(DocumentFormat, "document_format", ClassRefused, 0, "This build does not support the document's format version.", "Publish the supported format."),
+	row(DocumentField, "document_field", ClassRefused, 0, "A field is missing or has an invalid value.", "Correct the reported field."),
+	row(DocumentDuplicate, "document_duplicate", ClassRefused, 0, "A name or field occurs twice.", "Remove the duplicate."),
+	row(DocumentTooLarge, "document_too_large", ClassRefused, 0, "The document is larger than 1 MiB.", "Use more buckets."),
+	row(DocumentKey, "document_key", ClassRefused, 0, "The document's key is unknown.", "Publish under a known key."),
+	row(SettingSyntax, "setting_syntax", ClassRefused, 0, "The settings file is not JSON with comments.", "Correct the reported location."),
+	row(SettingUnknownField, "setting_unknown_field", ClassRefused, 0, "The settings file has an unknown field.", "Remove or correct the field."),
+	row(SettingValue, "setting_value", ClassRefused, 0, "A setting is missing or has an invalid value.", "Correct the reported field."),
+	row(SettingFile, "setting_file", ClassRefused, 0, "The settings file cannot be read.", "Correct the path or the file's permissions."),
 }
 
 func row(code Code, name string, class Class, status int, meaning, advice string) Info {
@@ -180,9 +181,9 @@
 	return info, ok
 }
 
-var byCode = index(Table)
+var byCode = indexByCode(Table)
 
-func index(rows []Info) map[Code]Info {
+func indexByCode(rows []Info) map[Code]Info {
 	m := make(map[Code]Info, len(rows))
 	for _, r := range rows {
 		m[r.Code] = r
--- a/result/result_test.go
+++ b/result/result_test.go
@@ -16,8 +16,8 @@
 
 const pagePath = "../docs/result-codes.md"
 
-// TestTable checks what no compiler sees: order, unique names, and a class and
-// a status that go with the number.
+// TestTable checks that codes are in ascending order with unique names, and that class
+// and HTTP status match the code's range.
 func TestTable(t *testing.T) {
 	classes := map[Code]Class{1: ClassDone, 2: ClassNotRun, 3: ClassUnknown, 4: ClassRefused, 5: ClassRefused}
 	name := regexp.MustCompile(`^[a-z]+(_[a-z]+)*$`)
@@ -40,8 +40,8 @@
 	assert.Equal(t, Code(9999).String(), "unknown_code")
 }
 
-// TestConstantsAreInTable reads the constants from the source, so that one
-// without a row is found.
+// TestConstantsAreInTable parses the constants from the source to find codes without
+// an entry in Table.
 func TestConstantsAreInTable(t *testing.T) {
 	source, err := os.ReadFile("result.go")
 	assert.NilError(t, err)
@@ -52,7 +52,7 @@
 	}
 }
 
-// TestPage checks that docs/result-codes.md is what WriteMarkdown writes.
+// TestPage checks that docs/result-codes.md is up to date.
 func TestPage(t *testing.T) {
 	var b strings.Builder
 	assert.NilError(t, WriteMarkdown(&b))
