--- a/discovery/discovery.go
+++ b/discovery/discovery.go
@@ -1,7 +1,6 @@
-// Package discovery turns what the store publishes into what a VM acts on: the
-// table of routes, which never goes back, the endpoints that take new work,
-// and the data centres that are evacuated. It is pure control state: time
-// comes in as an argument.
+// Package discovery maintains a VM's view of the configuration store: the routing
+// table, the endpoints that accept new calls and the data centres that are evacuated.
+// It does no I/O and takes the current time as an argument.
 package discovery
 
 import (
@@ -13,138 +12,141 @@
 	"github.com/fuchsianotch/fuchsianotch/route"
 )
 
-// Change is one decoded item. Exactly one of the pointers is set.
+// Change is a decoded item of the store.
 type Change struct {
 	Key     string
 	Removed bool
-	// Table is a newer configuration.
+	// Table is set for a routing table.
 	Table *route.Table
-	// Endpoint is an endpoint's entry; on a removal only its id is set.
+	// Endpoint is set for an endpoint's entry; only its id is set if the entry was
+	// removed or is unreadable.
 	Endpoint *Endpoint
-	// Unreadable says that the entry names no endpoint that could be used; only its
-	// id is set.
+	// Unreadable says that the endpoint's entry could not be decoded.
 	Unreadable bool
-	// Evacuated names a data centre that gets no new work until the removal.
+	// Evacuated is set for an evacuated data centre, which gets no new calls until the
+	// item is removed.
 	Evacuated string
 }
 
-// Endpoint is one endpoint's entry.
+// Endpoint is an endpoint's entry in the store.
 type Endpoint struct {
 	fleet.Endpoint
-	// ColdFor is how long the endpoint stays cold from when the entry was written.
+	// ColdFor is how long the endpoint stays cold after the entry was written.
 	ColdFor time.Duration
-	// Remaining is how long a leaving endpoint still runs; zero means unknown.
+	// Remaining is how long a draining endpoint keeps running; zero means unknown.
 	Remaining time.Duration
-	// Seq counts the entries that one life of the endpoint wrote.
+	// Seq is the sequence number of the entry within the endpoint's incarnation.
 	Seq uint64
 }
 
-// Options set up a State.
+// Options configures a State.
 type Options struct {
-	// Grace is how long an entry that lapsed around an outage of the store may
-	// stay away before its endpoint counts as gone.
+	// Grace is how long an endpoint is kept after its entry expired during or shortly
+	// after an outage of the store.
 	Grace time.Duration
 }
 
-// State is what a VM knows from the store. It is not safe for concurrent use.
+// State is a VM's view of the store. It is not safe for concurrent use.
 type State struct {
 	grace     time.Duration
 	table     *route.Table
-	endpoints map[string]*known
-	// lives holds the newest word of each endpoint, also for a while after its removal.
-	lives     map[string]life
+	endpoints map[string]*endpointState
+	// versions holds the newest version of each endpoint's entry, for a while also after
+	// its removal.
+	versions  map[string]entryVersion
 	evacuated map[string]bool
-	// away is set while the store cannot be read; settled is when entries that
-	// lapsed during its last outage must be back.
-	away    bool
-	settled time.Time
+	// storeLost is set while the store cannot be read; graceEndsAt is when entries that
+	// expired during its last outage are removed unless they were renewed.
+	storeLost   bool
+	graceEndsAt time.Time
 }
 
-// known is an endpoint with its deadlines.
-type known struct {
+// endpointState is an endpoint with the times at which its state changes.
+type endpointState struct {
 	fleet.Endpoint
 	coldUntil time.Time
-	// coldNumber numbers the endpoint's own words that it is cold; zero means that
-	// only the store has told it.
-	coldNumber uint64
-	// unreachedUntil is until when the endpoint counts as not answering.
-	unreachedUntil time.Time
-	// goneAt is set while the entry is missing.
-	goneAt time.Time
-	// endsAt is when a leaving endpoint stops, if it said so.
-	endsAt time.Time
+	// coldReportNumber is the number of the endpoint's last own report that it is cold;
+	// zero means that only the store has reported it.
+	coldReportNumber uint64
+	// unreachableUntil is the time until which the endpoint counts as unreachable.
+	unreachableUntil time.Time
+	// removeAt is set while the entry is missing from the store.
+	removeAt time.Time
+	// stopsAt is when a draining endpoint stops; zero means unknown.
+	stopsAt time.Time
 }
 
-// New makes an empty State.
+// New returns an empty State.
 func New(o Options) *State {
 	return &State{
 		grace:     o.Grace,
-		endpoints: make(map[string]*known),
-		lives:     make(map[string]life),
+		endpoints: make(map[string]*endpointState),
+		versions:  make(map[string]entryVersion),
 		evacuated: make(map[string]bool),
 	}
 }
 
-// SetGrace changes the grace for entries that lapse from now on.
+// SetGrace sets the grace period for entries that expire from now on.
 func (s *State) SetGrace(grace time.Duration) {
 	s.grace = grace
 }
 
-// StoreLost records that the store could not be read, and says whether that is new.
+// StoreLost records a failed read of the store. It reports whether this is the first
+// since the last successful one.
 func (s *State) StoreLost() bool {
-	was := s.away
-	s.away = true
+	was := s.storeLost
+	s.storeLost = true
 	return !was
 }
 
-// StoreBack records a successful read. It is to be called before the changes
-// that the read brought are taken. It says whether the store was lost before.
+// StoreBack records a successful read of the store and reports whether it ends an
+// outage. It must be called before the changes that were read are applied.
 func (s *State) StoreBack(now time.Time) bool {
-	if !s.away {
+	if !s.storeLost {
 		return false
 	}
-	s.away = false
-	s.settled = now.Add(s.grace)
+	s.storeLost = false
+	s.graceEndsAt = now.Add(s.grace)
 	return true
 }
 
-// Settling returns how long entries that lapsed in an outage may still come back.
+// Settling returns the rest of the grace period for entries that expired in an outage.
 func (s *State) Settling(now time.Time) time.Duration {
-	if s.away {
+	if s.storeLost {
 		return s.grace
 	}
-	return max(s.settled.Sub(now), 0)
+	return max(s.graceEndsAt.Sub(now), 0)
 }
 
-// SettleUntil takes that time from another VM, from which removals come.
+// SettleUntil extends the grace period to that of the peer that removals come from.
 func (s *State) SettleUntil(at time.Time) {
-	if at.After(s.settled) {
-		s.settled = at
+	if at.After(s.graceEndsAt) {
+		s.graceEndsAt = at
 	}
 }
 
-// Take applies one change and says whether it made a difference.
+// Take applies a change and reports whether it modified the state.
 func (s *State) Take(c Change, now time.Time) bool {
 	switch {
 	case c.Table != nil:
-		return s.takeTable(c.Table)
+		return s.applyTable(c.Table)
 	case c.Evacuated != "":
 		was := s.evacuated[c.Evacuated]
 		s.evacuated[c.Evacuated] = !c.Removed
 		return was == c.Removed
 	case c.Endpoint != nil && c.Removed:
-		return s.remove(c.Endpoint.ID, now)
+		return s.removeEndpoint(c.Endpoint.ID, now)
 	case c.Endpoint != nil && c.Unreadable:
-		return s.drop(c.Endpoint.ID, now)
+		return s.dropEndpoint(c.Endpoint.ID, now)
 	case c.Endpoint != nil:
-		return s.put(*c.Endpoint, now)
+		return s.putEndpoint(*c.Endpoint, now)
 	default:
 		return false
 	}
 }
 
-// takeTable takes a table only if it is newer, whoever sent it.
-func (s *State) takeTable(t *route.Table) bool {
+// applyTable replaces the table if the given one is newer.
+func (s *State) applyTable(t *route.Table) bool {
 	if s.table != nil && t.Version <= s.table.Version {
 		return false
 	}
@@ -152,142 +154,142 @@
 	return true
 }
 
-// put takes an endpoint's entry, unless a later one of it is known.
-func (s *State) put(e Endpoint, now time.Time) bool {
-	if !s.lives[e.ID].allows(e) {
+// putEndpoint stores an endpoint's entry unless a newer one is known.
+func (s *State) putEndpoint(e Endpoint, now time.Time) bool {
+	if !s.versions[e.ID].accepts(e) {
 		return false
 	}
-	s.lives[e.ID] = life{
+	s.versions[e.ID] = entryVersion{
 		incarnation: e.Incarnation,
 		seq:         e.Seq,
 	}
-	k := &known{
+	k := &endpointState{
 		Endpoint: e.Endpoint,
 	}
 	if e.ColdFor > 0 {
 		k.coldUntil = now.Add(e.ColdFor)
 	}
 	if e.Remaining > 0 {
-		k.endsAt = now.Add(e.Remaining)
+		k.stopsAt = now.Add(e.Remaining)
 	}
 	s.endpoints[e.ID] = k
 	return true
 }
 
-// Cold takes an endpoint's own word, told to this VM, that it is cold until a
-// moment, and says whether that is new. It matters while the store, which tells
-// it too, is away.
+// Cold records an endpoint's own report to this VM that it is cold, and returns whether
+// the report is new. The store reports it too, but not during an outage.
 func (s *State) Cold(id string, until, now time.Time) bool {
 	k, ok := s.endpoints[id]
 	if !ok || !until.After(now) || !k.extendCold(until) {
 		return false
 	}
-	k.coldNumber++
+	k.coldReportNumber++
 	return true
 }
 
-// HeardCold takes such a word from another VM, and says whether it is new. Each
-// is late by the way that it came, so one that is known already never counts as
-// a longer one: VMs with slow ways between them would tell it each other for good.
+// HeardCold records a cold report that a peer forwarded, and returns whether it is new.
+// A known report never extends the cold period: network latency shifts its end, so VMs
+// would forward it to each other forever.
 func (s *State) HeardCold(id string, number uint64, until, now time.Time) bool {
 	k, ok := s.endpoints[id]
 	if !ok || !until.After(now) {
 		return false
 	}
-	if number <= k.coldNumber && now.Before(k.coldUntil.Add(coldForgotten)) {
+	if number <= k.coldReportNumber && now.Before(k.coldUntil.Add(coldReportRetention)) {
 		return false
 	}
-	k.coldNumber = number
+	k.coldReportNumber = number
 	return k.extendCold(until)
 }
 
-// Unreached takes that an endpoint did not answer the VM of the region that asks it,
-// and is to get no calls until a moment. It says whether that is new.
+// Unreached records that an endpoint did not answer the VM of the region that probes it,
+// and returns whether this is new. The endpoint gets no calls until the given time.
 func (s *State) Unreached(id string, until, now time.Time) bool {
 	k, ok := s.endpoints[id]
-	if !ok || !until.After(now) || until.Sub(k.unreachedUntil) < unreachedNewer {
+	if !ok || !until.After(now) || until.Sub(k.unreachableUntil) < minUnreachableExtension {
 		return false
 	}
-	k.unreachedUntil = until
+	k.unreachableUntil = until
 	return true
 }
 
-// unreachedNewer is by how much such a word must be longer to be told to others: ten
-// times what the way of one between two VMs makes it longer.
-const unreachedNewer = time.Second
+// minUnreachableExtension is the smallest extension that counts as new; it exceeds the
+// shift that network latency adds to a forwarded report.
+const minUnreachableExtension = time.Second
 
 const (
-	// coldNewer is by how much an endpoint's word must be longer to be told to
-	// others: two answers differ by the time that they were under way.
-	coldNewer = 300 * time.Millisecond
-	// coldForgotten is how long after its end a word is known: ten times the
-	// longest exchange, so that none still under way brings it back. A VM that
-	// asks an endpoint and began anew numbers from the start, which counts after that.
-	coldForgotten = 10 * time.Second
+	// minColdExtension is the smallest extension that counts as new; it exceeds the
+	// difference in latency between two answers of an endpoint.
+	minColdExtension = 300 * time.Millisecond
+	// coldReportRetention is how long a report's number is remembered after the report's
+	// end, so that a delayed copy does not renew it. A restarted VM numbers its reports
+	// from 1 again; they are accepted after this time.
+	coldReportRetention = 10 * time.Second
 )
 
-func (k *known) extendCold(until time.Time) bool {
-	if until.Sub(k.coldUntil) < coldNewer {
+func (k *endpointState) extendCold(until time.Time) bool {
+	if until.Sub(k.coldUntil) < minColdExtension {
 		return false
 	}
 	k.coldUntil = until
 	return true
 }
 
-// remove takes an entry's removal. Around an outage of the store it may mean
-// that the endpoint could not renew it, so it is given time to come back.
-func (s *State) remove(id string, now time.Time) bool {
+// removeEndpoint handles the removal of an entry. During or shortly after an outage of
+// the store, the endpoint may have been unable to renew it, so a grace period applies.
+func (s *State) removeEndpoint(id string, now time.Time) bool {
 	k, ok := s.endpoints[id]
 	if !ok {
 		return false
 	}
 	switch {
-	case s.away:
-		k.goneAt = now.Add(s.grace)
-	case now.Before(s.settled):
-		k.goneAt = s.settled
+	case s.storeLost:
+		k.removeAt = now.Add(s.grace)
+	case now.Before(s.graceEndsAt):
+		k.removeAt = s.graceEndsAt
 	default:
-		s.forget(id, now)
+		s.deleteEndpoint(id, now)
 	}
 	return true
 }
 
-// drop takes an endpoint out whose entry can no longer be read. Nothing can be
-// sent to what no entry names, so no grace applies.
-func (s *State) drop(id string, now time.Time) bool {
+// dropEndpoint removes an endpoint whose entry cannot be decoded. No grace period
+// applies, because the endpoint's address is unknown.
+func (s *State) dropEndpoint(id string, now time.Time) bool {
 	if _, ok := s.endpoints[id]; !ok {
 		return false
 	}
-	s.forget(id, now)
+	s.deleteEndpoint(id, now)
 	return true
 }
 
-func (s *State) forget(id string, now time.Time) {
+func (s *State) deleteEndpoint(id string, now time.Time) {
 	delete(s.endpoints, id)
-	l := s.lives[id]
-	l.forgetAt = now.Add(lifeKept)
-	s.lives[id] = l
+	version := s.versions[id]
+	version.expiresAt = now.Add(versionRetention)
+	s.versions[id] = version
 }
 
-// Step forgets the endpoints whose time is over.
+// Step removes endpoints whose grace period is over and expired versions.
 func (s *State) Step(now time.Time) {
 	for id, k := range s.endpoints {
-		if !k.goneAt.IsZero() && !now.Before(k.goneAt) {
-			s.forget(id, now)
+		if !k.removeAt.IsZero() && !now.Before(k.removeAt) {
+			s.deleteEndpoint(id, now)
 		}
 	}
-	for id, l := range s.lives {
-		if !l.forgetAt.IsZero() && !now.Before(l.forgetAt) {
-			delete(s.lives, id)
+	for id, version := range s.versions {
+		if !version.expiresAt.IsZero() && !now.Before(version.expiresAt) {
+			delete(s.versions, id)
 		}
 	}
 }
 
-// Next is when Step or the endpoints' states change by themselves; zero means never.
+// Next returns the earliest time after now at which an endpoint is removed, becomes warm
+// or counts as reachable again; zero means never.
 func (s *State) Next(now time.Time) time.Time {
 	var next time.Time
 	for _, k := range s.endpoints {
-		for _, at := range []time.Time{k.goneAt, k.coldUntil, k.unreachedUntil} {
+		for _, at := range []time.Time{k.removeAt, k.coldUntil, k.unreachableUntil} {
 			if at.After(now) && (next.IsZero() || at.Before(next)) {
 				next = at
 			}
@@ -296,57 +298,57 @@
 	return next
 }
 
-// Table is the newest table, nil while none is known.
+// Table returns the newest routing table, or nil if none is known.
 func (s *State) Table() *route.Table {
 	return s.table
 }
 
-// Ready is an endpoint that takes new work, cold ones only at a low rate.
+// Ready is an endpoint that accepts new calls, at a low rate while it is cold.
 type Ready struct {
 	fleet.Endpoint
 	// ColdUntil is zero for a warm endpoint.
 	ColdUntil time.Time
-	// ColdNumber is that of the endpoint's word for it, zero where there is none.
+	// ColdNumber is the number of the endpoint's own cold report; zero means none.
 	ColdNumber uint64
-	// UnreachedUntil is set for an endpoint that does not answer.
+	// UnreachedUntil is zero for a reachable endpoint.
 	UnreachedUntil time.Time
 }
 
-// Held returns those of Endpoints that get few calls or none now, as they are cold or do
-// not answer, in no order.
+// Held returns the endpoints of Endpoints that are cold or unreachable, in no particular
+// order.
 func (s *State) Held(now time.Time) []Ready {
 	var out []Ready
 	for _, k := range s.endpoints {
-		if s.takesWork(k) && (k.coldUntil.After(now) || k.unreachedUntil.After(now)) {
+		if s.acceptsCalls(k) && (k.coldUntil.After(now) || k.unreachableUntil.After(now)) {
 			out = append(out, k.ready(now))
 		}
 	}
 	return out
 }
 
-func (s *State) takesWork(k *known) bool {
+func (s *State) acceptsCalls(k *endpointState) bool {
 	return k.State == fleet.StateLive && !s.evacuated[k.DataCentre]
 }
 
-func (k *known) ready(now time.Time) Ready {
+func (k *endpointState) ready(now time.Time) Ready {
 	r := Ready{
 		Endpoint: k.Endpoint,
 	}
 	if k.coldUntil.After(now) {
 		r.ColdUntil = k.coldUntil
-		r.ColdNumber = k.coldNumber
+		r.ColdNumber = k.coldReportNumber
 	}
-	if k.unreachedUntil.After(now) {
-		r.UnreachedUntil = k.unreachedUntil
+	if k.unreachableUntil.After(now) {
+		r.UnreachedUntil = k.unreachableUntil
 	}
 	return r
 }
 
-// Endpoints returns the endpoints that take new work, by id.
+// Endpoints returns the endpoints that accept new calls, sorted by id.
 func (s *State) Endpoints(now time.Time) []Ready {
 	out := make([]Ready, 0, len(s.endpoints))
 	for _, k := range s.endpoints {
-		if s.takesWork(k) {
+		if s.acceptsCalls(k) {
 			out = append(out, k.ready(now))
 		}
 	}
--- a/discovery/discovery_test.go
+++ b/discovery/discovery_test.go
@@ -20,11 +20,11 @@
 
 type step struct {
 	Put, In, State, Cold string
-	// Incarnation and Seq order the entries of an endpoint that starts again.
+	// Incarnation and Seq order the entries of a restarted endpoint.
 	Incarnation int64
 	Seq         uint64
 	Unreadable  string
-	// Unreached did not answer, for so Long.
+	// Unreached names an endpoint that counts as unreachable for Long.
 	Unreached, Long string
 	SaysCold        string `json:"says_cold"`
 	Remove          string
@@ -42,7 +42,7 @@
 			now := time.Unix(1e9, 0)
 			s := New(Options{Grace: 2 * time.Second})
 			for _, step := range c.Steps {
-				now = play(t, s, step, now)
+				now = applyStep(t, s, step, now)
 				s.Step(now)
 			}
 			got := []string{}
@@ -64,17 +64,17 @@
 	}
 }
 
-func play(t *testing.T, s *State, step step, now time.Time) time.Time {
+func applyStep(t *testing.T, s *State, step step, now time.Time) time.Time {
 	t.Helper()
 	switch {
 	case step.Put != "":
-		s.Take(Change{Endpoint: endpointOf(t, step)}, now)
+		s.Take(Change{Endpoint: newEndpoint(t, step)}, now)
 	case step.Unreadable != "":
 		s.Take(Change{Unreadable: true, Endpoint: &Endpoint{Endpoint: fleet.Endpoint{ID: step.Unreadable}}}, now)
 	case step.Unreached != "":
-		s.Unreached(step.Unreached, now.Add(duration(t, step.Long)), now)
+		s.Unreached(step.Unreached, now.Add(parseDuration(t, step.Long)), now)
 	case step.SaysCold != "":
-		s.Cold(step.SaysCold, now.Add(duration(t, step.Cold)), now)
+		s.Cold(step.SaysCold, now.Add(parseDuration(t, step.Cold)), now)
 	case step.Remove != "":
 		s.Take(Change{Removed: true, Endpoint: &Endpoint{Endpoint: fleet.Endpoint{ID: step.Remove}}}, now)
 	case step.Store == "lost":
@@ -90,12 +90,12 @@
 	case step.OtherKey:
 		s.Take(Change{Key: "other", Removed: true}, now)
 	case step.Wait != "":
-		return now.Add(duration(t, step.Wait))
+		return now.Add(parseDuration(t, step.Wait))
 	}
 	return now
 }
 
-func endpointOf(t *testing.T, step step) *Endpoint {
+func newEndpoint(t *testing.T, step step) *Endpoint {
 	t.Helper()
 	e := &Endpoint{
 		Endpoint: fleet.Endpoint{
@@ -110,12 +110,12 @@
 		e.State = fleet.State(step.State)
 	}
 	if step.Cold != "" {
-		e.ColdFor = duration(t, step.Cold)
+		e.ColdFor = parseDuration(t, step.Cold)
 	}
 	return e
 }
 
-func duration(t *testing.T, text string) time.Duration {
+func parseDuration(t *testing.T, text string) time.Duration {
 	t.Helper()
 	d, err := time.ParseDuration(text)
 	assert.NilError(t, err)
--- a/discovery/mirror.go
+++ b/discovery/mirror.go
@@ -2,12 +2,11 @@
 
 import "slices"
 
-// tombstonesKept bounds the removals that a mirror remembers for its readers;
-// one that is further behind gets everything. It covers the changes of some
-// minutes of a site in turmoil.
-const tombstonesKept = 512
+// maxTombstones is the number of removals that a mirror keeps for its readers. A reader
+// that is further behind gets a full snapshot.
+const maxTombstones = 512
 
-// Item is one published item, or its removal.
+// Item is an item of the store, or its removal.
 type Item struct {
 	Key      string
 	Revision uint64
@@ -15,45 +14,45 @@
 	Removed  bool
 }
 
-// Mirror holds the store's items with its revision, from the store itself or
-// from a peer's mirror. It never goes back. It is not safe for concurrent use.
+// Mirror is a copy of the store's items, read from the store or from a peer's mirror.
+// Its revision never decreases. It is not safe for concurrent use.
 type Mirror struct {
 	revision uint64
 	items    map[string]Item
-	// tombstones are removals in the order of their revisions; those up to
-	// forgotten are no longer known.
-	tombstones []Item
-	forgotten  uint64
+	// tombstones holds removals in the order of their revisions; those up to
+	// compactedRevision were discarded.
+	tombstones        []Item
+	compactedRevision uint64
 }
 
-// NewMirror makes an empty mirror.
+// NewMirror returns an empty mirror.
 func NewMirror() *Mirror {
 	return &Mirror{
 		items: make(map[string]Item),
 	}
 }
 
-// Revision is the store's revision up to which the mirror is complete.
+// Revision returns the store revision up to which the mirror is complete.
 func (m *Mirror) Revision() uint64 {
 	return m.revision
 }
 
-// Apply takes changes up to a revision and gives those that were new.
+// Apply applies changes up to a revision and returns those that were new.
 func (m *Mirror) Apply(changes []Item, revision uint64) []Item {
-	var fresh []Item
+	var applied []Item
 	for _, c := range changes {
-		if m.take(c) {
-			fresh = append(fresh, c)
+		if m.applyItem(c) {
+			applied = append(applied, c)
 		}
 	}
 	m.revision = max(m.revision, revision)
-	return fresh
+	return applied
 }
 
-// Replace takes all items as of a revision: what the mirror holds beyond them
-// was removed. A picture older than the mirror's changes nothing. What came and
-// went between the two is not in it, so a peer that is behind it gets everything:
-// it may hold what this mirror never knew.
+// Replace applies a full snapshot at a revision and returns the changes: items that are
+// not in it were removed. A snapshot older than the mirror is ignored. It lacks items
+// that were added and removed in between, which a peer may hold, so peers behind it also
+// get a full snapshot.
 func (m *Mirror) Replace(items []Item, revision uint64) []Item {
 	if revision < m.revision {
 		return nil
@@ -72,11 +71,11 @@
 			})
 		}
 	}
-	m.forgotten = max(m.forgotten, revision)
+	m.compactedRevision = max(m.compactedRevision, revision)
 	return m.Apply(changes, revision)
 }
 
-func (m *Mirror) take(c Item) bool {
+func (m *Mirror) applyItem(c Item) bool {
 	held, ok := m.items[c.Key]
 	if ok && held.Revision >= c.Revision {
 		return false
@@ -86,7 +85,7 @@
 			return false
 		}
 		delete(m.items, c.Key)
-		m.bury(c)
+		m.addTombstone(c)
 		return true
 	}
 	if m.removedSince(c) {
@@ -96,7 +95,7 @@
 	return true
 }
 
-// removedSince reports whether a removal of the key is known that is as new.
+// removedSince reports whether a removal of the key at c's revision or later is known.
 func (m *Mirror) removedSince(c Item) bool {
 	for _, t := range m.tombstones {
 		if t.Key == c.Key && t.Revision >= c.Revision {
@@ -106,24 +105,24 @@
 	return false
 }
 
-func (m *Mirror) bury(c Item) {
+func (m *Mirror) addTombstone(c Item) {
 	m.tombstones = append(m.tombstones, c)
-	if over := len(m.tombstones) - tombstonesKept; over > 0 {
-		m.forgotten = m.tombstones[over-1].Revision
+	if over := len(m.tombstones) - maxTombstones; over > 0 {
+		m.compactedRevision = m.tombstones[over-1].Revision
 		m.tombstones = slices.Clone(m.tombstones[over:])
 	}
 }
 
-// Since returns the changes above a revision for a peer. Where removals may be
-// missing it gives all items, and whole is true.
-func (m *Mirror) Since(after uint64) (items []Item, whole bool) {
-	whole = after == 0 || after < m.forgotten
+// Since returns the changes after a revision for a peer. If removals may be missing, it
+// returns all items and full is true.
+func (m *Mirror) Since(after uint64) (items []Item, full bool) {
+	full = after == 0 || after < m.compactedRevision
 	for _, item := range m.items {
-		if whole || item.Revision > after {
+		if full || item.Revision > after {
 			items = append(items, item)
 		}
 	}
-	if whole {
+	if full {
 		return items, true
 	}
 	for _, t := range m.tombstones {
--- a/discovery/mirror_test.go
+++ b/discovery/mirror_test.go
@@ -8,31 +8,30 @@
 	"pgregory.net/rapid"
 )
 
-// TestMirrorFollows plays random writes and removals to a store, and lets one
-// mirror read it by watches and whole pictures, old ones among them, and another
-// follow the first. Both must hold what the store holds once they caught up, and
-// a key must never go back to an older revision.
-func TestMirrorFollows(t *testing.T) {
+// TestMirrorConverges applies random writes and removals to a store that one mirror reads
+// by watches and snapshots, including outdated ones, and a peer's mirror follows. Both
+// must converge to the store's items, and no key may return to an older revision.
+func TestMirrorConverges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		store := &fakeStore{items: make(map[string]Item)}
-		reader, follower := NewMirror(), NewMirror()
-		var old []Item
-		var oldRevision uint64
+		reader, peer := NewMirror(), NewMirror()
+		var snapshot []Item
+		var snapshotRevision uint64
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
-			seen := revisions(reader)
+			seen := revisionsByKey(reader)
 			switch rapid.IntRange(0, 6).Draw(t, "step") {
 			case 0, 1:
-				store.put(key(t))
+				store.put(drawKey(t))
 			case 2:
-				store.remove(key(t))
+				store.remove(drawKey(t))
 			case 3:
 				reader.Apply(store.since(reader.Revision()), store.revision)
 			case 4:
-				old, oldRevision = store.all(), store.revision
+				snapshot, snapshotRevision = store.all(), store.revision
 			case 5:
-				reader.Replace(old, oldRevision)
+				reader.Replace(snapshot, snapshotRevision)
 			case 6:
-				// Another VM, which has just started, is followed from here on.
+				// The peer now follows another VM, which has just started.
 				reader = NewMirror()
 				reader.Replace(store.all(), store.revision)
 				seen = nil
@@ -43,44 +42,45 @@
 				}
 			}
 			if rapid.Bool().Draw(t, "follow") {
-				follow(follower, reader)
+				syncFrom(peer, reader)
 			}
 		}
 		reader.Replace(store.all(), store.revision)
-		follow(follower, reader)
+		syncFrom(peer, reader)
 		assert.DeepEqual(t, reader.items, store.items)
-		assert.DeepEqual(t, follower.items, store.items)
+		assert.DeepEqual(t, peer.items, store.items)
 	})
 }
 
-// TestMirrorForgets holds that a follower which is behind the kept removals gets everything.
-func TestMirrorForgets(t *testing.T) {
+// TestMirrorSendsAllAfterCompaction checks that a reader behind the kept tombstones gets a
+// full snapshot.
+func TestMirrorSendsAllAfterCompaction(t *testing.T) {
 	m := NewMirror()
-	for i := range uint64(tombstonesKept + 10) {
+	for i := range uint64(maxTombstones + 10) {
 		m.Apply([]Item{{Key: "k", Revision: 2*i + 1}}, 2*i+1)
 		m.Apply([]Item{{Key: "k", Revision: 2*i + 2, Removed: true}}, 2*i+2)
 	}
-	_, whole := m.Since(2)
-	assert.Assert(t, whole)
-	items, whole := m.Since(m.Revision() - 2)
-	assert.Assert(t, !whole)
+	_, full := m.Since(2)
+	assert.Assert(t, full)
+	items, full := m.Since(m.Revision() - 2)
+	assert.Assert(t, !full)
 	assert.Equal(t, len(items), 1)
 }
 
-func follow(follower, reader *Mirror) {
-	items, whole := reader.Since(follower.Revision())
-	if whole {
-		follower.Replace(items, reader.Revision())
+func syncFrom(peer, reader *Mirror) {
+	items, full := reader.Since(peer.Revision())
+	if full {
+		peer.Replace(items, reader.Revision())
 		return
 	}
-	follower.Apply(items, reader.Revision())
+	peer.Apply(items, reader.Revision())
 }
 
-func key(t *rapid.T) string {
+func drawKey(t *rapid.T) string {
 	return fmt.Sprintf("k%d", rapid.IntRange(0, 4).Draw(t, "key"))
 }
 
-func revisions(m *Mirror) map[string]uint64 {
+func revisionsByKey(m *Mirror) map[string]uint64 {
 	out := make(map[string]uint64)
 	for k, item := range m.items {
 		out[k] = item.Revision
