--- a/settings/check.go
+++ b/settings/check.go
@@ -9,8 +9,7 @@
 	"github.com/fuchsianotch/fuchsianotch/common/jsonc"
 )
 
-// Bounds of the settings. They are wide, and only keep a slip from making a
-// process that cannot work.
+// Bounds of single settings; they only catch mistakes such as a wrong unit.
 const (
 	maxBytes       = 1 << 30
 	minHeaderBytes = 1 << 10
@@ -18,11 +17,12 @@
 	minInterval    = 10 * time.Millisecond
 	maxInterval    = time.Minute
 	maxDuration    = 24 * time.Hour
-	// leaseHeartbeats is how many heartbeats a lease must outlast, so that one
-	// lost heartbeat does not end it.
+	// leaseHeartbeats is the minimum number of heartbeats in a lease term, so that a
+	// lost heartbeat does not end the lease.
 	leaseHeartbeats = 3
 )
 
+// verifier validates the values of decoded settings.
 type verifier struct {
 	jsonc.Verifier
 }
@@ -31,7 +31,7 @@
 	v.Name("/vm", s.VM)
 	v.Name("/region", s.Region)
 	v.Name("/data_centre", s.DataCentre)
-	v.fronts(s)
+	v.listeners(s)
 	v.peers(s)
 	v.baseURL("/platform_url", s.PlatformURL)
 	v.OneOf("/log_format", s.LogFormat, LogFormats)
@@ -78,16 +78,15 @@
 	v.OneOf("/policies/limits", p.Limits, LimitsPolicies)
 }
 
-// front is one of the addresses that a process listens on.
-type front struct {
+// listener is an address that the process listens on.
+type listener struct {
 	pointer string
 	addr    string
 }
 
-// fronts checks that no two fronts ask for the same address, unless the kernel
-// chooses the port.
-func (v *verifier) fronts(s *Settings) {
-	fronts := []front{
+// listeners checks that listen addresses are valid and distinct; port 0 may repeat.
+func (v *verifier) listeners(s *Settings) {
+	listeners := []listener{
 		{
 			pointer: "/caller_listen",
 			addr:    s.CallerListen,
@@ -102,7 +101,7 @@
 		},
 	}
 	seen := jsonc.Names{}
-	for _, f := range fronts {
+	for _, f := range listeners {
 		if addr := v.addr(f.pointer, f.addr); addr.Port() != 0 {
 			v.Once(seen, f.pointer, f.addr)
 		}
@@ -112,14 +111,14 @@
 func (v *verifier) peers(s *Settings) {
 	vms := jsonc.Names{}
 	for i, route := range s.PeerRoutes {
-		at := item("/peer_routes", i)
+		at := elementPointer("/peer_routes", i)
 		v.Name(at+"/vm", route.VM)
 		v.Once(vms, at+"/vm", route.VM)
 		v.addr(at+"/addr", route.Addr)
 	}
 	seeds := jsonc.Names{}
 	for i, seed := range s.Seeds {
-		at := item("/seeds", i)
+		at := elementPointer("/seeds", i)
 		v.addr(at, seed)
 		v.Once(seeds, at, seed)
 	}
@@ -127,11 +126,11 @@
 
 func (v *verifier) addr(pointer, text string) netip.AddrPort {
 	addr, err := netip.ParseAddrPort(text)
-	v.That(err == nil, pointer, `an IP number with a port such as "127.0.0.1:7101"`)
+	v.That(err == nil, pointer, `an IP address with a port such as "127.0.0.1:7101"`)
 	return addr
 }
 
-func item(pointer string, i int) string {
+func elementPointer(pointer string, i int) string {
 	return pointer + "/" + strconv.Itoa(i)
 }
 
--- a/settings/platform.go
+++ b/settings/platform.go
@@ -6,23 +6,22 @@
 	"github.com/fuchsianotch/fuchsianotch/result"
 )
 
-// Platform is what an operator may set for a process whose place and bounds
-// the platform's own settings file gives.
+// Platform holds the settings of a process that gets its identity and limits from the
+// platform's own settings file.
 type Platform struct {
 	// LogLevel is "debug", "info", "warn" or "error".
 	LogLevel string `json:"log_level"`
-	// LogSampleEvery is of how many requests that go well one is logged; zero means none.
+	// LogSampleEvery logs one of this many successful requests; zero logs none.
 	LogSampleEvery int `json:"log_sample_every"`
-	// LogLines is the length of the ring between the requests and the log.
+	// LogLines is the capacity of the ring buffer of log lines.
 	LogLines int `json:"log_lines"`
-	// MetricsPort is where /metrics is served, at the VM's address; zero means nowhere.
+	// MetricsPort is the port of /metrics on the VM's address; zero disables it.
 	MetricsPort int `json:"metrics_port"`
-	// Without names mechanisms that are switched off, to measure what each is
-	// worth; for experiments only.
+	// Without lists mechanisms to disable, for ablation experiments only.
 	Without []string `json:"without"`
 }
 
-// The mechanisms that Without may name.
+// Mechanisms that Without can disable.
 const (
 	Borrowing   = "borrowing"
 	SentAway    = "sent_away"
@@ -40,24 +39,24 @@
 	Corrections = "corrections"
 )
 
-// Mechanisms are all of them.
+// Mechanisms lists all mechanisms that Without can disable.
 var Mechanisms = []string{
 	Borrowing, SentAway, Affinity, Fetches, FarFetches, Reports, UnreadNotes,
 	Yielding, LateRefusal, EndRefusal, RankOrder, LivePace, BackOff, Corrections,
 }
 
-// Has reports whether a mechanism is on.
+// Has reports whether a mechanism is enabled.
 func (s *Platform) Has(mechanism string) bool {
 	return !slices.Contains(s.Without, mechanism)
 }
 
-// Bounds of these settings.
+// Maximum values of settings.
 const (
 	maxLogLines = 1 << 20
 	maxPort     = 65_535
 )
 
-// DefaultPlatform returns the settings with every default.
+// DefaultPlatform returns the default settings.
 func DefaultPlatform() Platform {
 	return Platform{
 		LogLevel:       "info",
@@ -66,8 +65,8 @@
 	}
 }
 
-// LoadPlatform reads and checks a file; an empty path gives the defaults. The
-// codes are 5001 to 5004.
+// LoadPlatform reads and validates a file; an empty path gives the defaults. Refusals
+// have codes 5001 to 5004.
 func LoadPlatform(path string) (*Platform, *result.Refusal) {
 	if path == "" {
 		s := DefaultPlatform()
@@ -80,7 +79,7 @@
 	return ParsePlatform(path, data)
 }
 
-// ParsePlatform checks settings that are in memory; the name is used in messages.
+// ParsePlatform decodes and validates settings; name is used in messages.
 func ParsePlatform(name string, data []byte) (*Platform, *result.Refusal) {
 	s := DefaultPlatform()
 	if refusal := decode(name, data, &s, (*verifier).platform); refusal != nil {
--- a/settings/platform_test.go
+++ b/settings/platform_test.go
@@ -20,9 +20,9 @@
 		{name: "defaults", text: "{}\n", want: DefaultPlatform()},
 		{name: "comments", text: "// why\n{\n  // here\n  \"metrics_port\": 9464\n}\n", want: Platform{LogLevel: "info", LogSampleEvery: 100, LogLines: 4096, MetricsPort: 9464}},
 		{name: "unknown field", text: "{\"port\": 1}\n", code: result.SettingUnknownField},
-		{name: "no port", text: "{\"metrics_port\": 70000}\n", code: result.SettingValue},
-		{name: "no level", text: "{\"log_level\": \"loud\"}\n", code: result.SettingValue},
-		{name: "no JSON", text: "{", code: result.SettingSyntax},
+		{name: "port out of range", text: "{\"metrics_port\": 70000}\n", code: result.SettingValue},
+		{name: "unknown level", text: "{\"log_level\": \"loud\"}\n", code: result.SettingValue},
+		{name: "invalid JSON", text: "{", code: result.SettingSyntax},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s, refusal := ParsePlatform("gateway.json", []byte(c.text))
@@ -42,7 +42,7 @@
 	assert.Equal(t, refusal.Code, result.SettingFile)
 }
 
-// TestPlatformDocs holds that the page has a row for each field, and no other.
+// TestPlatformDocs checks that docs/settings-platform.md has exactly one row per field.
 func TestPlatformDocs(t *testing.T) {
 	page, err := os.ReadFile("../docs/settings-platform.md")
 	assert.NilError(t, err)
--- a/settings/policies.go
+++ b/settings/policies.go
@@ -1,7 +1,7 @@
 package settings
 
-// The values that settings of a fixed set may have. The first is the default;
-// in the lists of policies it is the decision, and the rest are baselines.
+// Valid values of enumerated settings. The first policy of each kind is the default and
+// the others are baselines for comparison.
 var (
 	LogFormats        = []string{"text", "json"}
 	LogLevels         = []string{"debug", "info", "warn", "error"}
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -1,9 +1,8 @@
-// Package settings holds what an operator sets for one gateway process, read
-// once at its start from a file of JSON with comments.
+// Package settings loads and validates the settings of a gateway process, which are
+// read once at startup from a file of JSON with comments.
 //
-// The settings that are durations are bounds relative to something that has
-// not happened yet, such as a connection's next request. The code that meets
-// the event turns them into a deadline and stores only that.
+// Durations are relative to an event, such as a connection's next request. The code
+// that handles the event converts them to a deadline.
 package settings
 
 import (
@@ -14,12 +13,12 @@
 	"github.com/fuchsianotch/fuchsianotch/result"
 )
 
-// MaxBytes bounds a settings file.
+// MaxBytes is the maximum size of a settings file.
 const MaxBytes = 1 << 20
 
-// Settings configure one gateway process.
+// Settings configures a gateway process.
 type Settings struct {
-	// VM is this VM's id as the platform's list shows it.
+	// VM is this VM's id in the platform's list of VMs.
 	VM         string `json:"vm"`
 	Region     string `json:"region"`
 	DataCentre string `json:"data_centre"`
@@ -29,12 +28,12 @@
 	OperatorListen string `json:"operator_listen"`
 	// PlatformURL is the base URL of the platform's configuration service.
 	PlatformURL string `json:"platform_url"`
-	// PeerKey is a secret that all VMs share; when set, a peer without it is refused.
+	// PeerKey is a secret shared by all VMs; if set, peers without it are rejected.
 	PeerKey string `json:"peer_key,omitempty"`
-	// PeerRoutes reach VMs under other addresses than the listed ones.
+	// PeerRoutes overrides the listed peer addresses of some VMs.
 	PeerRoutes []PeerRoute `json:"peer_routes,omitempty"`
-	// Seeds are "ip:port" of peer fronts to take documents from while the
-	// platform is down and no list is known; may be empty.
+	// Seeds lists peer addresses, as "ip:port", to fetch documents from while the
+	// platform is down and no list of VMs is known; may be empty.
 	Seeds []string `json:"seeds,omitempty"`
 	// LogFormat is "text" or "json"; LogLevel is "debug", "info", "warn" or "error".
 	LogFormat string `json:"log_format"`
@@ -45,58 +44,60 @@
 	Records  Records  `json:"records"`
 	Policies Policies `json:"policies"`
 
-	// TimelineEvents is the number of events kept on the time line.
+	// TimelineEvents is the number of events that the timeline keeps.
 	TimelineEvents int `json:"timeline_events"`
-	// TicketGoodFor bounds the time between a ticket's issue and its use, and
-	// how long the answer to its call is held.
+	// TicketGoodFor is how long a ticket is valid after its issue, and how long the
+	// answer to its call is kept.
 	TicketGoodFor jsonc.Duration `json:"ticket_good_for"`
-	// EntriesGoodFor is how long a caller may use the entry VMs it was told.
+	// EntriesGoodFor is how long a caller may cache its list of entry VMs.
 	EntriesGoodFor jsonc.Duration `json:"entries_good_for"`
-	// StopWithin bounds a planned stop. Calls in flight end before it, unless
-	// their own deadlines are later.
+	// StopWithin is the timeout for draining before a planned stop. Calls in flight end
+	// by then, unless their own deadlines are later.
 	StopWithin jsonc.Duration `json:"stop_within"`
-	// HeartbeatEvery and LeaseTerm are those of a small fleet; both grow with it.
+	// HeartbeatEvery and LeaseTerm apply to a small fleet; both increase with its size.
 	HeartbeatEvery jsonc.Duration `json:"heartbeat_every"`
 	LeaseTerm      jsonc.Duration `json:"lease_term"`
-	// EndpointReportEvery is the interval at which each endpoint is asked for its load.
+	// EndpointReportEvery is the interval at which each endpoint is polled for its load.
 	EndpointReportEvery jsonc.Duration `json:"endpoint_report_every"`
 }
 
-// PeerRoute is the way to one VM whose listed peer address cannot be reached from here.
+// PeerRoute is the address of a VM whose listed peer address is unreachable from here.
 type PeerRoute struct {
 	VM string `json:"vm"`
 	// Addr is "ip:port".
 	Addr string `json:"addr"`
 }
 
-// Limits bound what one caller connection may cost this process.
+// Limits holds the limits on callers' requests and connections.
 type Limits struct {
 	MaxBodyBytes             int `json:"max_body_bytes"`
 	MaxHeaderBytes           int `json:"max_header_bytes"`
 	MaxConnections           int `json:"max_connections"`
 	MaxConnectionsPerAddress int `json:"max_connections_per_address"`
-	// HeaderWithin and BodyWithin bound the arrival of a request's parts.
+	// HeaderWithin and BodyWithin are the timeouts for reading a request's header and
+	// body.
 	HeaderWithin jsonc.Duration `json:"header_within"`
 	BodyWithin   jsonc.Duration `json:"body_within"`
-	// IdleWithin bounds the wait for a connection's next request.
+	// IdleWithin is the timeout for a connection's next request.
 	IdleWithin jsonc.Duration `json:"idle_within"`
 }
 
-// Queue bounds the calls that wait for one model or service.
+// Queue configures the queue of calls for one model or service.
 type Queue struct {
 	Length int `json:"length"`
-	// ReportShare is the part of the slots, from 0 to 1, that reports may hold under the policy priority.
+	// ReportShare is the fraction of the slots, from 0 to 1, that calls of priority
+	// "report" may occupy under the admission policy "priority".
 	ReportShare float64 `json:"report_share"`
 }
 
-// Records bound the answers held for tickets.
+// Records limits the number and total size of the answers kept for tickets.
 type Records struct {
 	Count int `json:"count"`
 	Bytes int `json:"bytes"`
 }
 
-// Policies name the decision or a baseline for each kind of decision. The
-// first of each list in policies.go is the decision and the default.
+// Policies selects the algorithm for each kind of decision. The first of each list in
+// policies.go is the default; the others are baselines for comparison.
 type Policies struct {
 	Routing   string `json:"routing"`
 	Admission string `json:"admission"`
@@ -104,8 +105,8 @@
 	Limits    string `json:"limits"`
 }
 
-// Default returns the settings with every default. VM, Region, DataCentre and
-// PlatformURL have none.
+// Default returns the default settings. VM, Region, DataCentre and PlatformURL have no
+// default.
 func Default() Settings {
 	return Settings{
 		CallerListen:        "127.0.0.1:7101",
@@ -118,12 +119,12 @@
 		Records:             defaultRecords(),
 		Policies:            defaultPolicies(),
 		TimelineEvents:      65_536,
-		TicketGoodFor:       within(2 * time.Minute),
-		EntriesGoodFor:      within(30 * time.Second),
-		StopWithin:          within(10 * time.Minute),
-		HeartbeatEvery:      within(500 * time.Millisecond),
-		LeaseTerm:           within(1500 * time.Millisecond),
-		EndpointReportEvery: within(time.Second),
+		TicketGoodFor:       duration(2 * time.Minute),
+		EntriesGoodFor:      duration(30 * time.Second),
+		StopWithin:          duration(10 * time.Minute),
+		HeartbeatEvery:      duration(500 * time.Millisecond),
+		LeaseTerm:           duration(1500 * time.Millisecond),
+		EndpointReportEvery: duration(time.Second),
 	}
 }
 
@@ -133,9 +134,9 @@
 		MaxHeaderBytes:           16 << 10,
 		MaxConnections:           8_192,
 		MaxConnectionsPerAddress: 1_024,
-		HeaderWithin:             within(5 * time.Second),
-		BodyWithin:               within(30 * time.Second),
-		IdleWithin:               within(75 * time.Second),
+		HeaderWithin:             duration(5 * time.Second),
+		BodyWithin:               duration(30 * time.Second),
+		IdleWithin:               duration(75 * time.Second),
 	}
 }
 
@@ -162,13 +163,13 @@
 	}
 }
 
-func within(d time.Duration) jsonc.Duration {
+func duration(d time.Duration) jsonc.Duration {
 	return jsonc.Duration{
 		Duration: d,
 	}
 }
 
-// Load reads and checks a settings file. The codes are 5001 to 5004.
+// Load reads and validates a settings file. Refusals have codes 5001 to 5004.
 func Load(path string) (*Settings, *result.Refusal) {
 	data, refusal := read(path)
 	if refusal != nil {
@@ -185,7 +186,7 @@
 	return data, nil
 }
 
-// Parse checks settings that are in memory; the name is used in messages.
+// Parse decodes and validates settings; name is used in messages.
 func Parse(name string, data []byte) (*Settings, *result.Refusal) {
 	s := Default()
 	if refusal := decode(name, data, &s, (*verifier).settings); refusal != nil {
@@ -194,13 +195,13 @@
 	return &s, nil
 }
 
-// decode reads and checks one kind of settings, which hold the defaults before.
+// decode decodes data into settings that hold the defaults, and validates them.
 func decode[T any](name string, data []byte, into *T, check func(*verifier, *T)) *result.Refusal {
 	if len(data) > MaxBytes {
 		return result.Refuse(result.SettingFile, "%s: want at most %d bytes", name, MaxBytes)
 	}
 	if problem := jsonc.DecodeInto(name, data, into); problem != nil {
-		return refuse(problem)
+		return refusalFrom(problem)
 	}
 	v := verifier{
 		Verifier: jsonc.Verifier{
@@ -210,12 +211,12 @@
 	}
 	check(&v, into)
 	if problem := v.Problem(); problem != nil {
-		return refuse(problem)
+		return refusalFrom(problem)
 	}
 	return nil
 }
 
-func refuse(p *jsonc.Problem) *result.Refusal {
+func refusalFrom(p *jsonc.Problem) *result.Refusal {
 	return result.Refuse(codeOf(p.Kind), "%s", p.Error())
 }
 
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -18,7 +18,7 @@
 
 const acceptedPath = "testdata/accepted.json"
 
-// refusedCase changes one place of the accepted settings and states the refusal.
+// refusedCase is one edit to the accepted settings and the expected refusal.
 type refusedCase struct {
 	Name    string      `json:"name"`
 	Old     string      `json:"old"`
@@ -35,7 +35,7 @@
 	for i := range cases {
 		c := &cases[i]
 		t.Run(c.Name, func(t *testing.T) {
-			assert.Equal(t, strings.Count(string(accepted), c.Old), 1, "the place to change")
+			assert.Equal(t, strings.Count(string(accepted), c.Old), 1, "old must occur once in the accepted settings")
 			changed := strings.Replace(string(accepted), c.Old, c.New, 1)
 			s, refusal := Parse("gateway.json", []byte(changed))
 			assert.Assert(t, s == nil)
@@ -61,15 +61,15 @@
 	assert.NilError(t, os.WriteFile(path, b.Bytes(), 0o644))
 }
 
-// TestParseSetsEveryField checks that each setting of the accepted file
-// arrives, by comparing each with its default.
+// TestParseSetsEveryField checks that the accepted file, which sets every field to a value
+// other than its default, leaves none at its default.
 func TestParseSetsEveryField(t *testing.T) {
 	s, refusal := Load(acceptedPath)
 	assert.Assert(t, refusal == nil, "%v", refusal)
-	byDefault := Default()
+	defaults := Default()
 	for _, f := range fieldsOf(reflect.ValueOf(*s), "") {
-		was := reflect.ValueOf(byDefault).FieldByIndex(f.path)
-		assert.Assert(t, !reflect.DeepEqual(f.value.Interface(), was.Interface()), f.name)
+		defaultValue := reflect.ValueOf(defaults).FieldByIndex(f.path)
+		assert.Assert(t, !reflect.DeepEqual(f.value.Interface(), defaultValue.Interface()), f.name)
 	}
 }
 
@@ -98,7 +98,7 @@
 	}
 }
 
-// TestDocs checks that the page has a row for each setting, with its default.
+// TestDocs checks that docs/settings.md has a row with the default of each setting.
 func TestDocs(t *testing.T) {
 	page, err := os.ReadFile("../docs/settings.md")
 	assert.NilError(t, err)
@@ -116,22 +116,22 @@
 	assert.Equal(t, strings.Count(string(page), "\n| `"), rows, "a row for a setting that does not exist")
 }
 
-// setting is one field that is no group of others.
-type setting struct {
+// settingField is a field of Settings that is not a group of other fields.
+type settingField struct {
 	name  string
 	path  []int
 	value reflect.Value
 }
 
-func fieldsOf(v reflect.Value, prefix string) []setting {
-	var fields []setting
+func fieldsOf(v reflect.Value, prefix string) []settingField {
+	var fields []settingField
 	for i := range v.NumField() {
 		tag, _, _ := strings.Cut(v.Type().Field(i).Tag.Get("json"), ",")
 		name := prefix + tag
 		field := v.Field(i)
 		_, leaf := field.Interface().(json.Marshaler)
 		if field.Kind() != reflect.Struct || leaf {
-			fields = append(fields, setting{
+			fields = append(fields, settingField{
 				name:  name,
 				path:  []int{i},
 				value: field,
