--- a/apikey/apikey.go
+++ b/apikey/apikey.go
@@ -1,5 +1,5 @@
-// Package apikey recognizes callers by the key that they present as a bearer
-// token. Keys are compared by their digests and never kept, logged or passed on.
+// Package apikey reads API keys from bearer tokens and compares their SHA-256 digests.
+// Only digests are stored, so that keys are never logged or forwarded.
 package apikey
 
 import (
@@ -11,15 +11,15 @@
 )
 
 const (
-	// Header is the HTTP header that carries a key.
+	// Header is the HTTP header that carries the API key.
 	Header = "Authorization"
-	// scheme is the authentication scheme of RFC 6750; its case does not matter.
+	// scheme is the authentication scheme of RFC 6750, which is case-insensitive.
 	scheme = "bearer"
-	// maxLength bounds a key, in bytes.
+	// maxLength is the maximum length of a key, in bytes.
 	maxLength = 1024
 )
 
-// Digest is the SHA-256 digest of a key. The zero value is the digest of none.
+// Digest is the SHA-256 digest of a key. The zero value means no key.
 type Digest [sha256.Size]byte
 
 // Sum returns the digest of a key.
@@ -27,8 +27,8 @@
 	return sha256.Sum256([]byte(key))
 }
 
-// FromBytes reads a digest from another VM; false means that it is none.
-func FromBytes(data []byte) (Digest, bool) {
+// FromBytes converts the bytes of a digest; ok is false if their length is wrong.
+func FromBytes(data []byte) (digest Digest, ok bool) {
 	var d Digest
 	if len(data) != len(d) {
 		return d, false
@@ -37,23 +37,23 @@
 	return d, true
 }
 
-// Equal reports whether two digests are the same, in constant time.
+// Equal compares two digests in constant time.
 func (d Digest) Equal(other Digest) bool {
 	return subtle.ConstantTimeCompare(d[:], other[:]) == 1
 }
 
-// EqualHex reports the same for a digest in lower-case hexadecimal.
+// EqualHex compares the digest with one in lower-case hexadecimal in constant time.
 func (d Digest) EqualHex(other string) bool {
 	return subtle.ConstantTimeCompare([]byte(hex.EncodeToString(d[:])), []byte(other)) == 1
 }
 
-// IsZero reports whether there is no key.
+// IsZero reports whether the digest is the zero value, which means no key.
 func (d Digest) IsZero() bool {
 	return d == Digest{}
 }
 
-// Bearer returns the key of a request. It is false where there is none, more
-// than one, or one of another scheme or form.
+// Bearer returns the bearer token of a request. ok is false if the header is missing,
+// repeated or malformed, or has another scheme.
 func Bearer(h http.Header) (key string, ok bool) {
 	values := h[Header]
 	if len(values) != 1 {
@@ -66,7 +66,7 @@
 	return key, true
 }
 
-// isToken reports whether a text can be a key: printable ASCII without spaces.
+// isToken reports whether text is a valid key: printable ASCII without spaces and commas.
 func isToken(text string) bool {
 	if text == "" || len(text) > maxLength {
 		return false
--- a/apikey/apikey_test.go
+++ b/apikey/apikey_test.go
@@ -10,7 +10,7 @@
 	"github.com/fuchsianotch/fuchsianotch/common/datatest"
 )
 
-// bearerCase is one request's headers and the key read from them.
+// bearerCase holds the values of the header and the expected key.
 type bearerCase struct {
 	Name   string
 	Values []string
