--- a/route/route.go
+++ b/route/route.go
@@ -41,7 +41,7 @@
 	Shares []Share
 	// MaxAttempts is the maximum number of endpoints that may run one request.
 	MaxAttempts int
-	// HasPrompts says that requests identify the blocks of their prompts.
+	// HasPrompts says that requests identify the parts of their prompts.
 	HasPrompts bool
 	// Resumable says that another endpoint may resume an interrupted stream.
 	Resumable bool
