--- a/relay/relay.go
+++ b/relay/relay.go
@@ -1,7 +1,6 @@
-// Package relay decides which VMs pass a note on, so that one VM can tell all others
-// of its region without sending to each. Heads get the note from its sender and pass
-// it on to their children; which VMs are heads changes with each note, so that a VM
-// which is lost takes the others along only once, and all bear the same.
+// Package relay plans two-level broadcasts within a region. The sender of a message
+// sends it to a few relays, each of which forwards it to its children. The relays change
+// with each message, which spreads the load and limits what one failed VM can block.
 package relay
 
 import (
@@ -12,19 +11,22 @@
 	"github.com/fuchsianotch/fuchsianotch/fleet"
 )
 
-// directMost is the number of other VMs up to which the sender tells each itself.
-const directMost = 6
+// maxDirectRecipients is the largest number of recipients that the sender serves without
+// relays.
+const maxDirectRecipients = 6
 
-// Heads returns the VMs to which a sender sends a note.
+// Heads returns the relays of a message: the VMs to which the sender sends it. salt
+// varies between messages.
 func Heads(sender string, salt uint64, vms []fleet.VM) []fleet.VM {
-	ranked := order(sender, salt, vms)
-	return ranked[:heads(len(ranked))]
+	ranked := rankRecipients(sender, salt, vms)
+	return ranked[:relayCount(len(ranked))]
 }
 
-// Children returns the VMs to which a head passes a note on.
+// Children returns the VMs to which a relay forwards a message, none if head is not a
+// relay of it.
 func Children(head, sender string, salt uint64, vms []fleet.VM) []fleet.VM {
-	ranked := order(sender, salt, vms)
-	count := heads(len(ranked))
+	ranked := rankRecipients(sender, salt, vms)
+	count := relayCount(len(ranked))
 	var out []fleet.VM
 	for i, vm := range ranked[:count] {
 		if vm.ID != head {
@@ -37,8 +39,8 @@
 	return out
 }
 
-// order ranks the VMs that a note is for.
-func order(sender string, salt uint64, vms []fleet.VM) []fleet.VM {
+// rankRecipients orders the recipients of a message, the same on every VM.
+func rankRecipients(sender string, salt uint64, vms []fleet.VM) []fleet.VM {
 	others := make([]fleet.VM, 0, len(vms))
 	for _, vm := range vms {
 		if vm.ID != sender {
@@ -48,9 +50,10 @@
 	return entry.Rank(sender+"/"+strconv.FormatUint(salt, 36), others)
 }
 
-// heads returns how many of so many VMs are heads: as many as each has children.
-func heads(count int) int {
-	if count <= directMost {
+// relayCount returns the number of relays for count recipients: the square root, so that
+// a relay has about as many children as there are relays.
+func relayCount(count int) int {
+	if count <= maxDirectRecipients {
 		return count
 	}
 	return int(math.Ceil(math.Sqrt(float64(count))))
--- a/relay/relay_test.go
+++ b/relay/relay_test.go
@@ -9,7 +9,7 @@
 	"github.com/fuchsianotch/fuchsianotch/fleet"
 )
 
-func vmsOf(count int) []fleet.VM {
+func makeVMs(count int) []fleet.VM {
 	var out []fleet.VM
 	for i := range count {
 		out = append(out, fleet.VM{ID: fmt.Sprintf("vm-%d", i)})
@@ -17,35 +17,35 @@
 	return out
 }
 
-// TestReach holds that each VM but the sender gets a note just once, and that a VM
-// sends to no more others than the square root of their number, or six.
-func TestReach(t *testing.T) {
+// TestEachVMReceivesOnce checks that every recipient gets a message exactly once and
+// that no VM sends to more than the square root of the recipients, or six.
+func TestEachVMReceivesOnce(t *testing.T) {
 	for _, count := range []int{1, 2, 7, 8, 22, 100, 127} {
-		vms := vmsOf(count)
+		vms := makeVMs(count)
 		for salt := range uint64(20) {
-			got := make(map[string]int)
+			received := make(map[string]int)
 			heads := Heads("vm-0", salt, vms)
-			most := len(heads)
+			maxFanout := len(heads)
 			for _, head := range heads {
-				got[head.ID]++
+				received[head.ID]++
 				children := Children(head.ID, "vm-0", salt, vms)
-				most = max(most, len(children))
+				maxFanout = max(maxFanout, len(children))
 				for _, child := range children {
-					got[child.ID]++
+					received[child.ID]++
 				}
 			}
-			assert.Equal(t, len(got), count-1)
-			for id, times := range got {
+			assert.Equal(t, len(received), count-1)
+			for id, times := range received {
 				assert.Equal(t, times, 1, id)
 			}
-			assert.Assert(t, most <= directMost || (most-1)*(most-1) < count, "%d of %d", most, count)
+			assert.Assert(t, maxFanout <= maxDirectRecipients || (maxFanout-1)*(maxFanout-1) < count, "%d of %d", maxFanout, count)
 		}
 	}
 }
 
-// TestHeadsChange holds that all VMs are heads in turn, about as often.
-func TestHeadsChange(t *testing.T) {
-	vms := vmsOf(100)
+// TestRelaysRotate checks that relays are chosen evenly across messages.
+func TestRelaysRotate(t *testing.T) {
+	vms := makeVMs(100)
 	times := make(map[string]int)
 	for salt := range uint64(1000) {
 		for _, head := range Heads("vm-0", salt, vms) {
@@ -58,9 +58,9 @@
 	}
 }
 
-// TestChildrenOfOthers holds that a VM which is no head passes nothing on.
-func TestChildrenOfOthers(t *testing.T) {
-	vms := vmsOf(100)
+// TestNonRelayHasNoChildren checks that a VM which is not a relay forwards nothing.
+func TestNonRelayHasNoChildren(t *testing.T) {
+	vms := makeVMs(100)
 	head := Heads("vm-0", 7, vms)[0]
 	for _, child := range Children(head.ID, "vm-0", 7, vms) {
 		assert.Equal(t, len(Children(child.ID, "vm-0", 7, vms)), 0)
