--- a/node/away.go
+++ b/node/borrow.go
@@ -13,15 +13,16 @@
 	"github.com/fuchsianotch/fuchsianotch/serving"
 )
 
-// offerGoodFor is how long an offer to other regions holds after its heartbeat.
-const offerGoodFor = 5 * time.Second
+// surplusOfferTTL is how long an offer of surplus to other regions stays valid after its
+// heartbeat.
+const surplusOfferTTL = 5 * time.Second
 
-// surplus is what this VM offers to other regions for all targets.
+// surplus returns the capacity that this VM offers to other regions, by target.
 func (p *pools) surplus(now time.Time) []membership.Surplus {
 	var out []membership.Surplus
 	for target, pool := range p.table.Load().byTarget {
 		o := borrow.Surplus(p.borrowState(pool, now), now)
-		if o.TokensPerSecond <= 0 && !p.always() {
+		if o.TokensPerSecond <= 0 && !p.alwaysBorrow() {
 			continue
 		}
 		out = append(out, membership.Surplus{
@@ -46,38 +47,39 @@
 		Free:             supply.Free,
 		TokensPerSecond:  supply.SlotTokensPerSecond,
 		PrefillPerSecond: supply.PrefillPerSecond,
-		Demand:           pool.demand.own(vms, now),
-		Waiting:          pool.waiting(),
+		Demand:           pool.demand.localMean(vms, now),
+		Waiting:          pool.queuedCalls(),
 		Wait:             wait,
 		VMs:              vms,
-		Until:            now.Add(offerGoodFor),
+		Until:            now.Add(surplusOfferTTL),
 	}
 }
 
-// always reports whether strangers are taken and sent whatever is free.
-func (p *pools) always() bool {
+// alwaysBorrow reports whether the policy is to lend and borrow without regard to
+// surplus.
+func (p *pools) alwaysBorrow() bool {
 	return p.node.settings.Policies.Borrowing == borrow.PolicyAlways
 }
 
-// accept lets a call of another region use this region's surplus, or refuses
-// it. The function that it gives must be called once the call has ended.
-func (p *pools) accept(c *call.Call) (func(), *result.Refusal) {
+// acceptBorrowed admits a call of another region to this region's surplus or refuses it.
+// The returned function must be called once the call has ended.
+func (p *pools) acceptBorrowed(c *call.Call) (func(), *result.Refusal) {
 	now := p.node.now()
 	pool, ok := p.table.Load().byTarget[c.Target()]
 	tokens := float64(c.PromptTokens + c.MaxTokens)
-	if !ok || (!p.always() && !pool.gate.Accept(p.borrowState(pool, now), tokens, now)) {
+	if !ok || (!p.alwaysBorrow() && !pool.gate.Accept(p.borrowState(pool, now), tokens, now)) {
 		return nil, result.Refuse(result.NoSurplus, "region %s has no surplus of %s", p.node.settings.Region, c.Target())
 	}
-	pool.demand.lend(1)
-	return func() { pool.demand.lend(-1) }, nil
+	pool.demand.addBorrowed(1)
+	return func() { pool.demand.addBorrowed(-1) }, nil
 }
 
-// borrow chooses a VM of another region with surplus for a call that this
-// region has just refused.
-func (p *pools) borrow(c *call.Call, terms serving.Terms) (fleet.VM, bool) {
+// chooseLender chooses a VM of another region with surplus for a call that this region
+// refused.
+func (p *pools) chooseLender(c *call.Call, terms serving.Terms) (fleet.VM, bool) {
 	now := p.node.now()
 	view := p.node.view()
-	offer, ok := borrow.Decide(p.borrowRequest(c, terms, now), p.offers(c, view, now), now)
+	offer, ok := borrow.Decide(p.borrowRequest(c, terms, now), p.surplusOffers(c, view, now), now)
 	if !ok {
 		return fleet.VM{}, false
 	}
@@ -126,7 +128,7 @@
 	return out
 }
 
-func (p *pools) offers(c *call.Call, view *membership.View, now time.Time) []borrow.Offer {
+func (p *pools) surplusOffers(c *call.Call, view *membership.View, now time.Time) []borrow.Offer {
 	var out []borrow.Offer
 	for _, s := range view.Surplus(c.Target(), now) {
 		out = append(out, borrow.Offer{
@@ -136,14 +138,14 @@
 			TokensPerSecond: s.TokensPerSecond,
 			Wait:            s.Wait,
 			Until:           s.Until,
-			OneWay:          p.node.oneWay(s.Region),
+			OneWay:          p.node.oneWayLatency(s.Region),
 		})
 	}
 	return out
 }
 
-// oneWay is the published delay to a region, zero where none is published.
-func (n *Node) oneWay(to string) time.Duration {
+// oneWayLatency returns the published latency to a region, zero if none is published.
+func (n *Node) oneWayLatency(to string) time.Duration {
 	for _, region := range n.snapshot().Regions.Regions {
 		if region.Region != n.settings.Region {
 			continue
@@ -157,8 +159,8 @@
 	return 0
 }
 
-// learnAway tells the damper what became of a call sent away.
-func (p *pools) learnAway(vm fleet.VM, c *call.Call, o call.Outcome) {
+// recordBorrowOutcome tells the damper whether a lender served a call.
+func (p *pools) recordBorrowOutcome(vm fleet.VM, c *call.Call, o call.Outcome) {
 	now := p.node.now()
 	offer := borrow.Offer{
 		Region: vm.Region,
--- a/node/control.go
+++ b/node/control.go
@@ -12,39 +12,39 @@
 	"github.com/fuchsianotch/fuchsianotch/timeline"
 )
 
-// inboxLength is how many messages may wait for the control goroutine.
-const inboxLength = 256
+// inboxCapacity bounds the messages queued for the control goroutine.
+const inboxCapacity = 256
 
-// message is one event for the control goroutine.
+// message is an event that the control goroutine processes.
 type message interface {
 	apply(c *control, now time.Time)
 }
 
-// published is what traffic reads. It never changes.
-type published struct {
+// publishedState is the immutable state that request goroutines read.
+type publishedState struct {
 	snapshot *configuration.Snapshot
 	view     *membership.View
-	// ready is set once this VM knows the documents that its peers know.
+	// ready is set once this VM is caught up with its peers' documents.
 	ready bool
-	// next is closed when a newer snapshot is published.
-	next chan struct{}
+	// changed is closed when a newer snapshot is published.
+	changed chan struct{}
 }
 
-// control owns all control state. Only its goroutine touches members and store.
+// control owns the control state. Only its goroutine accesses members and store.
 type control struct {
 	node      *Node
 	inbox     mailbox.Mailbox[message]
 	members   *membership.State
 	store     *configuration.Store
-	published atomic.Pointer[published]
-	// caughtUp is set for good once this VM may serve by its documents.
+	published atomic.Pointer[publishedState]
+	// caughtUp is set once this VM may serve by its documents, and never unset.
 	caughtUp bool
 }
 
 func newControl(n *Node) *control {
 	c := &control{
 		node:  n,
-		inbox: mailbox.New[message](inboxLength),
+		inbox: mailbox.New[message](inboxCapacity),
 		members: membership.New(membership.Options{
 			Self:           n.self(),
 			Incarnation:    n.incarnation,
@@ -61,8 +61,8 @@
 	return c
 }
 
-// heartbeatEvery and leaseTerm are the settings' for a small fleet, and grow
-// with the region as the defaults do.
+// heartbeatEvery and leaseTerm are the configured intervals for a small fleet, and grow
+// with the number of peers as the defaults do.
 func (n *Node) heartbeatEvery(peers int) time.Duration {
 	return max(n.settings.HeartbeatEvery.Duration, membership.DefaultHeartbeatEvery(peers))
 }
@@ -71,17 +71,17 @@
 	return max(n.settings.LeaseTerm.Duration, membership.DefaultLeaseTerm(n.heartbeatEvery(peers)))
 }
 
-// send passes a message to the control goroutine; it is lost when ctx ends first.
+// send queues a message for the control goroutine. It is dropped if ctx ends first.
 func (c *control) send(ctx context.Context, m message) bool {
 	return c.inbox.Send(ctx, m)
 }
 
-// ask passes a question and waits for its answer.
+// ask queues a request for the control goroutine and waits for the reply.
 func ask[T any](ctx context.Context, c *control, question func(reply chan<- T) message) (T, error) {
 	return mailbox.Ask(ctx, c.inbox, question)
 }
 
-// run takes messages and sends heartbeats when they are due.
+// run processes messages and sends heartbeats when they are due.
 func (c *control) run(ctx context.Context) error {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -94,34 +94,34 @@
 		case <-timer.C:
 		}
 		now := c.node.now()
-		// Traffic sees the view before a heartbeat says which loan is held.
+		// Publish the view before a heartbeat acknowledges the loan that it depends on.
 		c.publish(now)
-		c.heartbeats(ctx, now)
+		c.sendHeartbeats(ctx, now)
 		timer.Reset(max(c.members.Next(now).Sub(now), time.Millisecond))
 	}
 }
 
-func (c *control) heartbeats(ctx context.Context, now time.Time) {
+func (c *control) sendHeartbeats(ctx context.Context, now time.Time) {
 	due := c.members.Due(now)
 	if len(due) == 0 {
 		return
 	}
-	beat := c.beat(now)
+	own := c.ownHeartbeat(now)
 	for _, vm := range due {
-		go c.node.heartbeat(ctx, vm, c.beatFor(beat, vm.Region), c.members.HeldLoan(vm.ID))
+		go c.node.sendHeartbeat(ctx, vm, c.heartbeatFor(own, vm.Region), c.members.HeldLoan(vm.ID))
 	}
 }
 
-// beatFor leaves out what only other regions need.
-func (c *control) beatFor(b membership.Beat, region string) membership.Beat {
+// heartbeatFor removes what only VMs of other regions use.
+func (c *control) heartbeatFor(b membership.Beat, region string) membership.Beat {
 	if region == c.node.settings.Region {
 		b.Surplus = nil
 	}
 	return b
 }
 
-// beat is what this VM says about itself now.
-func (c *control) beat(now time.Time) membership.Beat {
+// ownHeartbeat returns this VM's current heartbeat.
+func (c *control) ownHeartbeat(now time.Time) membership.Beat {
 	n := c.node
 	digest := c.store.Digest()
 	b := c.members.Beat(now)
@@ -130,40 +130,40 @@
 	b.DocumentsHash = digest.Hash
 	b.Load = n.serving.InFlight()
 	b.Surplus = n.pools.surplus(now)
-	b.Adopted = n.adopted(now)
+	b.Adopted = n.adoptedRights(now)
 	return b
 }
 
-// publish makes the state visible to traffic. Those who wait for documents
-// are woken only when these changed.
+// publish makes the state visible to request goroutines. It wakes those that wait for
+// documents only if the snapshot changed.
 func (c *control) publish(now time.Time) {
 	before := c.published.Load()
-	c.catchUp(now)
-	c.members.SetRights(c.node.settings.VM, c.node.adopted(now))
-	after := &published{
+	c.updateCaughtUp(now)
+	c.members.SetRights(c.node.settings.VM, c.node.adoptedRights(now))
+	after := &publishedState{
 		snapshot: c.store.Snapshot(),
 		view:     c.members.View(now),
 		ready:    c.caughtUp,
 	}
 	if before != nil && before.snapshot == after.snapshot {
-		after.next = before.next
+		after.changed = before.changed
 		c.published.Store(after)
-		c.reportChanges(before.view, after.view)
+		c.reportMemberChanges(before.view, after.view)
 		return
 	}
-	after.next = make(chan struct{})
+	after.changed = make(chan struct{})
 	c.published.Store(after)
 	if before == nil {
 		return
 	}
-	c.reportChanges(before.view, after.view)
-	close(before.next)
+	c.reportMemberChanges(before.view, after.view)
+	close(before.changed)
 }
 
-// catchUp lets this VM serve once it has a configuration and no peer that it
-// hears has a newer one, so that a stale platform cannot make a VM that was
-// just started serve by documents that others no longer hold.
-func (c *control) catchUp(now time.Time) {
+// updateCaughtUp lets this VM serve once it has a configuration and no reachable peer
+// has a newer one. A stale platform thus cannot make a restarted VM serve by documents
+// that its peers have replaced.
+func (c *control) updateCaughtUp(now time.Time) {
 	if c.caughtUp || !c.store.Snapshot().Ready() {
 		return
 	}
@@ -182,27 +182,28 @@
 	})
 }
 
-// reportChanges records VMs of the region that were lost, have returned or leave.
-func (c *control) reportChanges(before, after *membership.View) {
-	was := make(map[string]string, len(before.Region))
+// reportMemberChanges records VMs of the region that became unreachable or reachable, or
+// are leaving.
+func (c *control) reportMemberChanges(before, after *membership.View) {
+	previous := make(map[string]string, len(before.Region))
 	for _, m := range before.Region {
-		was[m.VM.ID] = stateOf(m)
+		previous[m.VM.ID] = stateEvent(m)
 	}
 	reachable := 0
 	for _, m := range after.Region {
-		state := stateOf(m)
+		state := stateEvent(m)
 		if m.Reachable {
 			reachable++
 		}
-		if known, ok := was[m.VM.ID]; ok && known != state {
-			c.reportVM(m.VM.ID, state)
+		if old, ok := previous[m.VM.ID]; ok && old != state {
+			c.reportStateChange(m.VM.ID, state)
 		}
 	}
 	c.node.metrics.SetReachable(reachable)
 }
 
-// stateOf names a VM's state for events and logs.
-func stateOf(m membership.Member) string {
+// stateEvent returns the event name of a VM's state.
+func stateEvent(m membership.Member) string {
 	switch {
 	case !m.Reachable:
 		return "vm_lost"
@@ -213,7 +214,7 @@
 	}
 }
 
-func (c *control) reportVM(id, state string) {
+func (c *control) reportStateChange(id, state string) {
 	c.node.ring.Add(timeline.Event{
 		Kind: state,
 		Peer: id,
@@ -221,17 +222,17 @@
 	c.node.log.Info(state, "peer", id)
 }
 
-// offered are documents or a list from the platform or a peer.
-type offered struct {
+// documentsOffered carries documents or a fleet list from the platform or a peer.
+type documentsOffered struct {
 	documents []configuration.Document
 	list      *fleet.List
-	// source is "platform" or the VM that sent them.
+	// source is "platform" or the id of the sending VM.
 	source string
-	// done gets whether anything was new; nil means nobody waits.
+	// done receives whether anything changed; nil if nobody waits.
 	done chan<- bool
 }
 
-func (m offered) apply(c *control, now time.Time) {
+func (m documentsOffered) apply(c *control, now time.Time) {
 	changed := false
 	for _, v := range c.store.Offer(m.documents) {
 		if v.Changed {
@@ -241,7 +242,7 @@
 	}
 	if m.list != nil && c.store.OfferList(*m.list) {
 		changed = true
-		c.takeList(now)
+		c.applyList(now)
 	}
 	if changed {
 		snapshot := c.store.Snapshot()
@@ -262,7 +263,7 @@
 	return n
 }
 
-func (c *control) takeList(now time.Time) {
+func (c *control) applyList(now time.Time) {
 	list := c.store.Snapshot().List
 	c.members.SetList(list, now)
 	c.node.pools.setList(list, now)
@@ -290,9 +291,9 @@
 	c.node.ring.Add(e)
 }
 
-// left marks this VM as leaving.
-type left struct{}
+// leaveRequested marks this VM as leaving.
+type leaveRequested struct{}
 
-func (left) apply(c *control, now time.Time) {
+func (leaveRequested) apply(c *control, now time.Time) {
 	c.members.Leave(now)
 }
--- a/node/crashes.go
+++ b/node/crashes.go
@@ -10,15 +10,15 @@
 	"github.com/fuchsianotch/fuchsianotch/quarantine/agent"
 )
 
-// newCrashes makes the agent that keeps calls from endpoints that these crash under.
-func (n *Node) newCrashes() *agent.Agent {
+// newCrashAgent returns the agent that quarantines calls under which endpoints crash.
+func (n *Node) newCrashAgent() *agent.Agent {
 	return agent.New(agent.Options{
 		VM:     n.settings.VM,
 		Log:    n.log,
 		Now:    n.now,
 		Dial:   tcp.Reach,
-		Listed: n.listed,
-		VMs:    n.vmsInReach,
+		Listed: n.isEndpointLive,
+		VMs:    n.reachablePeers,
 		Tell: func(ctx context.Context, to fleet.VM, note quarantine.Note) error {
 			return n.peers.Crashes(ctx, to, n.identity(), note)
 		},
@@ -26,19 +26,21 @@
 	})
 }
 
-// listed reports whether this life of an endpoint takes work by the platform's list.
-func (n *Node) listed(e fleet.Endpoint) bool {
+// isEndpointLive reports whether the platform lists this incarnation of an endpoint as
+// live.
+func (n *Node) isEndpointLive(e fleet.Endpoint) bool {
 	return slices.ContainsFunc(n.pools.table.Load().endpoints, func(known fleet.Endpoint) bool {
 		return known.ID == e.ID && known.Incarnation == e.Incarnation && known.State == fleet.StateLive
 	})
 }
 
-// vmsInReach returns this VM and those in reach, and whether others are listed.
-func (n *Node) vmsInReach() (vms []quarantine.Peer, parted bool) {
+// reachablePeers returns this VM and the reachable ones, and whether any listed VM is
+// unreachable.
+func (n *Node) reachablePeers() (vms []quarantine.Peer, partitioned bool) {
 	view := n.view()
 	for _, m := range slices.Concat(view.Region, view.Others) {
 		if !m.Reachable && m.VM.ID != n.settings.VM {
-			parted = true
+			partitioned = true
 			continue
 		}
 		vms = append(vms, quarantine.Peer{
@@ -46,5 +48,5 @@
 			Incarnation: m.Incarnation,
 		})
 	}
-	return vms, parted
+	return vms, partitioned
 }
--- a/node/demand.go
+++ b/node/demand.go
@@ -6,38 +6,38 @@
 )
 
 const (
-	demandBins = 8
-	// demandBinSeconds is the width of one bin; the mean is over all bins.
+	demandBinCount = 8
+	// demandBinSeconds is the width of a bin. The mean is over all bins.
 	demandBinSeconds = 2
 )
 
-// demand keeps the mean of recent demand in slots, and of the calls that this
-// VM served for other regions. It is safe for concurrent use.
+// demand tracks the recent demand for slots, and the share of it that other regions
+// borrow. It is safe for concurrent use.
 type demand struct {
 	mu   sync.Mutex
-	bins [demandBins]demandBin
-	// strangers are the calls of other regions in flight.
-	strangers int
+	bins [demandBinCount]demandBin
+	// borrowed is the number of calls in flight for other regions.
+	borrowed int
 }
 
-// demandBin sums samples that were taken at the same moments.
+// demandBin sums the samples of one interval.
 type demandBin struct {
-	number    int64
-	samples   int
-	busy      float64
-	strangers float64
+	number   int64
+	samples  int
+	busy     float64
+	borrowed float64
 }
 
 func newDemand() *demand {
 	return &demand{}
 }
 
-// add takes a sample of the region's busy slots.
-func (d *demand) add(slots float64, now time.Time) {
+// addSample records the region's busy slots.
+func (d *demand) addSample(slots float64, now time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	number := now.Unix() / demandBinSeconds
-	bin := &d.bins[number%demandBins]
+	bin := &d.bins[number%demandBinCount]
 	if bin.number != number {
 		*bin = demandBin{
 			number: number,
@@ -45,27 +45,28 @@
 	}
 	bin.samples++
 	bin.busy += slots
-	bin.strangers += float64(d.strangers)
+	bin.borrowed += float64(d.borrowed)
 }
 
-// lend changes the number of strangers in flight, by 1 or -1.
-func (d *demand) lend(calls int) {
+// addBorrowed adds to the number of calls in flight for other regions.
+func (d *demand) addBorrowed(calls int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.strangers += calls
+	d.borrowed += calls
 }
 
-// own returns the region's mean demand without strangers. The other VMs are taken
-// to serve as many as this one; over all VMs the sum is right however they spread.
-func (d *demand) own(vms int, now time.Time) float64 {
+// localMean returns the region's mean demand without borrowed calls. It assumes that
+// every VM serves as many of them as this one, so that the sum over all VMs is right
+// however the calls are spread.
+func (d *demand) localMean(vms int, now time.Time) float64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	oldest := now.Unix()/demandBinSeconds - demandBins
+	oldest := now.Unix()/demandBinSeconds - demandBinCount
 	samples, slots := 0, 0.0
 	for _, bin := range d.bins {
 		if bin.number > oldest {
 			samples += bin.samples
-			slots += bin.busy - bin.strangers*float64(vms)
+			slots += bin.busy - bin.borrowed*float64(vms)
 		}
 	}
 	return max(slots/float64(max(samples, 1)), 0)
--- a/node/documents.go
+++ b/node/documents.go
@@ -13,16 +13,17 @@
 )
 
 const (
-	// watchFor is how long one watch at the platform or a peer waits.
-	watchFor = 30 * time.Second
-	// dutyEvery is how often a VM that does not watch looks at its duty.
-	dutyEvery = time.Second
-	// fromPlatform names the platform as the source of documents.
-	fromPlatform = "platform"
+	// watchTimeout bounds one long poll of the platform or a peer.
+	watchTimeout = 30 * time.Second
+	// dutyCheckInterval is how often a VM that does not watch the platform checks whether
+	// it should.
+	dutyCheckInterval = time.Second
+	// platformSource names the platform as the source of documents.
+	platformSource = "platform"
 )
 
-// watchDocuments watches the platform's documents while this VM is one of the
-// watchers of its data centre, and probes them now and then otherwise.
+// watchDocuments watches the platform's documents while this VM is a watcher of its data
+// centre, and otherwise probes them occasionally.
 func (n *Node) watchDocuments(ctx context.Context) error {
 	relay := configuration.NewRelay(configuration.RelayOptions{
 		Self: n.settings.VM,
@@ -34,9 +35,9 @@
 	var after uint64
 	for ctx.Err() == nil {
 		now := n.now()
-		duty := relay.Duty(n.dataCentre(), now)
+		duty := relay.Duty(n.dataCentreVMs(), now)
 		if duty == configuration.DutyPull {
-			n.sleepUntil(ctx, earliest(relay.Next(), now.Add(dutyEvery)))
+			n.sleepUntil(ctx, earliest(relay.Next(), now.Add(dutyCheckInterval)))
 			continue
 		}
 		var changed bool
@@ -45,7 +46,7 @@
 			_, changed, err = n.readDocuments(ctx, n.snapshot().Digest.Revision, now)
 			relay.Probed(changed, n.now())
 		} else {
-			after, changed, err = n.readDocuments(ctx, after, now.Add(watchFor))
+			after, changed, err = n.readDocuments(ctx, after, now.Add(watchTimeout))
 		}
 		n.sleepUntil(ctx, pace.Next(err, changed, now, n.now()))
 	}
@@ -59,15 +60,15 @@
 	return a
 }
 
-// readDocuments reads what is above a revision, waiting for it until a
-// moment, and gives the revision to go on from.
+// readDocuments long-polls for changes after a revision, and returns the revision to
+// continue from.
 func (n *Node) readDocuments(ctx context.Context, after uint64, until time.Time) (uint64, bool, error) {
 	changes, err := n.platform.Watch(ctx, after, until)
 	n.metrics.PlatformRead(err)
 	if err != nil {
 		return after, false, err
 	}
-	changed, err := n.offer(ctx, documentsOf(changes), nil, fromPlatform)
+	changed, err := n.offerDocuments(ctx, documentsOf(changes), nil, platformSource)
 	return max(after, changes.Revision), changed, err
 }
 
@@ -83,31 +84,31 @@
 	return out
 }
 
-// watchList watches the platform's list while this VM is a watcher.
+// watchList watches the platform's fleet list while this VM is a watcher.
 func (n *Node) watchList(ctx context.Context) error {
 	pace := platform.Pace{
 		Rand: rand.Uint64,
 	}
 	for ctx.Err() == nil {
 		if !n.isWatcher() {
-			n.sleepUntil(ctx, n.now().Add(dutyEvery))
+			n.sleepUntil(ctx, n.now().Add(dutyCheckInterval))
 			continue
 		}
 		began := n.now()
-		list, err := n.platform.WatchList(ctx, n.snapshot().Digest.ListRevision, began.Add(watchFor))
+		list, err := n.platform.WatchList(ctx, n.snapshot().Digest.ListRevision, began.Add(watchTimeout))
 		n.metrics.PlatformRead(err)
 		changed := false
 		if err == nil && list != nil {
-			changed, err = n.offer(ctx, nil, list, fromPlatform)
+			changed, err = n.offerDocuments(ctx, nil, list, platformSource)
 		}
 		n.sleepUntil(ctx, pace.Next(err, changed, began, n.now()))
 	}
 	return nil
 }
 
-// isWatcher reports whether this VM watches; one that knows no others does.
+// isWatcher reports whether this VM watches the platform. A VM that is not listed does.
 func (n *Node) isWatcher() bool {
-	vms := n.dataCentre()
+	vms := n.dataCentreVMs()
 	known := false
 	for _, vm := range vms {
 		known = known || vm.ID == n.settings.VM
@@ -123,8 +124,9 @@
 	return false
 }
 
-// dataCentre returns the reachable VMs of this data centre with this one.
-func (n *Node) dataCentre() []fleet.VM {
+// dataCentreVMs returns this VM and the reachable VMs of its data centre that are not
+// leaving.
+func (n *Node) dataCentreVMs() []fleet.VM {
 	view := n.view()
 	var out []fleet.VM
 	for _, m := range view.Region {
@@ -136,7 +138,7 @@
 	return out
 }
 
-// reachableVMs returns the reachable VMs of all regions with this one.
+// reachableVMs returns this VM and the reachable VMs of all regions.
 func reachableVMs(view *membership.View) []fleet.VM {
 	out := []fleet.VM{view.Self}
 	for _, members := range [][]membership.Member{view.Region, view.Others} {
@@ -149,16 +151,16 @@
 	return out
 }
 
-// offer judges documents here, in the reader's goroutine, gives them to the
-// control goroutine and waits for its verdict.
-func (n *Node) offer(ctx context.Context, docs []configuration.Document, list *fleet.List, source string) (bool, error) {
+// offerDocuments validates documents in the caller's goroutine, passes them to the
+// control goroutine and returns whether anything changed.
+func (n *Node) offerDocuments(ctx context.Context, docs []configuration.Document, list *fleet.List, source string) (bool, error) {
 	if len(docs) == 0 && list == nil {
 		return false, nil
 	}
-	judged := configuration.Judge(docs)
+	validated := configuration.Judge(docs)
 	return ask(ctx, n.control, func(reply chan<- bool) message {
-		return offered{
-			documents: judged,
+		return documentsOffered{
+			documents: validated,
 			list:      list,
 			source:    source,
 			done:      reply,
@@ -166,7 +168,7 @@
 	})
 }
 
-// sleepUntil waits for a moment or the end of ctx.
+// sleepUntil waits until a time or the end of ctx.
 func (n *Node) sleepUntil(ctx context.Context, at time.Time) {
 	worker.SleepUntil(ctx, n.now(), at)
 }
--- a/node/relay.go
+++ b/node/documents_handler.go
@@ -10,29 +10,29 @@
 	"github.com/fuchsianotch/fuchsianotch/peer/peerpb"
 )
 
-// replyBytes bounds the documents in one reply to a peer.
-const replyBytes = 4 << 20
+// maxReplyBytes bounds the documents in one reply.
+const maxReplyBytes = 4 << 20
 
-// heldAsked asks for what the store holds.
-type heldAsked struct {
+// heldRequested requests the keys and revisions in the store.
+type heldRequested struct {
 	reply chan<- []configuration.Held
 }
 
-func (m heldAsked) apply(c *control, _ time.Time) {
+func (m heldRequested) apply(c *control, _ time.Time) {
 	m.reply <- c.store.Held()
 }
 
-// newerAsked asks for what a peer lacks.
-type newerAsked struct {
+// missingRequested requests the documents and list that a peer lacks.
+type missingRequested struct {
 	in    *peerpb.DocumentsRequest
 	reply chan<- *peerpb.DocumentsReply
 }
 
-func (m newerAsked) apply(c *control, _ time.Time) {
+func (m missingRequested) apply(c *control, _ time.Time) {
 	reply := &peerpb.DocumentsReply{
 		Stamp: uint64(c.node.ring.Stamp()),
 	}
-	for _, d := range configuration.Page(c.lackedBy(m.in), replyBytes) {
+	for _, d := range configuration.Page(c.documentsMissing(m.in), maxReplyBytes) {
 		reply.Documents = append(reply.Documents, &peerpb.Document{
 			Key:      d.Key,
 			Revision: d.Revision,
@@ -46,12 +46,12 @@
 	m.reply <- reply
 }
 
-func (c *control) lackedBy(in *peerpb.DocumentsRequest) []configuration.Document {
+func (c *control) documentsMissing(in *peerpb.DocumentsRequest) []configuration.Document {
 	if in.GetDocumentsHash() == c.store.Digest().Hash {
 		return nil
 	}
 	if len(in.GetHeld()) > 0 {
-		return c.store.Newer(heldFromMessage(in.GetHeld()))
+		return c.store.Newer(heldFromProto(in.GetHeld()))
 	}
 	var out []configuration.Document
 	for _, d := range c.store.Newer(nil) {
@@ -62,7 +62,7 @@
 	return out
 }
 
-func heldFromMessage(held []*peerpb.Held) []configuration.Held {
+func heldFromProto(held []*peerpb.Held) []configuration.Held {
 	out := make([]configuration.Held, 0, len(held))
 	for _, h := range held {
 		out = append(out, configuration.Held{
@@ -73,14 +73,14 @@
 	return out
 }
 
-// documents answers a peer, at once if it lacks anything, else when something
-// new comes or its wait is over.
-func (n *Node) documents(ctx context.Context, in *peerpb.DocumentsRequest) (*peerpb.DocumentsReply, error) {
+// handleDocuments returns the documents that a peer lacks. If there are none, it waits
+// for a change until the requested deadline.
+func (n *Node) handleDocuments(ctx context.Context, in *peerpb.DocumentsRequest) (*peerpb.DocumentsReply, error) {
 	until := peer.FromUnixMilli(in.GetWaitUntilUnixMs())
 	for {
-		next := n.control.published.Load().next
+		next := n.control.published.Load().changed
 		reply, err := ask(ctx, n.control, func(reply chan<- *peerpb.DocumentsReply) message {
-			return newerAsked{
+			return missingRequested{
 				in:    in,
 				reply: reply,
 			}
@@ -88,11 +88,11 @@
 		if err != nil || len(reply.GetDocuments()) > 0 || len(reply.GetList()) > 0 || !n.now().Before(until) {
 			return reply, err
 		}
-		n.awaitNext(ctx, next, until)
+		n.awaitChange(ctx, next, until)
 	}
 }
 
-func (n *Node) awaitNext(ctx context.Context, next <-chan struct{}, until time.Time) {
+func (n *Node) awaitChange(ctx context.Context, next <-chan struct{}, until time.Time) {
 	timer := time.NewTimer(until.Sub(n.now()))
 	defer timer.Stop()
 	select {
--- a/node/group.go
+++ b/node/group.go
@@ -12,30 +12,30 @@
 	"github.com/fuchsianotch/fuchsianotch/peer"
 )
 
-// sweepEvery is how often unused accounts are forgotten.
-const sweepEvery = time.Minute
+// sweepInterval is how often idle accounts are removed.
+const sweepInterval = time.Minute
 
 func (n *Node) addWorkers(group *run.Group) {
 	worker.Add(group, n.control.run)
 	worker.Add(group, n.watchDocuments)
 	worker.Add(group, n.watchList)
-	worker.Add(group, n.followSource)
-	worker.Add(group, n.pullOnDemand)
-	worker.Add(group, n.pools.run)
-	worker.Add(group, n.crashes.Run)
+	worker.Add(group, n.followUpstream)
+	worker.Add(group, n.servePullRequests)
+	worker.Add(group, n.pools.pollLoadReports)
+	worker.Add(group, n.crashAgent.Run)
 	worker.Add(group, n.sweepAccounts)
 }
 
-// sweepAccounts forgets accounts of workspaces that have not called for long.
+// sweepAccounts removes the accounts of workspaces without recent calls.
 func (n *Node) sweepAccounts(ctx context.Context) error {
 	for ctx.Err() == nil {
-		n.sleepUntil(ctx, n.now().Add(sweepEvery))
+		n.sleepUntil(ctx, n.now().Add(sweepInterval))
 		n.ledger.Sweep(n.now())
 	}
 	return nil
 }
 
-func (n *Node) addFronts(group *run.Group, f *fronts) error {
+func (n *Node) addServers(group *run.Group, f *listeners) error {
 	server, err := peer.NewServer(n.handlers())
 	if err != nil {
 		return err
@@ -43,11 +43,11 @@
 	worker.Add(group, func(ctx context.Context) error {
 		return server.Serve(ctx, f.peer)
 	})
-	worker.AddHTTP(group, n.gone, func() error { return n.caller.Serve(f.caller) }, n.caller.Close)
+	worker.AddHTTP(group, n.stopped, func() error { return n.caller.Serve(f.caller) }, n.caller.Close)
 	operators := &http.Server{
 		Handler:           operator.New(n.operatorOptions()),
 		ReadHeaderTimeout: n.settings.Limits.HeaderWithin.Duration,
 	}
-	worker.AddHTTP(group, n.gone, func() error { return operators.Serve(f.operator) }, operators.Close)
+	worker.AddHTTP(group, n.stopped, func() error { return operators.Serve(f.operator) }, operators.Close)
 	return nil
 }
--- a/node/handlers.go
+++ b/node/handlers.go
@@ -20,16 +20,16 @@
 	"github.com/fuchsianotch/fuchsianotch/timeline"
 )
 
-// handlers are this VM's answers to its peers.
+// handlers returns the handlers of peers' requests.
 func (n *Node) handlers() peer.Handlers {
 	return peer.Handlers{
-		Heartbeat:  n.answerHeartbeat,
-		Documents:  n.documents,
-		Lease:      n.grant,
-		HandOver:   n.adopt,
-		Events:     n.events,
-		Crashes:    n.crashes.Take,
-		Forward:    n.serveForwarded,
+		Heartbeat:  n.handleHeartbeat,
+		Documents:  n.handleDocuments,
+		Lease:      n.handleLease,
+		HandOver:   n.handleHandOver,
+		Events:     n.handleEvents,
+		Crashes:    n.crashAgent.Take,
+		Forward:    n.handleForward,
 		Stamp:      func() uint64 { return uint64(n.ring.Stamp()) },
 		Witness:    n.witness,
 		CountBytes: n.countBytes,
@@ -41,17 +41,17 @@
 	n.ring.Witness(timeline.Stamp(stamp))
 }
 
-func (n *Node) answerHeartbeat(ctx context.Context, in *peerpb.HeartbeatRequest) (*peerpb.HeartbeatReply, error) {
+func (n *Node) handleHeartbeat(ctx context.Context, in *peerpb.HeartbeatRequest) (*peerpb.HeartbeatReply, error) {
 	return ask(ctx, n.control, func(reply chan<- *peerpb.HeartbeatReply) message {
-		return beatAsked{
-			beat:     peer.BeatFromMessage(in.GetBeat()),
+		return heartbeatReceived{
+			beat:     peer.HeartbeatFromProto(in.GetBeat()),
 			heldLoan: in.GetHeldLoan(),
 			reply:    reply,
 		}
 	})
 }
 
-// identity names this incarnation on messages.
+// identity returns the sender field of messages.
 func (n *Node) identity() *peerpb.Identity {
 	return &peerpb.Identity{
 		Vm:          n.settings.VM,
@@ -60,32 +60,32 @@
 	}
 }
 
-// forwardGrace is how much longer than the call's own deadline a forward is
-// waited for, so that the far VM's outcome arrives rather than a timeout.
+// forwardGrace extends the deadline of a forwarded call, so that the remote VM's outcome
+// arrives before the local timeout.
 const forwardGrace = 250 * time.Millisecond
 
-// forward runs a call on another VM and tells the control goroutine of a lost one.
+// forward runs a call on another VM, and reports a lost VM to the control goroutine.
 func (n *Node) forward(ctx context.Context, vm fleet.VM, c *call.Call, sink call.Sink) call.Outcome {
-	trip, cancel := clock.WithDeadline(ctx, n.now(), c.WholeBy.Add(forwardGrace))
+	forwardCtx, cancel := clock.WithDeadline(ctx, n.now(), c.WholeBy.Add(forwardGrace))
 	defer cancel()
-	out := n.peers.Forward(trip, vm, &peerpb.ForwardRequest{
+	out := n.peers.Forward(forwardCtx, vm, &peerpb.ForwardRequest{
 		From:  n.identity(),
 		Stamp: uint64(n.ring.Stamp()),
 		Call:  peer.CallMessage(c, n.now()),
 	}, sink, n.witness)
 	if isPeerLost(ctx, out.Code) {
-		n.control.send(ctx, beatMissed{
+		n.control.send(ctx, heartbeatMissed{
 			vm: vm.ID,
 		})
 	}
 	if c.Origin != "" {
-		n.pools.learnAway(vm, c, out)
+		n.pools.recordBorrowOutcome(vm, c, out)
 	}
 	return out
 }
 
-// isPeerLost reports whether a forward's code speaks of the VM asked. Once the
-// caller has left and ended its ctx, the call ends whatever the VM does.
+// isPeerLost reports whether a code means that the remote VM was lost. A call whose ctx
+// was ended by the caller says nothing about the VM.
 func isPeerLost(ctx context.Context, code result.Code) bool {
 	if ctx.Err() != nil {
 		return false
@@ -93,9 +93,9 @@
 	return code == result.PeerUnreachable || code == result.PeerLost
 }
 
-// serveForwarded runs a call that another VM sent. It cannot forward again:
-// Place never gives PlaceForward to a forwarded call.
-func (n *Node) serveForwarded(ctx context.Context, _ *peerpb.Identity, c *call.Call, sink call.Sink) call.Outcome {
+// handleForward runs a call that another VM forwarded. It is not forwarded again,
+// because Place never returns PlaceForward for a forwarded call.
+func (n *Node) handleForward(ctx context.Context, _ *peerpb.Identity, c *call.Call, sink call.Sink) call.Outcome {
 	found, ok := n.snapshot().Contract(c.Workspace)
 	if !ok || !n.caughtUp() {
 		return call.Refused(result.Refuse(result.NotReady, "VM %s does not know the workspace", n.settings.VM))
@@ -111,16 +111,16 @@
 	return n.serving.Serve(ctx, c, place, sink)
 }
 
-// lease asks a workspace's owner for a part of its limits.
-func (n *Node) lease(ctx context.Context, owner fleet.VM, workspace string, want, unused limit.Amounts) (serving.Lease, *result.Refusal) {
+// requestLease asks a workspace's owner for a lease on part of its limits.
+func (n *Node) requestLease(ctx context.Context, owner fleet.VM, workspace string, want, unused limit.Amounts) (serving.Lease, *result.Refusal) {
 	sentAt := n.now()
 	n.metrics.ControlMessage(metrics.MessageLease)
 	reply, err := n.peers.Lease(ctx, owner, &peerpb.LeaseRequest{
 		From:      n.identity(),
 		Stamp:     uint64(n.ring.Stamp()),
 		Workspace: workspace,
-		Want:      amountsMessage(want),
-		Unused:    amountsMessage(unused),
+		Want:      amountsToProto(want),
+		Unused:    amountsToProto(unused),
 	})
 	if err != nil {
 		return serving.Lease{}, result.Refuse(result.LimitNoShare, "the owner %s of the workspace did not answer", owner.ID).Because(err)
@@ -130,27 +130,27 @@
 		return serving.Lease{}, result.Refuse(code, "the owner %s granted nothing", owner.ID)
 	}
 	return serving.Lease{
-		Granted: amountsFromMessage(reply.GetGranted()),
+		Granted: amountsFromProto(reply.GetGranted()),
 		Until:   sentAt.Add(limit.LeaseTerm),
 	}, nil
 }
 
-// grant gives another VM a lease on a workspace that this one owns.
-func (n *Node) grant(_ context.Context, in *peerpb.LeaseRequest) (*peerpb.LeaseReply, error) {
+// handleLease grants a lease on the limits of a workspace that this VM owns.
+func (n *Node) handleLease(_ context.Context, in *peerpb.LeaseRequest) (*peerpb.LeaseReply, error) {
 	n.witness(in.GetStamp())
 	now := n.now()
 	reply := &peerpb.LeaseReply{
 		Stamp: uint64(n.ring.Stamp()),
 		Code:  uint32(result.Done),
 	}
-	terms, ok := n.termsOf(in.GetWorkspace())
+	terms, ok := n.regionTerms(in.GetWorkspace())
 	if !ok {
 		reply.Code = uint32(result.LimitNoShare)
 		return reply, nil
 	}
 	r := serving.LimitRequest(in.GetWorkspace(), terms, n.view(), now)
 	r.From = in.GetFrom().GetVm()
-	granted, refusal := n.ledger.Grant(r, amountsFromMessage(in.GetWant()), amountsFromMessage(in.GetUnused()), now)
+	granted, refusal := n.ledger.Grant(r, amountsFromProto(in.GetWant()), amountsFromProto(in.GetUnused()), now)
 	fillLease(reply, granted, refusal)
 	return reply, nil
 }
@@ -160,11 +160,11 @@
 		reply.Code = uint32(refusal.Code)
 		return
 	}
-	reply.Granted = amountsMessage(granted)
+	reply.Granted = amountsToProto(granted)
 	reply.TermMs = uint32(limit.LeaseTerm.Milliseconds())
 }
 
-func (n *Node) termsOf(workspace string) (contract.RegionTerms, bool) {
+func (n *Node) regionTerms(workspace string) (contract.RegionTerms, bool) {
 	found, ok := n.snapshot().Contract(workspace)
 	if !ok {
 		return contract.RegionTerms{}, false
@@ -172,7 +172,7 @@
 	return found.Terms(n.settings.Region)
 }
 
-func amountsMessage(a limit.Amounts) *peerpb.Amounts {
+func amountsToProto(a limit.Amounts) *peerpb.Amounts {
 	return &peerpb.Amounts{
 		Requests:    a.Requests,
 		Tokens:      a.Tokens,
@@ -182,7 +182,7 @@
 	}
 }
 
-func amountsFromMessage(m *peerpb.Amounts) limit.Amounts {
+func amountsFromProto(m *peerpb.Amounts) limit.Amounts {
 	return limit.Amounts{
 		Requests:    m.GetRequests(),
 		Tokens:      m.GetTokens(),
@@ -192,17 +192,17 @@
 	}
 }
 
-// adopt takes over what another incarnation gave up, once all parts are there.
-func (n *Node) adopt(ctx context.Context, in *peerpb.HandOverRequest) (*peerpb.HandOverReply, error) {
+// handleHandOver adopts the tickets of another incarnation once all parts have arrived.
+func (n *Node) handleHandOver(ctx context.Context, in *peerpb.HandOverRequest) (*peerpb.HandOverReply, error) {
 	n.witness(in.GetStamp())
-	whole, ok := n.parts.Add(in, n.now())
+	whole, ok := n.handOvers.Add(in, n.now())
 	if whole == nil {
 		return &peerpb.HandOverReply{
 			Stamp:    uint64(n.ring.Stamp()),
 			Accepted: ok,
 		}, nil
 	}
-	h := peer.HandOverFromMessage(whole)
+	h := peer.HandOverFromProto(whole)
 	accepted := n.desk.Adopt(h, n.now())
 	if accepted {
 		n.publishRights(ctx, n.settings.VM, h)
@@ -210,7 +210,7 @@
 	n.ring.Add(timeline.Event{
 		Kind:   "hand_over_received",
 		Peer:   h.From.VM,
-		Detail: acceptance(accepted),
+		Detail: acceptanceDetail(accepted),
 	})
 	return &peerpb.HandOverReply{
 		Stamp:    uint64(n.ring.Stamp()),
@@ -218,16 +218,16 @@
 	}, nil
 }
 
-func acceptance(accepted bool) string {
+func acceptanceDetail(accepted bool) string {
 	if accepted {
 		return "accepted"
 	}
 	return "refused"
 }
 
-// events answers with a part of this VM's time line. Events about a workspace
-// that its contract binds to this region stay in it.
-func (n *Node) events(_ context.Context, in *peerpb.EventsRequest) (*peerpb.EventsReply, error) {
+// handleEvents returns events of this VM's time line. Events of workspaces that are
+// bound to this region are not sent to other regions.
+func (n *Node) handleEvents(_ context.Context, in *peerpb.EventsRequest) (*peerpb.EventsReply, error) {
 	n.witness(in.GetStamp())
 	found := n.ring.Select(timeline.Query{
 		Request:   in.GetRequest(),
@@ -236,11 +236,11 @@
 		To:        peer.FromUnixMilli(in.GetToUnixMs()),
 	})
 	if in.GetFrom().GetRegion() != n.settings.Region {
-		found = slices.DeleteFunc(slices.Clone(found), n.isBound)
+		found = slices.DeleteFunc(slices.Clone(found), n.isRegionBound)
 	}
 	data, err := json.Marshal(found)
 	if err != nil {
-		return nil, errors.Join(errEvents, err)
+		return nil, errors.Join(errEncodeEvents, err)
 	}
 	return &peerpb.EventsReply{
 		Stamp:  uint64(n.ring.Stamp()),
@@ -248,9 +248,9 @@
 	}, nil
 }
 
-var errEvents = errors.New("events cannot be written")
+var errEncodeEvents = errors.New("cannot encode events")
 
-func (n *Node) isBound(e timeline.Event) bool {
+func (n *Node) isRegionBound(e timeline.Event) bool {
 	if e.Workspace == "" {
 		return false
 	}
--- a/node/handlers_test.go
+++ b/node/handlers_test.go
@@ -9,8 +9,8 @@
 	"github.com/fuchsianotch/fuchsianotch/result"
 )
 
-// TestIsPeerLost checks that a VM is not taken for lost because a caller left
-// in the middle of a forwarded call.
+// TestIsPeerLost checks that a VM is not reported as lost when the caller disconnects
+// during a forwarded call.
 func TestIsPeerLost(t *testing.T) {
 	left, leave := context.WithCancel(t.Context())
 	leave()
--- a/node/heartbeat.go
+++ b/node/heartbeat.go
@@ -14,41 +14,42 @@
 	"github.com/fuchsianotch/fuchsianotch/timeline"
 )
 
-// heartbeatWithin bounds one round trip.
-const heartbeatWithin = time.Second
+// heartbeatTimeout bounds one round trip.
+const heartbeatTimeout = time.Second
 
-// heartbeat makes one round trip to a VM and tells the control goroutine.
-func (n *Node) heartbeat(ctx context.Context, vm fleet.VM, beat membership.Beat, heldLoan uint64) {
+// sendHeartbeat sends a heartbeat to a VM and passes the result to the control
+// goroutine.
+func (n *Node) sendHeartbeat(ctx context.Context, vm fleet.VM, beat membership.Beat, heldLoan uint64) {
 	sentAt := n.now()
-	trip, cancel := context.WithTimeout(ctx, heartbeatWithin)
+	heartbeatCtx, cancel := context.WithTimeout(ctx, heartbeatTimeout)
 	defer cancel()
 	n.metrics.ControlMessage(metrics.MessageHeartbeat)
-	reply, err := n.peers.Heartbeat(trip, vm, &peerpb.HeartbeatRequest{
-		Beat:     peer.BeatMessage(beat),
+	reply, err := n.peers.Heartbeat(heartbeatCtx, vm, &peerpb.HeartbeatRequest{
+		Beat:     peer.HeartbeatToProto(beat),
 		HeldLoan: heldLoan,
 	})
 	if err != nil {
-		n.control.send(ctx, beatMissed{
+		n.control.send(ctx, heartbeatMissed{
 			vm:      vm.ID,
 			refused: errors.Is(err, syscall.ECONNREFUSED),
 		})
 		return
 	}
-	n.control.send(ctx, beatAnswered{
-		beat:   peer.BeatFromMessage(reply.GetBeat()),
-		loan:   loanFromMessage(reply.GetLoan()),
+	n.control.send(ctx, heartbeatAnswered{
+		beat:   peer.HeartbeatFromProto(reply.GetBeat()),
+		loan:   loanFromProto(reply.GetLoan()),
 		sentAt: sentAt,
 	})
 }
 
-// beatMissed is a heartbeat that was not answered.
-type beatMissed struct {
+// heartbeatMissed is a heartbeat without a reply.
+type heartbeatMissed struct {
 	vm string
-	// refused says that the VM's address refused the connection.
+	// refused is set if the VM's address refused the connection.
 	refused bool
 }
 
-func (m beatMissed) apply(c *control, now time.Time) {
+func (m heartbeatMissed) apply(c *control, now time.Time) {
 	if m.refused {
 		c.members.Refused(m.vm, now)
 		return
@@ -56,52 +57,53 @@
 	c.members.Missed(m.vm, now)
 }
 
-// beatAnswered is a heartbeat's answer.
-type beatAnswered struct {
+// heartbeatAnswered is the reply to a heartbeat.
+type heartbeatAnswered struct {
 	beat   membership.Beat
 	loan   membership.Loan
 	sentAt time.Time
 }
 
-func (m beatAnswered) apply(c *control, now time.Time) {
+func (m heartbeatAnswered) apply(c *control, now time.Time) {
 	c.node.ring.Witness(timeline.Stamp(m.beat.Stamp))
 	c.members.Heard(m.beat, m.sentAt, now)
 	c.members.Borrowed(m.beat.VM, m.loan, m.sentAt, now)
-	c.compare(m.beat)
+	c.pullIfDifferent(m.beat)
 }
 
-// beatAsked is a peer's own heartbeat, which wants an answer.
-type beatAsked struct {
+// heartbeatReceived is a heartbeat sent by a peer.
+type heartbeatReceived struct {
 	beat     membership.Beat
 	heldLoan uint64
 	reply    chan<- *peerpb.HeartbeatReply
 }
 
-func (m beatAsked) apply(c *control, now time.Time) {
+func (m heartbeatReceived) apply(c *control, now time.Time) {
 	c.node.ring.Witness(timeline.Stamp(m.beat.Stamp))
 	c.members.Heard(m.beat, time.Time{}, now)
 	c.members.Acknowledge(m.beat.VM, m.heldLoan)
 	answer := &peerpb.HeartbeatReply{
-		Beat: peer.BeatMessage(c.beatFor(c.beat(now), m.beat.Region)),
+		Beat: peer.HeartbeatToProto(c.heartbeatFor(c.ownHeartbeat(now), m.beat.Region)),
 	}
 	if m.beat.Region == c.node.settings.Region {
-		answer.Loan = loanMessage(c.members.Lend(m.beat.VM, m.beat.ViewHash, now))
+		answer.Loan = loanToProto(c.members.Lend(m.beat.VM, m.beat.ViewHash, now))
 	}
 	m.reply <- answer
-	c.compare(m.beat)
+	c.pullIfDifferent(m.beat)
 }
 
-// compare pulls from a VM that holds other documents or a newer list.
-func (c *control) compare(b membership.Beat) {
+// pullIfDifferent requests a pull from a VM with different documents or a newer fleet
+// list.
+func (c *control) pullIfDifferent(b membership.Beat) {
 	digest := c.store.Digest()
 	same := b.DocumentsHash == digest.Hash && b.ListRevision <= digest.ListRevision
 	if same || !b.Ready {
 		return
 	}
-	c.node.pullSoon(b.VM)
+	c.node.requestPull(b.VM)
 }
 
-func loanMessage(l membership.Loan) *peerpb.Loan {
+func loanToProto(l membership.Loan) *peerpb.Loan {
 	return &peerpb.Loan{
 		Id:       l.ID,
 		TermMs:   uint32(l.Term.Milliseconds()),
@@ -110,7 +112,7 @@
 	}
 }
 
-func loanFromMessage(m *peerpb.Loan) membership.Loan {
+func loanFromProto(m *peerpb.Loan) membership.Loan {
 	return membership.Loan{
 		ID:      m.GetId(),
 		Term:    time.Duration(m.GetTermMs()) * time.Millisecond,
--- a/node/node.go
+++ b/node/node.go
@@ -1,6 +1,6 @@
-// Package node is one VM's process put together: the control goroutine, the
-// fronts for callers, peers and operators, the platform reader, and the pools
-// of endpoints. They run as one group and stop together.
+// Package node assembles the gateway process of one VM: the control goroutine, the
+// servers for callers, peers and operators, the platform watchers and the endpoint
+// pools. They run as one group and stop together.
 package node
 
 import (
@@ -37,70 +37,70 @@
 )
 
 const (
-	// retryShare is the share of calls that may be tried again.
-	retryShare = 0.1
-	// writeWithin bounds one write to a slow caller.
-	writeWithin = 10 * time.Second
-	// idAlphabet is the base of request ids.
-	idAlphabet = 36
+	// retryBudgetRatio is the ratio of retries to calls.
+	retryBudgetRatio = 0.1
+	// callerWriteTimeout bounds one write to a slow caller.
+	callerWriteTimeout = 10 * time.Second
+	// idBase is the numeric base of request ids.
+	idBase = 36
 )
 
-// Options set up a Node.
+// Options configure a Node.
 type Options struct {
 	Settings *settings.Settings
 	Logger   *slog.Logger
-	// Now is the clock; nil means one that goes on while the VM is suspended.
+	// Now is the clock; nil means one that advances while the VM is suspended.
 	Now func() time.Time
 }
 
-// Node is one VM's process.
+// Node is the gateway process of one VM.
 type Node struct {
 	settings    *settings.Settings
 	log         *slog.Logger
 	now         func() time.Time
 	incarnation uint64
-	// tls secures the peer front; nil means plain TCP.
+	// tls secures connections between VMs; nil means plain TCP.
 	tls *tls.Config
 
-	ring     *timeline.Ring
-	metrics  *metrics.Metrics
-	peers    *peer.Client
-	platform *platform.Client
-	control  *control
-	pools    *pools
-	desk     *ticket.Desk
-	parts    *peer.Parts
-	ledger   *limit.Ledger
-	crashes  *agent.Agent
-	serving  *serving.Server
-	caller   *caller.Server
+	ring       *timeline.Ring
+	metrics    *metrics.Metrics
+	peers      *peer.Client
+	platform   *platform.Client
+	control    *control
+	pools      *pools
+	desk       *ticket.Desk
+	handOvers  *peer.HandOverAssembler
+	ledger     *limit.Ledger
+	crashAgent *agent.Agent
+	serving    *serving.Server
+	caller     *caller.Server
 
-	// pulls names VMs whose heartbeats showed other documents.
-	pulls chan string
-	// idPrefix begins every request id of this incarnation.
+	// pullRequests holds the id of a VM to pull from.
+	pullRequests chan string
+	// idPrefix makes request ids unique to this incarnation.
 	idPrefix string
-	ids      atomic.Uint64
+	lastID   atomic.Uint64
 	stopping atomic.Bool
-	// gone is closed when the planned stop is over.
-	gone chan struct{}
+	// stopped is closed when the graceful stop is complete.
+	stopped chan struct{}
 }
 
-// New makes a node that does not listen yet. It fails only if no identity can
-// be derived from the peer key.
+// New returns a node that is not yet listening. It fails only if no TLS identity can be
+// derived from the peer key.
 func New(o Options) (*Node, error) {
 	if o.Now == nil {
 		o.Now = clock.New(clock.Options{}).Now
 	}
 	n := &Node{
-		settings:    o.Settings,
-		log:         o.Logger,
-		now:         o.Now,
-		incarnation: newIncarnation(),
-		metrics:     metrics.New(),
-		pulls:       make(chan string, 1),
-		gone:        make(chan struct{}),
+		settings:     o.Settings,
+		log:          o.Logger,
+		now:          o.Now,
+		incarnation:  newIncarnation(),
+		metrics:      metrics.New(),
+		pullRequests: make(chan string, 1),
+		stopped:      make(chan struct{}),
 	}
-	n.idPrefix = strconv.FormatUint(n.incarnation, idAlphabet) + "-"
+	n.idPrefix = strconv.FormatUint(n.incarnation, idBase) + "-"
 	if o.Settings.PeerKey != "" {
 		secured, err := peer.TLS(o.Settings.PeerKey)
 		if err != nil {
@@ -108,18 +108,18 @@
 		}
 		n.tls = secured
 	}
-	n.makeParts()
+	n.initComponents()
 	return n, nil
 }
 
-// newIncarnation numbers this life of the process. It is never zero.
+// newIncarnation returns a random nonzero number for this run of the process.
 func newIncarnation() uint64 {
 	var b [8]byte
 	_, _ = rand.Read(b[:])
 	return binary.LittleEndian.Uint64(b[:]) | 1
 }
 
-func (n *Node) makeParts() {
+func (n *Node) initComponents() {
 	s := n.settings
 	n.ring = timeline.New(timeline.Options{
 		VM:       s.VM,
@@ -127,9 +127,9 @@
 		Now:      n.now,
 	})
 	n.peers = peer.New(peer.Options{
-		Routes:     routesOf(s),
-		CountBytes: n.countBytes,
-		TLS:        n.tls,
+		ResolveAddr: addrResolver(s),
+		CountBytes:  n.countBytes,
+		TLS:         n.tls,
 	})
 	n.platform = platform.New(platform.Options{
 		URL: s.PlatformURL,
@@ -141,21 +141,21 @@
 		Count:       s.Records.Count,
 		Bytes:       s.Records.Bytes,
 	})
-	n.parts = peer.NewParts(s.Records.Bytes)
+	n.handOvers = peer.NewHandOverAssembler(s.Records.Bytes)
 	n.ledger = limit.New(limit.Options{
 		Policy: s.Policies.Limits,
 	})
 	client := endpoint.New(endpoint.Options{
 		Now: n.now,
 	})
-	n.crashes = n.newCrashes()
+	n.crashAgent = n.newCrashAgent()
 	n.pools = newPools(n, client)
 	n.control = newControl(n)
 	n.serving = n.newServing(client)
 	n.caller = n.newCaller()
 }
 
-func routesOf(s *settings.Settings) func(vm string) (string, bool) {
+func addrResolver(s *settings.Settings) func(vm string) (string, bool) {
 	routes := make(map[string]string, len(s.PeerRoutes))
 	for _, r := range s.PeerRoutes {
 		routes[r.VM] = r.Addr
@@ -175,26 +175,26 @@
 		View:     n.view,
 		Pool:     n.pools.find,
 		Forward:  n.forward,
-		Lease:    n.lease,
-		Borrow:   n.pools.borrow,
-		Accept:   n.pools.accept,
+		Lease:    n.requestLease,
+		Borrow:   n.pools.chooseLender,
+		Accept:   n.pools.acceptBorrowed,
 		Ledger:   n.ledger,
 		Desk:     n.desk,
 		Endpoint: client,
 		Budget:   n.newBudget(),
 		Crashes: serving.Crashes{
-			Admit:     n.crashes.Admit,
-			Cut:       n.crashes.Cut,
-			EndedWell: n.crashes.EndedWell,
+			Admit:     n.crashAgent.Admit,
+			Cut:       n.crashAgent.Cut,
+			EndedWell: n.crashAgent.EndedWell,
 		},
 		Ring:    n.ring,
 		Metrics: n.metrics,
 	})
 }
 
-// newBudget is one budget for the calls of all targets.
+// newBudget returns a retry budget shared by all targets.
 func (n *Node) newBudget() serving.Budget {
-	budget := retry.New(retryShare)
+	budget := retry.New(retryBudgetRatio)
 	return serving.Budget{
 		OnRequest: func(string) { budget.OnRequest() },
 		Allow:     func(string) bool { return budget.Allow() },
@@ -221,7 +221,7 @@
 			HeaderWithin:             s.Limits.HeaderWithin.Duration,
 			BodyWithin:               s.Limits.BodyWithin.Duration,
 			IdleWithin:               s.Limits.IdleWithin.Duration,
-			WriteWithin:              writeWithin,
+			WriteWithin:              callerWriteTimeout,
 			TicketGoodFor:            s.TicketGoodFor.Duration,
 			EntriesGoodFor:           s.EntriesGoodFor.Duration,
 		},
@@ -233,9 +233,9 @@
 	n.metrics.Control(metrics.DirectionIn, received)
 }
 
-// newID makes a request id that no other VM and no other life of this one makes.
+// newID returns a request id that is unique among all VMs and incarnations.
 func (n *Node) newID() string {
-	return n.idPrefix + strconv.FormatUint(n.ids.Add(1), idAlphabet)
+	return n.idPrefix + strconv.FormatUint(n.lastID.Add(1), idBase)
 }
 
 func (n *Node) snapshot() *configuration.Snapshot {
@@ -246,7 +246,7 @@
 	return n.control.published.Load().view
 }
 
-// self is this VM as the settings and its listeners give it.
+// self describes this VM as configured.
 func (n *Node) self() fleet.VM {
 	return fleet.VM{
 		ID:         n.settings.VM,
@@ -258,34 +258,34 @@
 
 // Run listens and serves until ctx ends, and then stops gracefully.
 func (n *Node) Run(ctx context.Context) error {
-	fronts, err := n.listen()
+	ln, err := n.listen()
 	if err != nil {
 		return err
 	}
 	var group run.Group
 	n.addWorkers(&group)
-	if err := n.addFronts(&group, fronts); err != nil {
+	if err := n.addServers(&group, ln); err != nil {
 		return err
 	}
-	worker.AddStop(ctx, &group, n.gone, n.stop)
+	worker.AddStop(ctx, &group, n.stopped, n.stop)
 	n.log.Info("listening",
 		"vm", n.settings.VM,
-		"caller", fronts.caller.Addr().String(),
-		"peer", fronts.peer.Addr().String(),
-		"operator", fronts.operator.Addr().String(),
+		"caller", ln.caller.Addr().String(),
+		"peer", ln.peer.Addr().String(),
+		"operator", ln.operator.Addr().String(),
 	)
 	return group.Run()
 }
 
-// fronts are the listeners of one node.
-type fronts struct {
+// listeners accept callers, peers and operators.
+type listeners struct {
 	caller   net.Listener
 	peer     net.Listener
 	operator net.Listener
 }
 
-func (n *Node) listen() (*fronts, error) {
-	var f fronts
+func (n *Node) listen() (*listeners, error) {
+	var f listeners
 	var err error
 	for _, l := range []struct {
 		addr string
--- a/node/pools.go
+++ b/node/pools.go
@@ -14,15 +14,15 @@
 )
 
 const (
-	// reportWithin bounds one question for a load report.
-	reportWithin = 2 * time.Second
-	// reportsPerSecond bounds the questions of one VM, so that the interval
-	// grows with the endpoints and the bytes do not.
-	reportsPerSecond = 10
+	// loadReportTimeout bounds one request for a load report.
+	loadReportTimeout = 2 * time.Second
+	// maxLoadReportsPerSecond bounds polling, so that the interval grows with the number
+	// of endpoints while the traffic does not.
+	maxLoadReportsPerSecond = 10
 )
 
-// pools are the pools of all targets that this region serves. The control
-// goroutine sets the list; traffic reads an immutable table.
+// pools holds the endpoint pools of the region's targets. The control goroutine replaces
+// the table; request goroutines read it.
 type pools struct {
 	node   *Node
 	client *endpoint.Client
@@ -30,14 +30,14 @@
 	damper *borrow.Damper
 }
 
-// poolTable is the pools as of one list.
+// poolTable is an immutable set of pools, built from one fleet list.
 type poolTable struct {
 	byTarget map[string]*targetPool
-	// endpoints are those of this region, live and leaving.
+	// endpoints are this region's endpoints, live and leaving.
 	endpoints []fleet.Endpoint
 }
 
-// targetPool is one target's pool with what borrowing needs to know.
+// targetPool is a target's pool with its state for borrowing.
 type targetPool struct {
 	serving.Pool
 	target string
@@ -55,7 +55,7 @@
 	return p
 }
 
-// setList makes pools for new targets and tells the others of their endpoints.
+// setList creates pools for new targets and updates the endpoints of all pools.
 func (p *pools) setList(list *fleet.List, now time.Time) {
 	before := p.table.Load()
 	after := &poolTable{
@@ -72,7 +72,7 @@
 	for target, pool := range before.byTarget {
 		after.byTarget[target] = pool
 	}
-	vms := p.countVMs(list)
+	vms := p.countLiveVMs(list)
 	for target := range endpoints {
 		if after.byTarget[target] == nil {
 			after.byTarget[target] = p.newPool(target)
@@ -87,7 +87,7 @@
 	p.table.Store(after)
 }
 
-func (p *pools) countVMs(list *fleet.List) int {
+func (p *pools) countLiveVMs(list *fleet.List) int {
 	n := 0
 	for _, vm := range list.VMs {
 		if vm.Region == p.node.settings.Region && vm.State == fleet.StateLive {
@@ -118,7 +118,7 @@
 	}
 }
 
-// find returns the pool of a target of this region.
+// find returns the pool of a target in this region.
 func (p *pools) find(target string) (*serving.Pool, bool) {
 	pool, ok := p.table.Load().byTarget[target]
 	if !ok {
@@ -127,16 +127,16 @@
 	return &pool.Pool, true
 }
 
-// waiting is the number of calls that wait in all queues.
-func (p *pools) waiting() int {
+// queuedCalls returns the number of calls in all queues.
+func (p *pools) queuedCalls() int {
 	n := 0
 	for _, pool := range p.table.Load().byTarget {
-		n += pool.waiting()
+		n += pool.queuedCalls()
 	}
 	return n
 }
 
-func (t *targetPool) waiting() int {
+func (t *targetPool) queuedCalls() int {
 	n := 0
 	for _, waiting := range t.Queue.Waiting() {
 		n += waiting
@@ -144,31 +144,31 @@
 	return n
 }
 
-// run asks the region's endpoints for load reports, one after the other.
-func (p *pools) run(ctx context.Context) error {
+// pollLoadReports requests load reports from the region's endpoints in turn.
+func (p *pools) pollLoadReports(ctx context.Context) error {
 	next := 0
 	for ctx.Err() == nil {
 		table := p.table.Load()
-		p.sample(table)
+		p.sampleDemand(table)
 		if len(table.endpoints) == 0 {
 			p.node.sleepUntil(ctx, p.node.now().Add(p.node.settings.EndpointReportEvery.Duration))
 			continue
 		}
-		go p.report(ctx, table, table.endpoints[next%len(table.endpoints)])
+		go p.fetchLoadReport(ctx, table, table.endpoints[next%len(table.endpoints)])
 		next++
-		p.node.sleepUntil(ctx, p.node.now().Add(p.pause(len(table.endpoints))))
+		p.node.sleepUntil(ctx, p.node.now().Add(p.pollInterval(len(table.endpoints))))
 	}
 	return nil
 }
 
-// pause spreads the reports of all endpoints over the interval of the settings.
-func (p *pools) pause(endpoints int) time.Duration {
+// pollInterval spreads the polls of all endpoints over the configured interval.
+func (p *pools) pollInterval(endpoints int) time.Duration {
 	every := p.node.settings.EndpointReportEvery.Duration / time.Duration(endpoints)
-	return max(every, time.Second/reportsPerSecond)
+	return max(every, time.Second/maxLoadReportsPerSecond)
 }
 
-func (p *pools) report(ctx context.Context, table *poolTable, e fleet.Endpoint) {
-	ctx, cancel := context.WithTimeout(ctx, reportWithin)
+func (p *pools) fetchLoadReport(ctx context.Context, table *poolTable, e fleet.Endpoint) {
+	ctx, cancel := context.WithTimeout(ctx, loadReportTimeout)
 	defer cancel()
 	load, err := p.client.Report(ctx, e)
 	if err != nil {
@@ -180,11 +180,11 @@
 	pool.Queue.Poke(now)
 }
 
-func (p *pools) sample(table *poolTable) {
+func (p *pools) sampleDemand(table *poolTable) {
 	now := p.node.now()
 	for _, pool := range table.byTarget {
 		supply := pool.Endpoints.Supply(now)
-		pool.demand.add(supply.Slots-supply.Free, now)
+		pool.demand.addSample(supply.Slots-supply.Free, now)
 	}
-	p.node.metrics.SetQueue(p.waiting())
+	p.node.metrics.SetQueue(p.queuedCalls())
 }
--- a/node/follow.go
+++ b/node/pull.go
@@ -13,18 +13,18 @@
 	"github.com/fuchsianotch/fuchsianotch/peer/peerpb"
 )
 
-// pullWithin bounds one pull that does not wait.
-const pullWithin = 5 * time.Second
+// pullTimeout bounds a pull without a long poll.
+const pullTimeout = 5 * time.Second
 
-// pullOnDemand pulls from VMs whose heartbeats showed other documents. A pull
-// that brought nothing is followed by a pause, so that two builds that judge a
-// document differently do not pull in a tight loop.
-func (n *Node) pullOnDemand(ctx context.Context) error {
+// servePullRequests pulls from VMs whose heartbeats showed different documents. It
+// pauses after a pull without changes, because two builds that validate a document
+// differently would otherwise pull in a tight loop.
+func (n *Node) servePullRequests(ctx context.Context) error {
 	for {
 		select {
-		case vm := <-n.pulls:
-			if !n.pullFrom(ctx, vm) {
-				n.sleepUntil(ctx, n.now().Add(dutyEvery))
+		case vm := <-n.pullRequests:
+			if !n.pullMissing(ctx, vm) {
+				n.sleepUntil(ctx, n.now().Add(dutyCheckInterval))
 			}
 		case <-ctx.Done():
 			return nil
@@ -32,24 +32,25 @@
 	}
 }
 
-// pullSoon asks for a pull from a VM; a second one while one waits is dropped.
-func (n *Node) pullSoon(vm string) {
+// requestPull schedules a pull from a VM, unless one is pending.
+func (n *Node) requestPull(vm string) {
 	select {
-	case n.pulls <- vm:
+	case n.pullRequests <- vm:
 	default:
 	}
 }
 
-// pullFrom pulls everything that this VM lacks, and says whether that was anything.
-func (n *Node) pullFrom(ctx context.Context, id string) bool {
+// pullMissing pulls the documents that this VM lacks, and reports whether anything
+// changed.
+func (n *Node) pullMissing(ctx context.Context, id string) bool {
 	vm, ok := findVM(n.view(), id)
 	if !ok {
 		return false
 	}
-	ctx, cancel := context.WithTimeout(ctx, pullWithin)
+	ctx, cancel := context.WithTimeout(ctx, pullTimeout)
 	defer cancel()
 	held, err := ask(ctx, n.control, func(reply chan<- []configuration.Held) message {
-		return heldAsked{
+		return heldRequested{
 			reply: reply,
 		}
 	})
@@ -59,38 +60,38 @@
 	digest := n.snapshot().Digest
 	changed, err := n.pull(ctx, vm, &peerpb.DocumentsRequest{
 		ListRevision:  digest.ListRevision,
-		Held:          heldMessage(held),
+		Held:          heldToProto(held),
 		AfterRevision: digest.Revision,
 		DocumentsHash: digest.Hash,
 	})
 	return err == nil && changed
 }
 
-// followSource waits at the best source for anything new, unless this VM
-// watches the platform itself.
-func (n *Node) followSource(ctx context.Context) error {
+// followUpstream long-polls the preferred peer for changes, unless this VM watches the
+// platform itself.
+func (n *Node) followUpstream(ctx context.Context) error {
 	for ctx.Err() == nil {
-		n.seedFromPeers(ctx)
-		source, ok := n.source()
+		n.pullFromSeeds(ctx)
+		upstream, ok := n.upstream()
 		if !ok {
-			n.sleepUntil(ctx, n.now().Add(dutyEvery))
+			n.sleepUntil(ctx, n.now().Add(dutyCheckInterval))
 			continue
 		}
 		began := n.now()
-		if _, err := n.waitAt(ctx, source); err != nil {
-			n.sleepUntil(ctx, began.Add(dutyEvery))
+		if _, err := n.longPoll(ctx, upstream); err != nil {
+			n.sleepUntil(ctx, began.Add(dutyCheckInterval))
 		}
 	}
 	return nil
 }
 
-func (n *Node) waitAt(ctx context.Context, source fleet.VM) (bool, error) {
+func (n *Node) longPoll(ctx context.Context, upstream fleet.VM) (bool, error) {
 	now := n.now()
-	until := now.Add(watchFor)
-	ctx, cancel := clock.WithDeadline(ctx, now, until.Add(pullWithin))
+	until := now.Add(watchTimeout)
+	ctx, cancel := clock.WithDeadline(ctx, now, until.Add(pullTimeout))
 	defer cancel()
 	digest := n.snapshot().Digest
-	return n.pull(ctx, source, &peerpb.DocumentsRequest{
+	return n.pull(ctx, upstream, &peerpb.DocumentsRequest{
 		ListRevision:    digest.ListRevision,
 		AfterRevision:   digest.Revision,
 		DocumentsHash:   digest.Hash,
@@ -98,8 +99,9 @@
 	})
 }
 
-// source is the VM to wait at; ok is false for a watcher, and while none is known.
-func (n *Node) source() (fleet.VM, bool) {
+// upstream returns the VM to long-poll; ok is false for a watcher, and while no VM is
+// known.
+func (n *Node) upstream() (fleet.VM, bool) {
 	view := n.view()
 	if n.isWatcher() {
 		return fleet.VM{}, false
@@ -121,7 +123,8 @@
 	return fleet.VM{}, false
 }
 
-// pull makes one request, takes what it brings, and says whether that was new.
+// pull makes one request, offers the documents of the reply, and reports whether
+// anything changed.
 func (n *Node) pull(ctx context.Context, vm fleet.VM, in *peerpb.DocumentsRequest) (bool, error) {
 	in.Stamp = uint64(n.ring.Stamp())
 	n.metrics.ControlMessage(metrics.MessageDocuments)
@@ -129,11 +132,11 @@
 	if err != nil {
 		return false, err
 	}
-	docs, list := documentsFromMessage(reply)
-	return n.offer(ctx, docs, list, vm.ID)
+	docs, list := documentsFromProto(reply)
+	return n.offerDocuments(ctx, docs, list, vm.ID)
 }
 
-func documentsFromMessage(m *peerpb.DocumentsReply) ([]configuration.Document, *fleet.List) {
+func documentsFromProto(m *peerpb.DocumentsReply) ([]configuration.Document, *fleet.List) {
 	var docs []configuration.Document
 	for _, d := range m.GetDocuments() {
 		docs = append(docs, configuration.Document{
@@ -153,7 +156,7 @@
 	return docs, &list
 }
 
-func heldMessage(held []configuration.Held) []*peerpb.Held {
+func heldToProto(held []configuration.Held) []*peerpb.Held {
 	out := make([]*peerpb.Held, 0, len(held))
 	for _, h := range held {
 		out = append(out, &peerpb.Held{
@@ -164,15 +167,15 @@
 	return out
 }
 
-// seedFromPeers takes documents from the seeds of the settings while no list
-// is known, as at a start during an outage of the platform. It asks each once.
-func (n *Node) seedFromPeers(ctx context.Context) {
+// pullFromSeeds pulls from each configured seed once while no fleet list is known, for
+// instance when this VM starts during an outage of the platform.
+func (n *Node) pullFromSeeds(ctx context.Context) {
 	for _, addr := range n.settings.Seeds {
 		if n.snapshot().List != nil {
 			return
 		}
-		trip, cancel := context.WithTimeout(ctx, pullWithin)
-		_, _ = n.pull(trip, fleet.VM{
+		pullCtx, cancel := context.WithTimeout(ctx, pullTimeout)
+		_, _ = n.pull(pullCtx, fleet.VM{
 			ID:       "seed " + addr,
 			PeerAddr: addr,
 		}, &peerpb.DocumentsRequest{})
--- a/node/rights.go
+++ b/node/rights.go
@@ -8,8 +8,9 @@
 	"github.com/fuchsianotch/fuchsianotch/ticket"
 )
 
-// adopted lists the rights that this incarnation holds from others.
-func (n *Node) adopted(now time.Time) []membership.Adoption {
+// adoptedRights returns the ticket rights that this VM took over from other
+// incarnations.
+func (n *Node) adoptedRights(now time.Time) []membership.Adoption {
 	var out []membership.Adoption
 	for _, a := range n.desk.Adopted(now) {
 		out = append(out, membership.Adoption{
@@ -21,15 +22,15 @@
 	return out
 }
 
-// rightsMoved says that rights were adopted by this VM or handed to another,
-// so that calls with their tickets find the way from now on.
-type rightsMoved struct {
+// rightsTransferred records the new holder of ticket rights, so that calls with their
+// tickets are routed to it.
+type rightsTransferred struct {
 	to     string
 	rights []membership.Adoption
 	reply  chan<- bool
 }
 
-func (m rightsMoved) apply(c *control, now time.Time) {
+func (m rightsTransferred) apply(c *control, now time.Time) {
 	if m.to != c.node.settings.VM {
 		c.members.SetRights(m.to, m.rights)
 	}
@@ -37,7 +38,8 @@
 	m.reply <- true
 }
 
-// publishRights waits until traffic sees where rights have moved.
+// publishRights publishes the new holder of ticket rights and waits until request
+// goroutines see it.
 func (n *Node) publishRights(ctx context.Context, to string, h ticket.HandOver) {
 	var rights []membership.Adoption
 	for _, r := range h.Rights {
@@ -48,7 +50,7 @@
 		})
 	}
 	_, _ = ask(ctx, n.control, func(reply chan<- bool) message {
-		return rightsMoved{
+		return rightsTransferred{
 			to:     to,
 			rights: rights,
 			reply:  reply,
--- a/node/status.go
+++ b/node/status.go
@@ -15,8 +15,8 @@
 	"github.com/fuchsianotch/fuchsianotch/timeline"
 )
 
-// eventsWithin bounds the question for one VM's events.
-const eventsWithin = 2 * time.Second
+// eventsTimeout bounds the request for one VM's events.
+const eventsTimeout = 2 * time.Second
 
 func (n *Node) operatorOptions() operator.Options {
 	return operator.Options{
@@ -28,15 +28,15 @@
 	}
 }
 
-// ready reports whether this VM takes callers: it has a configuration, is not
-// stopping, and has been listed for long enough to lend its shares.
+// ready reports whether this VM accepts callers: it has a configuration, is not
+// stopping, and has been listed long enough to lend its shares.
 func (n *Node) ready() bool {
 	view := n.view()
 	listed := view.ListRevision > 0 && !n.now().Before(view.LendsFrom)
 	return n.caughtUp() && listed && !n.stopping.Load()
 }
 
-// caughtUp reports whether this VM has a configuration to serve by.
+// caughtUp reports whether this VM has a current configuration to serve by.
 func (n *Node) caughtUp() bool {
 	return n.control.published.Load().ready
 }
@@ -55,13 +55,13 @@
 		ListRevision: snapshot.Digest.ListRevision,
 		View: operator.View{
 			Revision: view.Revision,
-			Region:   membersOf(view),
+			Region:   regionMembers(view),
 			Lenders:  view.Lenders(n.now()),
 			Of:       view.VMs,
 		},
 		Load: operator.Load{
 			InFlight: n.serving.InFlight(),
-			Queued:   n.pools.waiting(),
+			Queued:   n.pools.queuedCalls(),
 		},
 	}
 	for _, d := range snapshot.Documents {
@@ -75,7 +75,7 @@
 	return s
 }
 
-func membersOf(view *membership.View) []operator.Member {
+func regionMembers(view *membership.View) []operator.Member {
 	out := make([]operator.Member, 0, len(view.Region))
 	for _, m := range view.Region {
 		out = append(out, operator.Member{
@@ -87,7 +87,8 @@
 	return out
 }
 
-// mergedEvents asks all VMs for their events and merges them with this one's.
+// mergedEvents fetches the events of all VMs and merges them. It also returns the ids of
+// the VMs that failed to reply.
 func (n *Node) mergedEvents(ctx context.Context, q timeline.Query) ([]timeline.Event, []string) {
 	var mu sync.Mutex
 	var wg sync.WaitGroup
@@ -95,7 +96,7 @@
 	var unreached []string
 	for _, vm := range otherVMs(n.view()) {
 		wg.Go(func() {
-			events, err := n.askEvents(ctx, vm, q)
+			events, err := n.fetchEvents(ctx, vm, q)
 			mu.Lock()
 			defer mu.Unlock()
 			if err != nil {
@@ -121,8 +122,8 @@
 	return out
 }
 
-func (n *Node) askEvents(ctx context.Context, vm fleet.VM, q timeline.Query) ([]timeline.Event, error) {
-	ctx, cancel := context.WithTimeout(ctx, eventsWithin)
+func (n *Node) fetchEvents(ctx context.Context, vm fleet.VM, q timeline.Query) ([]timeline.Event, error) {
+	ctx, cancel := context.WithTimeout(ctx, eventsTimeout)
 	defer cancel()
 	n.metrics.ControlMessage(metrics.MessageEvents)
 	reply, err := n.peers.Events(ctx, vm, &peerpb.EventsRequest{
--- a/node/stop.go
+++ b/node/stop.go
@@ -15,41 +15,41 @@
 )
 
 const (
-	// tellBeats is how many heartbeats are waited for after the VM said that
-	// it leaves, so that its peers tell callers of others, and again after a
-	// hand-over, so that they send its tickets to the successor.
-	tellBeats = 2
-	// idleEvery is how often a stopping VM looks whether its calls have ended.
-	idleEvery = 20 * time.Millisecond
-	// handOverWithin bounds one part of an offer.
-	handOverWithin = 2 * time.Second
-	// handOverOffers bounds the offers in all.
-	handOverOffers = 12
+	// propagationHeartbeats is the number of heartbeat intervals to wait after announcing
+	// a stop, so that peers redirect callers, and after a hand-over, so that they route
+	// its tickets to the successor.
+	propagationHeartbeats = 2
+	// idlePollInterval is how often a stopping VM checks for calls in flight.
+	idlePollInterval = 20 * time.Millisecond
+	// handOverPartTimeout bounds the sending of one part of an offer.
+	handOverPartTimeout = 2 * time.Second
+	// maxHandOverOffers bounds the number of offers.
+	maxHandOverOffers = 12
 )
 
-// stop ends the process gracefully: it tells peers and callers to go
-// elsewhere, lets the calls in flight end, and hands over its tickets.
+// stop drains this VM: it tells peers and callers to go elsewhere, waits for the calls
+// in flight, and hands over its tickets.
 func (n *Node) stop() {
 	begunAt := n.now()
 	ctx, cancel := clock.WithDeadline(context.Background(), begunAt, begunAt.Add(n.settings.StopWithin.Duration))
 	defer cancel()
-	n.changeState("stopping")
+	n.reportState("stopping")
 	n.stopping.Store(true)
-	n.control.send(ctx, left{})
-	n.sleepUntil(ctx, n.now().Add(tellBeats*n.heartbeatEvery(n.view().Peers)))
+	n.control.send(ctx, leaveRequested{})
+	n.sleepUntil(ctx, n.now().Add(propagationHeartbeats*n.heartbeatEvery(n.view().Peers)))
 	n.desk.Stop()
 	n.awaitIdle(ctx, n.desk.Idle)
 	if n.handOver(ctx) {
-		n.sleepUntil(ctx, n.now().Add(tellBeats*n.heartbeatEvery(n.view().Peers)))
+		n.sleepUntil(ctx, n.now().Add(propagationHeartbeats*n.heartbeatEvery(n.view().Peers)))
 	}
 	n.serving.Stop()
 	n.awaitIdle(ctx, func() bool { return n.serving.InFlight() == 0 })
 	_ = n.caller.Shutdown(ctx)
 	n.awaitIdle(ctx, func() bool { return n.serving.InFlight() == 0 })
-	n.changeState("stopped")
+	n.reportState("stopped")
 }
 
-func (n *Node) changeState(kind string) {
+func (n *Node) reportState(kind string) {
 	n.ring.Add(timeline.Event{
 		Kind: kind,
 	})
@@ -58,37 +58,37 @@
 
 func (n *Node) awaitIdle(ctx context.Context, idle func() bool) {
 	for !idle() && ctx.Err() == nil {
-		n.sleepUntil(ctx, n.now().Add(idleEvery))
+		n.sleepUntil(ctx, n.now().Add(idlePollInterval))
 	}
 }
 
-// handOver returns the rights on this incarnation's tickets up for good and
-// offers them, with the records, to one successor of the region. It reports
-// whether one accepted; calls with the tickets are then sent on to that one.
+// handOver gives up the rights on this incarnation's tickets and offers them, with the
+// records, to a VM of the region. It reports whether one accepted; calls with these
+// tickets are then forwarded to it.
 func (n *Node) handOver(ctx context.Context) bool {
-	given := n.desk.GiveUp(n.now())
+	released := n.desk.GiveUp(n.now())
 	candidates := n.successors()
 	var plan ticket.HandOverPlan
-	for range handOverOffers {
+	for range maxHandOverOffers {
 		offer, ok := plan.Next(candidates)
 		if !ok || ctx.Err() != nil {
 			break
 		}
-		plan = plan.After(offer, n.offerHandOver(ctx, given, offer))
+		plan = plan.After(offer, n.offerHandOver(ctx, released, offer))
 	}
 	n.ring.Add(timeline.Event{
 		Kind:   "hand_over_ended",
 		Peer:   plan.Bound.VM,
-		Detail: acceptance(plan.Accepted),
+		Detail: acceptanceDetail(plan.Accepted),
 	})
 	n.log.Info("hand_over_ended", "successor", plan.Bound.VM, "accepted", plan.Accepted)
 	if plan.Accepted {
-		n.publishRights(ctx, plan.Bound.VM, given)
+		n.publishRights(ctx, plan.Bound.VM, released)
 	}
 	return plan.Accepted
 }
 
-// successors are the reachable VMs of the region that stay.
+// successors returns the reachable, ready VMs of the region that are not leaving.
 func (n *Node) successors() []ticket.Holder {
 	var out []ticket.Holder
 	for _, m := range n.view().Region {
@@ -103,22 +103,22 @@
 	return out
 }
 
-func (n *Node) offerHandOver(ctx context.Context, given ticket.HandOver, o ticket.Offer) ticket.Outcome {
+func (n *Node) offerHandOver(ctx context.Context, released ticket.HandOver, o ticket.Offer) ticket.Outcome {
 	vm, ok := findVM(n.view(), o.To.VM)
 	if !ok {
 		return ticket.OfferNotSent
 	}
-	h := given.Addressed(o.To)
+	h := released.Addressed(o.To)
 	if !o.Rights {
-		h = given.Copy().Addressed(o.To)
+		h = released.Copy().Addressed(o.To)
 	}
 	return n.sendHandOver(ctx, vm, h)
 }
 
-// sendHandOver sends the parts of one offer. The receiver adopts nothing before
-// the last one, so that an offer that broke off earlier was certainly not taken.
+// sendHandOver sends the parts of one offer. The receiver adopts nothing before the last
+// part, so an offer that fails earlier was not accepted.
 func (n *Node) sendHandOver(ctx context.Context, vm fleet.VM, h ticket.HandOver) ticket.Outcome {
-	parts := peer.HandOverParts(h, uint64(n.ring.Stamp()))
+	parts := peer.SplitHandOver(h, uint64(n.ring.Stamp()))
 	last := len(parts) - 1
 	for _, part := range parts[:last] {
 		outcome := n.sendPart(ctx, vm, part)
@@ -133,7 +133,7 @@
 }
 
 func (n *Node) sendPart(ctx context.Context, vm fleet.VM, in *peerpb.HandOverRequest) ticket.Outcome {
-	ctx, cancel := context.WithTimeout(ctx, handOverWithin)
+	ctx, cancel := context.WithTimeout(ctx, handOverPartTimeout)
 	defer cancel()
 	in.Stamp = uint64(n.ring.Stamp())
 	n.metrics.ControlMessage(metrics.MessageHandOver)
--- a/peer/packed_test.go
+++ b/peer/compress_test.go
@@ -10,7 +10,7 @@
 	"github.com/fuchsianotch/fuchsianotch/peer/peerpb"
 )
 
-func manyItems(count int) *peerpb.PublishedReply {
+func makeItems(count int) *peerpb.PublishedReply {
 	r := &peerpb.PublishedReply{
 		Revision: 9,
 		Whole:    true,
@@ -25,15 +25,15 @@
 	return r
 }
 
-// TestPack holds that packed items come out as they went in, and that 3,000 entries of
-// endpoints take less than a sixth: 419,974 bytes before, 51,203 after.
-func TestPack(t *testing.T) {
+// TestCompressItems checks the round trip of items, and that the list of a large fleet
+// shrinks to less than a sixth.
+func TestCompressItems(t *testing.T) {
 	for _, count := range []int{0, 3, 3000} {
-		sent := manyItems(count)
+		sent := makeItems(count)
 		packed, err := Pack(sent)
 		assert.NilError(t, err)
 		got := proto.Clone(packed).(*peerpb.PublishedReply)
-		assert.NilError(t, unpack(got))
+		assert.NilError(t, decompressItems(got))
 		assert.Assert(t, proto.Equal(got, sent))
 		if count == 3000 {
 			t.Log(proto.Size(sent), proto.Size(packed))
@@ -42,8 +42,8 @@
 	}
 }
 
-// manyRumors are those of a region's VMs.
-func manyRumors(count int) *peerpb.GossipMessage {
+// makeRumors returns rumors as the VMs of one region send them.
+func makeRumors(count int) *peerpb.GossipMessage {
 	m := &peerpb.GossipMessage{}
 	for i := range count {
 		m.Rumors = append(m.Rumors, &peerpb.Rumor{
@@ -60,14 +60,15 @@
 	return m
 }
 
-// TestPackRumors holds the same of rumors: of 300 VMs 24,570 bytes before, 4,088 after.
-func TestPackRumors(t *testing.T) {
+// TestCompressRumors checks the round trip of rumors, and that those of a large region
+// shrink to less than a quarter.
+func TestCompressRumors(t *testing.T) {
 	for _, count := range []int{0, 3, 300} {
-		m := manyRumors(count)
+		m := makeRumors(count)
 		sent := proto.Clone(m)
-		assert.NilError(t, packRumors(m))
+		assert.NilError(t, compressRumors(m))
 		size := proto.Size(m)
-		assert.NilError(t, unpackRumors(m))
+		assert.NilError(t, decompressRumors(m))
 		assert.Assert(t, proto.Equal(m, sent))
 		if count == 300 {
 			t.Log(proto.Size(sent), size)
@@ -76,22 +77,21 @@
 	}
 }
 
-// BenchmarkPackRumors packs those of 300 VMs: 366 µs, 41 KB allocated.
-func BenchmarkPackRumors(b *testing.B) {
-	rumors := manyRumors(300).GetRumors()
+func BenchmarkCompressRumors(b *testing.B) {
+	rumors := makeRumors(300).GetRumors()
 	b.ReportAllocs()
 	for b.Loop() {
 		m := &peerpb.GossipMessage{
 			Rumors: rumors,
 		}
-		if err := packRumors(m); err != nil {
+		if err := compressRumors(m); err != nil {
 			b.Fatal(err)
 		}
 	}
 }
 
-func FuzzUnpack(f *testing.F) {
-	packed, err := Pack(manyItems(200))
+func FuzzDecompressItems(f *testing.F) {
+	packed, err := Pack(makeItems(200))
 	assert.NilError(f, err)
 	f.Add(packed.GetPacked())
 	f.Add([]byte{1})
@@ -99,7 +99,7 @@
 		r := &peerpb.PublishedReply{
 			Packed: data,
 		}
-		if unpack(r) == nil {
+		if decompressItems(r) == nil {
 			assert.Assert(t, len(data) == 0 || r.GetPacked() == nil)
 		}
 	})
--- a/peer/crashes.go
+++ b/peer/crashes.go
@@ -9,11 +9,11 @@
 	"github.com/fuchsianotch/fuchsianotch/quarantine"
 )
 
-// Crashes tells a VM under which calls endpoints crashed, and which are held.
+// Crashes sends crash reports and quarantine verdicts to a VM.
 func (c *Client) Crashes(ctx context.Context, vm fleet.VM, from *peerpb.Identity, n quarantine.Note) error {
-	m := crashNoteMessage(n, c.options.Now())
+	m := crashNoteToProto(n, c.options.Now())
 	m.From = from
-	m.SentUs = c.options.Transit.stamp()
+	m.SentUs = c.options.Transit.elapsedMicros()
 	_, err := c.client(ctx, vm).Crashes(ctx, m)
 	return err
 }
@@ -21,17 +21,17 @@
 // Crashes implements peerpb.DRPCPeerServer.
 func (s *service) Crashes(_ context.Context, in *peerpb.CrashNote) (*peerpb.CrashReply, error) {
 	if s.handlers.Crashes == nil {
-		return nil, errNotServed
+		return nil, errUnsupported
 	}
 	from := in.GetFrom()
 	sentAt := s.handlers.Transit.SentAt(from.GetVm(), from.GetIncarnation(), in.GetSentUs())
-	s.handlers.Crashes(crashNoteFromMessage(in, sentAt))
+	s.handlers.Crashes(crashNoteFromProto(in, sentAt))
 	return &peerpb.CrashReply{}, nil
 }
 
-// crashNoteMessage writes a note that is sent now. Times travel as ages and as what is
-// left of them, since the clocks of two VMs may differ.
-func crashNoteMessage(n quarantine.Note, now time.Time) *peerpb.CrashNote {
+// crashNoteToProto encodes a note for immediate sending. Times are encoded as ages and
+// remaining durations, because the clocks of two VMs may differ.
+func crashNoteToProto(n quarantine.Note, now time.Time) *peerpb.CrashNote {
 	m := &peerpb.CrashNote{}
 	for _, c := range n.Crashes {
 		m.Crashes = append(m.Crashes, &peerpb.Crash{
@@ -55,7 +55,7 @@
 	return m
 }
 
-func crashNoteFromMessage(m *peerpb.CrashNote, sentAt time.Time) quarantine.Note {
+func crashNoteFromProto(m *peerpb.CrashNote, sentAt time.Time) quarantine.Note {
 	var n quarantine.Note
 	for _, c := range m.GetCrashes() {
 		n.Crashes = append(n.Crashes, quarantine.Crash{
--- a/peer/forward.go
+++ b/peer/forward.go
@@ -12,56 +12,56 @@
 	"github.com/fuchsianotch/fuchsianotch/result"
 )
 
-// errNoAnswer marks an end that says done after no answer.
-var errNoAnswer = errors.New("the call is said to be done, and no answer came")
+// errNoResponse is the cause of a call that ended as done without a response.
+var errNoResponse = errors.New("peer ended the call as done without a response")
 
-// Forward runs a call on another VM. A VM that was not reached gives
-// PeerUnreachable, of class not run; one lost later gives PeerLost.
+// Forward runs a call on another VM. It returns PeerUnreachable, of class not run, if no
+// connection was made, and PeerLost if the connection failed later.
 func (c *Client) Forward(ctx context.Context, vm fleet.VM, in *peerpb.ForwardRequest, sink call.Sink, witness func(uint64)) call.Outcome {
-	in.SentUs = c.options.Transit.stamp()
+	in.SentUs = c.options.Transit.elapsedMicros()
 	stream, err := c.client(ctx, vm).Forward(ctx, in)
 	if err != nil {
-		return call.Refused(lost(vm, err))
+		return call.Refused(peerFailure(vm, err))
 	}
 	defer func() { _ = stream.Close() }()
-	return c.receive(stream, vm, sink, witness)
+	return c.receiveReplies(stream, vm, sink, witness)
 }
 
-func lost(vm fleet.VM, err error) *result.Refusal {
+func peerFailure(vm fleet.VM, err error) *result.Refusal {
 	if errors.Is(err, ErrDial) {
 		return result.Refuse(result.PeerUnreachable, "VM %s was not reached", vm.ID).Because(err)
 	}
 	return result.Refuse(result.PeerLost, "VM %s was lost during the call", vm.ID).Because(err)
 }
 
-func (c *Client) receive(stream peerpb.DRPCPeer_ForwardClient, vm fleet.VM, sink call.Sink, witness func(uint64)) call.Outcome {
+func (c *Client) receiveReplies(stream peerpb.DRPCPeer_ForwardClient, vm fleet.VM, sink call.Sink, witness func(uint64)) call.Outcome {
 	var firstAt time.Time
-	headed := false
+	headReceived := false
 	for {
 		reply, err := stream.Recv()
 		if err != nil {
-			return call.Refused(lost(vm, err))
+			return call.Refused(peerFailure(vm, err))
 		}
 		if firstAt.IsZero() && reply.GetChunk() != nil {
 			firstAt = c.options.Now()
 		}
 		if end := reply.GetEnd(); end != nil {
 			witness(end.GetStamp())
-			if o := outcomeFromEnd(end, firstAt, c.options.Now()); headed || o.Code.Class() != result.ClassDone {
+			if o := outcomeFromProto(end, firstAt, c.options.Now()); headReceived || o.Code.Class() != result.ClassDone {
 				return o
 			}
-			return call.Refused(lost(vm, errNoAnswer))
+			return call.Refused(peerFailure(vm, errNoResponse))
 		}
-		headed = headed || reply.GetHead() != nil
-		if err := pass(reply, sink); err != nil {
+		headReceived = headReceived || reply.GetHead() != nil
+		if err := writeReply(reply, sink); err != nil {
 			return call.Refused(result.Refuse(result.PeerLost, "the caller has gone").Because(err))
 		}
 	}
 }
 
-func pass(reply *peerpb.ForwardReply, sink call.Sink) error {
+func writeReply(reply *peerpb.ForwardReply, sink call.Sink) error {
 	if head := reply.GetHead(); head != nil {
-		return sink.Head(int(head.GetStatus()), headerFromMessage(head.GetHeader()))
+		return sink.Head(int(head.GetStatus()), headerFromProto(head.GetHeader()))
 	}
 	return sink.Chunk(reply.GetChunk())
 }
@@ -73,7 +73,7 @@
 				Step: &peerpb.ForwardReply_Head{
 					Head: &peerpb.Head{
 						Status: uint32(status),
-						Header: headerMessage(header),
+						Header: headerToProto(header),
 					},
 				},
 			})
@@ -88,9 +88,9 @@
 	}
 }
 
-// endMessage tells a moment to come back as what is left until it, since the
-// clocks of two VMs may differ.
-func endMessage(o call.Outcome, stamp uint64, now time.Time) *peerpb.End {
+// outcomeToProto encodes an outcome. The time to come back is encoded as a remaining
+// duration, because the clocks of two VMs may differ.
+func outcomeToProto(o call.Outcome, stamp uint64, now time.Time) *peerpb.End {
 	end := &peerpb.End{
 		Code:            uint32(o.Code),
 		PromptTokens:    uint32(o.Usage.PromptTokens),
@@ -102,12 +102,12 @@
 	}
 	if o.Refusal != nil {
 		end.Message = o.Refusal.Message
-		end.ComeBackInMs = leftMilli(o.Refusal.ComeBackAt, now)
+		end.ComeBackInMs = remainingMillis(o.Refusal.ComeBackAt, now)
 	}
 	return end
 }
 
-func outcomeFromEnd(end *peerpb.End, firstAt, now time.Time) call.Outcome {
+func outcomeFromProto(end *peerpb.End, firstAt, now time.Time) call.Outcome {
 	o := call.Outcome{
 		Code: result.Code(end.GetCode()),
 		Usage: call.Usage{
@@ -120,7 +120,7 @@
 		Ran:      int(end.GetRan()),
 	}
 	if o.Code.Class() != result.ClassDone {
-		o.Refusal = result.Refuse(o.Code, "%s", end.GetMessage()).Until(deadlineIn(end.GetComeBackInMs(), now))
+		o.Refusal = result.Refuse(o.Code, "%s", end.GetMessage()).Until(deadlineAfter(end.GetComeBackInMs(), now))
 	}
 	return o
 }
--- a/peer/forward_test.go
+++ b/peer/forward_test.go
@@ -21,11 +21,11 @@
 	"github.com/fuchsianotch/fuchsianotch/result"
 )
 
-// stallWithin is the deadline of the rows that wait for it.
-const stallWithin = 500 * time.Millisecond
+// stallTimeout is the deadline of rows whose server stalls.
+const stallTimeout = 500 * time.Millisecond
 
-// forwardRow is one row of testdata/forwards.json: what the far VM does with a
-// forwarded call, step by step, and what the near one makes of it.
+// forwardRow is a case of testdata/forwards.json: the steps of the remote VM for a
+// forwarded call, and the outcome that the client returns.
 type forwardRow struct {
 	Name      string   `json:"name"`
 	Steps     []string `json:"steps"`
@@ -47,18 +47,18 @@
 	}
 }
 
-// farVM is the VM that calls are forwarded to.
-type farVM struct {
+// remoteVM serves forwarded calls.
+type remoteVM struct {
 	row    forwardRow
 	conn   atomic.Pointer[net.Conn]
 	served atomic.Pointer[call.Call]
 }
 
 func (row forwardRow) run(t *testing.T) {
-	far := &farVM{
+	remote := &remoteVM{
 		row: row,
 	}
-	addr := far.listen(t)
+	addr := remote.listen(t)
 	if row.Garbage {
 		conn, err := net.Dial("tcp", addr)
 		assert.NilError(t, err)
@@ -68,19 +68,19 @@
 	}
 	client := New(Options{})
 	defer func() { _ = client.Close() }()
-	ctx, cancel := context.WithTimeout(t.Context(), row.within())
+	ctx, cancel := context.WithTimeout(t.Context(), row.timeout())
 	defer cancel()
 	var text strings.Builder
 	outcome := client.Forward(ctx, fleet.VM{
 		ID:       "far",
 		PeerAddr: addr,
 	}, row.request(), row.sink(&text), func(uint64) {})
-	row.check(t, outcome, text.String(), far.served.Load())
+	row.check(t, outcome, text.String(), remote.served.Load())
 }
 
-func (row forwardRow) within() time.Duration {
+func (row forwardRow) timeout() time.Duration {
 	if len(row.Steps) > 0 && row.Steps[0] == "stall" {
-		return stallWithin
+		return stallTimeout
 	}
 	return time.Minute
 }
@@ -128,13 +128,13 @@
 	want := row.Served == nil || *row.Served
 	assert.Equal(t, served != nil, want)
 	if served != nil {
-		assert.Assert(t, served.Forwarded, "no message can take the mark of a forwarded call away")
+		assert.Assert(t, served.Forwarded, "a decoded call must be marked as forwarded")
 		assert.Equal(t, served.Priority, call.PriorityReport)
 	}
 }
 
-// listen serves on a kernel's port, or gives an address that refuses.
-func (f *farVM) listen(t *testing.T) string {
+// listen starts a server, or returns an address that refuses connections.
+func (f *remoteVM) listen(t *testing.T) string {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	if f.row.Refused {
@@ -150,7 +150,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	go func() {
-		_ = s.Serve(ctx, &rememberingListener{
+		_ = s.Serve(ctx, &recordingListener{
 			Listener: ln,
 			last:     &f.conn,
 		})
@@ -158,12 +158,12 @@
 	return ln.Addr().String()
 }
 
-type rememberingListener struct {
+type recordingListener struct {
 	net.Listener
 	last *atomic.Pointer[net.Conn]
 }
 
-func (l *rememberingListener) Accept() (net.Conn, error) {
+func (l *recordingListener) Accept() (net.Conn, error) {
 	conn, err := l.Listener.Accept()
 	if err == nil {
 		l.last.Store(&conn)
@@ -171,8 +171,9 @@
 	return conn, err
 }
 
-// forward plays the row's steps; "end" with a name or a number ends otherwise than done.
-func (f *farVM) forward(ctx context.Context, _ *peerpb.Identity, c *call.Call, sink call.Sink) call.Outcome {
+// forward runs the row's steps. "end" takes the name or number of a code; without one it
+// is done.
+func (f *remoteVM) forward(ctx context.Context, _ *peerpb.Identity, c *call.Call, sink call.Sink) call.Outcome {
 	f.served.Store(c)
 	for _, step := range f.row.Steps {
 		name, code, _ := strings.Cut(step, " ")
@@ -189,7 +190,7 @@
 			<-ctx.Done()
 		case "end":
 			return call.Outcome{
-				Code: codeNamed(code),
+				Code: parseCode(code),
 			}
 		}
 	}
@@ -198,7 +199,7 @@
 	}
 }
 
-func codeNamed(name string) result.Code {
+func parseCode(name string) result.Code {
 	if name == "" {
 		return result.Done
 	}
@@ -213,9 +214,9 @@
 	return 0
 }
 
-// FuzzCall reads any call from a message. It must not panic, and the call must
-// count as forwarded and have a known priority.
-func FuzzCall(f *testing.F) {
+// FuzzCallFromProto checks that decoding any message does not panic and that the call is
+// marked as forwarded and has a valid priority.
+func FuzzCallFromProto(f *testing.F) {
 	seed, err := proto.Marshal(&peerpb.Call{
 		Id: "id",
 		Header: []*peerpb.Header{
@@ -234,7 +235,7 @@
 		if proto.Unmarshal(data, &m) != nil {
 			return
 		}
-		c := callFromMessage(&m, time.Now())
+		c := callFromProto(&m, time.Now())
 		assert.Assert(t, c.Forwarded)
 		assert.Assert(t, c.Priority >= 0 && c.Priority < call.Priorities)
 		_ = c.Priority.String()
--- a/peer/handover.go
+++ b/peer/handover.go
@@ -8,85 +8,85 @@
 	"github.com/fuchsianotch/fuchsianotch/ticket"
 )
 
-// HandOverMessage writes a hand-over for a message.
-func HandOverMessage(h ticket.HandOver) *peerpb.HandOverRequest {
+// HandOverToProto encodes a hand-over.
+func HandOverToProto(h ticket.HandOver) *peerpb.HandOverRequest {
 	m := &peerpb.HandOverRequest{
-		From: holderMessage(h.From),
-		To:   holderMessage(h.To),
+		From: holderToProto(h.From),
+		To:   holderToProto(h.To),
 	}
 	for _, r := range h.Rights {
-		m.Rights = append(m.Rights, rightsMessage(r))
+		m.Rights = append(m.Rights, rightsToProto(r))
 	}
 	return m
 }
 
-// HandOverFromMessage reads a hand-over.
-func HandOverFromMessage(m *peerpb.HandOverRequest) ticket.HandOver {
+// HandOverFromProto decodes a hand-over.
+func HandOverFromProto(m *peerpb.HandOverRequest) ticket.HandOver {
 	h := ticket.HandOver{
-		From: holderFromMessage(m.GetFrom()),
-		To:   holderFromMessage(m.GetTo()),
+		From: holderFromProto(m.GetFrom()),
+		To:   holderFromProto(m.GetTo()),
 	}
 	for _, r := range m.GetRights() {
-		h.Rights = append(h.Rights, rightsFromMessage(r))
+		h.Rights = append(h.Rights, rightsFromProto(r))
 	}
 	return h
 }
 
-func holderMessage(h ticket.Holder) *peerpb.Identity {
+func holderToProto(h ticket.Holder) *peerpb.Identity {
 	return &peerpb.Identity{
 		Vm:          h.VM,
 		Incarnation: h.Incarnation,
 	}
 }
 
-func holderFromMessage(m *peerpb.Identity) ticket.Holder {
+func holderFromProto(m *peerpb.Identity) ticket.Holder {
 	return ticket.Holder{
 		VM:          m.GetVm(),
 		Incarnation: m.GetIncarnation(),
 	}
 }
 
-func rightsMessage(r ticket.Rights) *peerpb.Rights {
+func rightsToProto(r ticket.Rights) *peerpb.Rights {
 	m := &peerpb.Rights{
-		Of:             holderMessage(r.Of),
+		Of:             holderToProto(r.Of),
 		Key:            r.Key,
 		UntilUnixNano:  unixNano(r.Until),
 		ClosedUnixNano: unixNano(r.Closed),
 		SweptUnixNano:  unixNano(r.Swept),
 	}
 	for _, record := range r.Records {
-		m.Records = append(m.Records, recordMessage(record))
+		m.Records = append(m.Records, recordToProto(record))
 	}
 	return m
 }
 
-func rightsFromMessage(m *peerpb.Rights) ticket.Rights {
+func rightsFromProto(m *peerpb.Rights) ticket.Rights {
 	r := ticket.Rights{
-		Of:     holderFromMessage(m.GetOf()),
+		Of:     holderFromProto(m.GetOf()),
 		Key:    m.GetKey(),
 		Until:  fromUnixNano(m.GetUntilUnixNano()),
 		Closed: fromUnixNano(m.GetClosedUnixNano()),
 		Swept:  fromUnixNano(m.GetSweptUnixNano()),
 	}
 	for _, record := range m.GetRecords() {
-		r.Records = append(r.Records, recordFromMessage(record))
+		r.Records = append(r.Records, recordFromProto(record))
 	}
 	return r
 }
 
-func recordMessage(r ticket.HandedRecord) *peerpb.Record {
+func recordToProto(r ticket.HandedRecord) *peerpb.Record {
 	return &peerpb.Record{
 		Ticket:            r.Ticket,
 		CallHash:          r.CallHash,
 		KeepUntilUnixNano: unixNano(r.KeepUntil),
 		Code:              uint32(r.Record.Code),
 		Status:            uint32(r.Record.Status),
-		Header:            headerMessage(r.Record.Header),
+		Header:            headerToProto(r.Record.Header),
 		Body:              r.Record.Body,
 	}
 }
 
-func recordFromMessage(m *peerpb.Record) ticket.HandedRecord {
+func recordFromProto(m *peerpb.Record) ticket.HandedRecord {
 	return ticket.HandedRecord{
 		Ticket:    m.GetTicket(),
 		CallHash:  m.GetCallHash(),
@@ -94,7 +94,7 @@
 		Record: ticket.Record{
 			Code:   result.Code(m.GetCode()),
 			Status: int(m.GetStatus()),
-			Header: headerFromMessage(m.GetHeader()),
+			Header: headerFromProto(m.GetHeader()),
 			Body:   m.GetBody(),
 		},
 	}
--- a/peer/parts_test.go
+++ b/peer/handover_parts_test.go
@@ -17,32 +17,32 @@
 	"github.com/fuchsianotch/fuchsianotch/ticket"
 )
 
-// partsCase is an order of arrival; testdata/parts.json holds them. A part is
-// "SENDER OFFER PART/PARTS" and brings one record.
-type partsCase struct {
+// handOverPartsCase is a case of testdata/parts.json: parts in order of arrival, each
+// "SENDER OFFER PART/PARTS" with one record, and the assembler's results.
+type handOverPartsCase struct {
 	Name     string   `json:"name"`
 	MaxBytes int      `json:"max_bytes"`
 	Parts    []string `json:"parts"`
 	Want     []string `json:"want"`
 }
 
-func TestParts(t *testing.T) {
-	cases := datatest.Read[[]partsCase](t, "testdata/parts.json")
+func TestHandOverAssembler(t *testing.T) {
+	cases := datatest.Read[[]handOverPartsCase](t, "testdata/parts.json")
 	for _, c := range cases {
 		t.Run(c.Name, c.test)
 	}
 }
 
-func (c partsCase) test(t *testing.T) {
+func (c handOverPartsCase) test(t *testing.T) {
 	if c.MaxBytes == 0 {
 		c.MaxBytes = 1 << 20
 	}
 	now := time.Date(2026, time.March, 1, 6, 0, 0, 0, time.UTC)
-	parts := NewParts(c.MaxBytes)
+	assembler := NewHandOverAssembler(c.MaxBytes)
 	var got []string
 	for _, text := range c.Parts {
 		if text == "sleep" {
-			now = now.Add(keepPartsFor + time.Second)
+			now = now.Add(partTimeout + time.Second)
 			got = append(got, "")
 			continue
 		}
@@ -57,7 +57,7 @@
 		}
 		_, err := fmt.Sscanf(text, "%s %d %d/%d", &in.From.Vm, &in.Offer, &in.Part, &in.Parts)
 		assert.NilError(t, err)
-		got = append(got, describe(parts.Add(in, now)))
+		got = append(got, describe(assembler.Add(in, now)))
 	}
 	assert.DeepEqual(t, got, c.Want)
 }
@@ -73,18 +73,18 @@
 	}
 }
 
-// TestLargeHandOver passes more records than one message holds, and shows that
-// in one message they do not arrive.
-func TestLargeHandOver(t *testing.T) {
+// TestHandOverLargerThanMessage checks that a hand-over which exceeds the message size
+// fails as one message and arrives in parts.
+func TestHandOverLargerThanMessage(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
-	parts := NewParts(256 << 20)
+	assembler := NewHandOverAssembler(256 << 20)
 	var got ticket.HandOver
 	server, err := NewServer(Handlers{
 		HandOver: func(_ context.Context, in *peerpb.HandOverRequest) (*peerpb.HandOverReply, error) {
-			whole, ok := parts.Add(in, time.Now())
+			whole, ok := assembler.Add(in, time.Now())
 			if whole != nil {
-				got = HandOverFromMessage(whole)
+				got = HandOverFromProto(whole)
 			}
 			return &peerpb.HandOverReply{
 				Accepted: ok,
@@ -100,14 +100,14 @@
 		PeerAddr: ln.Addr().String(),
 	}
 	want := largeHandOver()
-	_, err = client.HandOver(ctx, vm, HandOverMessage(want))
+	_, err = client.HandOver(ctx, vm, HandOverToProto(want))
 	assert.Assert(t, err != nil)
-	for _, part := range HandOverParts(want, 1) {
+	for _, part := range SplitHandOver(want, 1) {
 		reply, err := client.HandOver(ctx, vm, part)
 		assert.NilError(t, err)
 		assert.Assert(t, reply.GetAccepted())
 	}
-	assert.Assert(t, proto.Equal(HandOverMessage(got), HandOverMessage(want)))
+	assert.Assert(t, proto.Equal(HandOverToProto(got), HandOverToProto(want)))
 }
 
 func largeHandOver() ticket.HandOver {
--- a/peer/beat.go
+++ b/peer/heartbeat.go
@@ -7,8 +7,8 @@
 	"github.com/fuchsianotch/fuchsianotch/peer/peerpb"
 )
 
-// BeatMessage writes a beat for a message.
-func BeatMessage(b membership.Beat) *peerpb.Beat {
+// HeartbeatToProto encodes a heartbeat.
+func HeartbeatToProto(b membership.Beat) *peerpb.Beat {
 	m := &peerpb.Beat{
 		From: &peerpb.Identity{
 			Vm:          b.VM,
@@ -25,16 +25,16 @@
 		ViewHash:          b.ViewHash,
 	}
 	for _, a := range b.Adopted {
-		m.Adopted = append(m.Adopted, adoptionMessage(a))
+		m.Adopted = append(m.Adopted, adoptionToProto(a))
 	}
 	for _, s := range b.Surplus {
-		m.Surplus = append(m.Surplus, surplusMessage(s))
+		m.Surplus = append(m.Surplus, surplusToProto(s))
 	}
 	return m
 }
 
-// BeatFromMessage reads a beat.
-func BeatFromMessage(m *peerpb.Beat) membership.Beat {
+// HeartbeatFromProto decodes a heartbeat.
+func HeartbeatFromProto(m *peerpb.Beat) membership.Beat {
 	from := m.GetFrom()
 	b := membership.Beat{
 		VM:                from.GetVm(),
@@ -50,15 +50,15 @@
 		ViewHash:          m.GetViewHash(),
 	}
 	for _, a := range m.GetAdopted() {
-		b.Adopted = append(b.Adopted, adoptionFromMessage(a))
+		b.Adopted = append(b.Adopted, adoptionFromProto(a))
 	}
 	for _, s := range m.GetSurplus() {
-		b.Surplus = append(b.Surplus, surplusFromMessage(s, from))
+		b.Surplus = append(b.Surplus, surplusFromProto(s, from))
 	}
 	return b
 }
 
-func adoptionMessage(a membership.Adoption) *peerpb.Adoption {
+func adoptionToProto(a membership.Adoption) *peerpb.Adoption {
 	return &peerpb.Adoption{
 		Of: &peerpb.Identity{
 			Vm:          a.VM,
@@ -68,7 +68,7 @@
 	}
 }
 
-func adoptionFromMessage(m *peerpb.Adoption) membership.Adoption {
+func adoptionFromProto(m *peerpb.Adoption) membership.Adoption {
 	return membership.Adoption{
 		VM:          m.GetOf().GetVm(),
 		Incarnation: m.GetOf().GetIncarnation(),
@@ -76,7 +76,7 @@
 	}
 }
 
-func surplusMessage(s membership.Surplus) *peerpb.Surplus {
+func surplusToProto(s membership.Surplus) *peerpb.Surplus {
 	return &peerpb.Surplus{
 		Target:          s.Target,
 		TokensPerSecond: float32(s.TokensPerSecond),
@@ -85,7 +85,7 @@
 	}
 }
 
-func surplusFromMessage(m *peerpb.Surplus, from *peerpb.Identity) membership.Surplus {
+func surplusFromProto(m *peerpb.Surplus, from *peerpb.Identity) membership.Surplus {
 	return membership.Surplus{
 		Target:          m.GetTarget(),
 		Region:          from.GetRegion(),
--- a/peer/limits.go
+++ b/peer/limits.go
@@ -9,26 +9,26 @@
 	"github.com/fuchsianotch/fuchsianotch/peer/peerpb"
 )
 
-// Limits tells a VM of uses and demands.
+// Limits reports usage and demand to a VM and returns its reply.
 func (c *Client) Limits(ctx context.Context, vm fleet.VM, from *peerpb.Identity, n metering.Note) (metering.Reply, error) {
-	m := limitNoteMessage(n)
+	m := limitNoteToProto(n)
 	m.From = from
 	reply, err := c.client(ctx, vm).Limits(ctx, m)
 	if err != nil {
 		return metering.Reply{}, err
 	}
-	return limitReplyFromMessage(reply, c.options.Now()), nil
+	return limitReplyFromProto(reply, c.options.Now()), nil
 }
 
 // Limits implements peerpb.DRPCPeerServer.
 func (s *service) Limits(_ context.Context, in *peerpb.LimitNote) (*peerpb.LimitReply, error) {
 	if s.handlers.Limits == nil {
-		return nil, errNotServed
+		return nil, errUnsupported
 	}
-	return limitReplyMessage(s.handlers.Limits(limitNoteFromMessage(in)), s.handlers.Now()), nil
+	return limitReplyToProto(s.handlers.Limits(limitNoteFromProto(in)), s.handlers.Now()), nil
 }
 
-func limitNoteMessage(n metering.Note) *peerpb.LimitNote {
+func limitNoteToProto(n metering.Note) *peerpb.LimitNote {
 	m := &peerpb.LimitNote{}
 	for _, u := range n.Uses {
 		m.Uses = append(m.Uses, &peerpb.LimitUse{
@@ -46,7 +46,7 @@
 	return m
 }
 
-func limitNoteFromMessage(m *peerpb.LimitNote) metering.Note {
+func limitNoteFromProto(m *peerpb.LimitNote) metering.Note {
 	var n metering.Note
 	for _, u := range m.GetUses() {
 		n.Uses = append(n.Uses, metering.Use{
@@ -65,8 +65,9 @@
 	return n
 }
 
-// limitReplyMessage writes a reply that is sent now.
-func limitReplyMessage(r metering.Reply, now time.Time) *peerpb.LimitReply {
+// limitReplyToProto encodes a reply for immediate sending; its times become remaining
+// durations.
+func limitReplyToProto(r metering.Reply, now time.Time) *peerpb.LimitReply {
 	m := &peerpb.LimitReply{
 		Demands: r.Demands,
 	}
@@ -74,14 +75,14 @@
 		m.Verdicts = append(m.Verdicts, &peerpb.LimitVerdict{
 			Kept:         a.Kept,
 			Admitted:     a.Admitted,
-			ComeBackInMs: leftMilli(a.ComeBackAt, now),
+			ComeBackInMs: remainingMillis(a.ComeBackAt, now),
 			Scarce:       a.Scarce,
 		})
 	}
 	return m
 }
 
-func limitReplyFromMessage(m *peerpb.LimitReply, now time.Time) metering.Reply {
+func limitReplyFromProto(m *peerpb.LimitReply, now time.Time) metering.Reply {
 	r := metering.Reply{
 		Demands: m.GetDemands(),
 	}
@@ -89,7 +90,7 @@
 		r.Answers = append(r.Answers, metering.Answer{
 			Kept:       v.GetKept(),
 			Admitted:   v.GetAdmitted(),
-			ComeBackAt: deadlineIn(v.GetComeBackInMs(), now),
+			ComeBackAt: deadlineAfter(v.GetComeBackInMs(), now),
 			Scarce:     v.GetScarce(),
 			At:         now,
 		})
--- a/peer/message.go
+++ b/peer/message.go
@@ -8,7 +8,7 @@
 	"github.com/fuchsianotch/fuchsianotch/peer/peerpb"
 )
 
-// UnixMilli writes a deadline for a message; the zero time becomes 0.
+// UnixMilli encodes a time as Unix milliseconds; the zero time becomes 0.
 func UnixMilli(t time.Time) int64 {
 	if t.IsZero() {
 		return 0
@@ -16,7 +16,7 @@
 	return t.UnixMilli()
 }
 
-// FromUnixMilli reads a deadline of a message; 0 becomes the zero time.
+// FromUnixMilli decodes Unix milliseconds; 0 becomes the zero time.
 func FromUnixMilli(ms int64) time.Time {
 	if ms == 0 {
 		return time.Time{}
@@ -24,7 +24,8 @@
 	return time.UnixMilli(ms)
 }
 
-// CallMessage writes a call for a message that is sent now.
+// CallMessage encodes a call for immediate sending; deadlines of a routed call become
+// remaining durations.
 func CallMessage(c *call.Call, now time.Time) *peerpb.Call {
 	m := &peerpb.Call{
 		Id:            c.ID,
@@ -34,7 +35,7 @@
 		Service:       c.Service,
 		Method:        c.Method,
 		Path:          c.Path,
-		Header:        headerMessage(c.Header),
+		Header:        headerToProto(c.Header),
 		Body:          c.Body,
 		Stream:        c.Stream,
 		Idempotent:    c.Idempotent,
@@ -49,13 +50,13 @@
 		Trial:         c.Trial,
 	}
 	if c.Routed != nil {
-		putRouted(m, c, now)
+		writeRoutedFields(m, c, now)
 	}
 	return m
 }
 
-// callFromMessage reads a call; its deadlines count from when it was sent.
-func callFromMessage(m *peerpb.Call, sentAt time.Time) *call.Call {
+// callFromProto decodes a call. Remaining durations count from sentAt.
+func callFromProto(m *peerpb.Call, sentAt time.Time) *call.Call {
 	c := &call.Call{
 		ID:           m.GetId(),
 		Workspace:    m.GetWorkspace(),
@@ -64,7 +65,7 @@
 		Service:      m.GetService(),
 		Method:       m.GetMethod(),
 		Path:         m.GetPath(),
-		Header:       headerFromMessage(m.GetHeader()),
+		Header:       headerFromProto(m.GetHeader()),
 		Body:         m.GetBody(),
 		Stream:       m.GetStream(),
 		Idempotent:   m.GetIdempotent(),
@@ -80,12 +81,12 @@
 		Trial:        m.GetTrial(),
 	}
 	if c.Kind == call.KindRouted {
-		takeRouted(c, m, sentAt)
+		readRoutedFields(c, m, sentAt)
 	}
 	return c
 }
 
-func headerMessage(h http.Header) []*peerpb.Header {
+func headerToProto(h http.Header) []*peerpb.Header {
 	out := make([]*peerpb.Header, 0, len(h))
 	for name, values := range h {
 		for _, value := range values {
@@ -98,7 +99,7 @@
 	return out
 }
 
-func headerFromMessage(headers []*peerpb.Header) http.Header {
+func headerFromProto(headers []*peerpb.Header) http.Header {
 	out := make(http.Header, len(headers))
 	for _, h := range headers {
 		out.Add(h.GetName(), h.GetValue())
--- a/peer/peer.go
+++ b/peer/peer.go
@@ -1,5 +1,4 @@
-// Package peer is the protocol between VMs: the client that asks another VM
-// and the server that answers, both over drpc.
+// Package peer implements the protocol between VMs: a client and a server over drpc.
 package peer
 
 import (
@@ -20,46 +19,46 @@
 )
 
 const (
-	// MaxMessageBytes bounds one message either way. It holds the largest
-	// body of a call, or one published document, with its frame.
+	// MaxMessageBytes bounds one message in either direction. It fits the largest request
+	// body or published document with its framing.
 	MaxMessageBytes = 8 << 20
 
-	// dialWithin bounds a connection where the caller's own time is longer.
-	dialWithin     = 5 * time.Second
+	// dialTimeout bounds a dial, unless ctx ends earlier.
+	dialTimeout    = 5 * time.Second
 	idleConnsPerVM = 16
 	idleConnExpiry = time.Minute
 )
 
-// ErrDial marks an error that came before anything was sent to the peer.
+// ErrDial wraps failures to connect: nothing was sent to the peer.
 var ErrDial = errors.New("peer not reached")
 
-// Options set up a Client.
+// Options configure a Client.
 type Options struct {
-	// Dial opens a connection; nil means a plain TCP dial.
+	// Dial opens a connection; nil means plain TCP.
 	Dial func(ctx context.Context, addr string) (net.Conn, error)
-	// Routes gives another address for a VM than the listed one; nil means none.
-	Routes func(vm string) (addr string, ok bool)
-	// CountBytes is told of bytes sent and received; nil means nobody counts.
+	// ResolveAddr overrides the listed address of a VM; nil means no overrides.
+	ResolveAddr func(vm string) (addr string, ok bool)
+	// CountBytes records bytes sent and received; nil disables it.
 	CountBytes func(sent, received int)
-	// CountMessage is told of messages by kind, and Region is the own one, which tells
-	// far VMs from near ones; nil means nobody counts.
+	// CountMessage records messages by method; nil disables it. Region is this VM's own,
+	// which tells cross-region messages from others.
 	CountMessage CountMessage
 	Region       string
-	// TLS is TLS's configuration of the shared secret; nil means plain TCP.
+	// TLS is the configuration made by the function TLS; nil means plain TCP.
 	TLS *tls.Config
-	// Now is a steady clock; nil means time.Now. Transit stamps what is sent and
-	// says how old is what comes; nil means one of the Client's own.
+	// Now is a monotonic clock; nil means time.Now. Transit stamps outgoing messages and
+	// estimates the delay of incoming ones; nil means a new one.
 	Now     func() time.Time
 	Transit *Transit
 }
 
-// Client asks other VMs. Its methods may be called from any goroutine.
+// Client sends requests to other VMs. It is safe for concurrent use.
 type Client struct {
 	options Options
 	pool    *drpcpool.Pool[string, drpcpool.Conn]
 }
 
-// New makes a client without connections.
+// New returns a client without connections.
 func New(o Options) *Client {
 	if o.Dial == nil {
 		o.Dial = dialTCP
@@ -80,7 +79,7 @@
 }
 
 func dialTCP(ctx context.Context, addr string) (net.Conn, error) {
-	return tcp.Dialer(dialWithin).DialContext(ctx, "tcp", addr)
+	return tcp.Dialer(dialTimeout).DialContext(ctx, "tcp", addr)
 }
 
 // Close closes the idle connections.
@@ -88,63 +87,65 @@
 	return c.pool.Close()
 }
 
-// Heartbeat exchanges states with a VM.
+// Heartbeat exchanges membership state with a VM.
 func (c *Client) Heartbeat(ctx context.Context, vm fleet.VM, in *peerpb.HeartbeatRequest) (*peerpb.HeartbeatReply, error) {
 	return c.client(ctx, vm).Heartbeat(ctx, in)
 }
 
-// Documents pulls documents and the list from a VM.
+// Documents fetches configuration documents and the fleet list from a VM.
 func (c *Client) Documents(ctx context.Context, vm fleet.VM, in *peerpb.DocumentsRequest) (*peerpb.DocumentsReply, error) {
 	return c.client(ctx, vm).Documents(ctx, in)
 }
 
-// Lease asks the owner of a workspace for a part of its limits.
+// Lease asks the owner of a workspace for a lease on part of its limits.
 func (c *Client) Lease(ctx context.Context, vm fleet.VM, in *peerpb.LeaseRequest) (*peerpb.LeaseReply, error) {
 	return c.client(ctx, vm).Lease(ctx, in)
 }
 
-// HandOver passes ticket records, and maybe rights, to a VM.
+// HandOver transfers ticket records, and optionally the rights on them, to a VM.
 func (c *Client) HandOver(ctx context.Context, vm fleet.VM, in *peerpb.HandOverRequest) (*peerpb.HandOverReply, error) {
 	return c.client(ctx, vm).HandOver(ctx, in)
 }
 
-// Gossip exchanges what both VMs know of the members.
+// Gossip exchanges membership rumors with a VM.
 func (c *Client) Gossip(ctx context.Context, vm fleet.VM, in *peerpb.GossipMessage) (*peerpb.GossipMessage, error) {
-	if err := packRumors(in); err != nil {
+	if err := compressRumors(in); err != nil {
 		return nil, err
 	}
-	in.SentUs = c.options.Transit.stamp()
+	in.SentUs = c.options.Transit.elapsedMicros()
 	reply, err := c.client(ctx, vm).Gossip(ctx, in)
 	if err != nil {
 		return nil, err
 	}
-	return reply, unpackRumors(reply)
+	return reply, decompressRumors(reply)
 }
 
-// Unread tells a VM of the region which prompts wait at engines for this VM's calls.
+// Unread reports the prompts of this VM's calls that wait at engines to a VM of the
+// region.
 func (c *Client) Unread(ctx context.Context, vm fleet.VM, in *peerpb.UnreadNote) error {
-	in.SentUs = c.options.Transit.stamp()
+	in.SentUs = c.options.Transit.elapsedMicros()
 	_, err := c.client(ctx, vm).Unread(ctx, in)
 	return err
 }
 
-// Reports tells a VM of the region the loads of engines that this VM has asked.
+// Reports shares the load reports of engines that this VM polled with a VM of the
+// region.
 func (c *Client) Reports(ctx context.Context, vm fleet.VM, in *peerpb.ReportNote) error {
-	in.SentUs = c.options.Transit.stamp()
+	in.SentUs = c.options.Transit.elapsedMicros()
 	_, err := c.client(ctx, vm).Reports(ctx, in)
 	return err
 }
 
-// Published asks a VM for what it holds of the store.
+// Published fetches items of the store that a VM holds.
 func (c *Client) Published(ctx context.Context, vm fleet.VM, in *peerpb.PublishedRequest) (*peerpb.PublishedReply, error) {
 	reply, err := c.client(ctx, vm).Published(ctx, in)
 	if err != nil {
 		return nil, err
 	}
-	return reply, unpack(reply)
+	return reply, decompressItems(reply)
 }
 
-// Events asks a VM for a part of its time line.
+// Events fetches events of a VM's time line.
 func (c *Client) Events(ctx context.Context, vm fleet.VM, in *peerpb.EventsRequest) (*peerpb.EventsReply, error) {
 	return c.client(ctx, vm).Events(ctx, in)
 }
@@ -154,18 +155,18 @@
 	if c.options.CountMessage == nil {
 		return peerpb.NewDRPCPeerClient(conn)
 	}
-	return peerpb.NewDRPCPeerClient(&countedConn{
-		Conn:  conn,
-		far:   vm.Region != c.options.Region,
-		count: c.options.CountMessage,
+	return peerpb.NewDRPCPeerClient(&messageCountingConn{
+		Conn:        conn,
+		crossRegion: vm.Region != c.options.Region,
+		count:       c.options.CountMessage,
 	})
 }
 
 func (c *Client) address(vm fleet.VM) string {
-	if c.options.Routes == nil {
+	if c.options.ResolveAddr == nil {
 		return vm.PeerAddr
 	}
-	if addr, ok := c.options.Routes(vm.ID); ok {
+	if addr, ok := c.options.ResolveAddr(vm.ID); ok {
 		return addr
 	}
 	return vm.PeerAddr
@@ -176,11 +177,11 @@
 	if err != nil {
 		return nil, errors.Join(ErrDial, err)
 	}
-	counted, err := secure(ctx, countBytes(conn, c.options.CountBytes), c.options.TLS)
+	secured, err := clientHandshake(ctx, countBytes(conn, c.options.CountBytes), c.options.TLS)
 	if err != nil {
 		return nil, errors.Join(ErrDial, err)
 	}
-	return drpcconn.NewWithOptions(counted, drpcconn.Options{
+	return drpcconn.NewWithOptions(secured, drpcconn.Options{
 		Manager: managerOptions(),
 	}), nil
 }
@@ -194,7 +195,7 @@
 	}
 }
 
-// countingConn tells of the bytes that pass.
+// countingConn counts the bytes of a connection.
 type countingConn struct {
 	net.Conn
 	count func(sent, received int)
@@ -210,14 +211,14 @@
 	}
 }
 
-// Read reads and counts.
+// Read implements net.Conn.
 func (c *countingConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	c.count(0, n)
 	return n, err
 }
 
-// Write writes and counts.
+// Write implements net.Conn.
 func (c *countingConn) Write(p []byte) (int, error) {
 	n, err := c.Conn.Write(p)
 	c.count(n, 0)
--- a/peer/permit.go
+++ b/peer/permit.go
@@ -10,7 +10,7 @@
 	"github.com/fuchsianotch/fuchsianotch/throttle"
 )
 
-// Permit asks the VM that keeps an endpoint's rate for one request to it.
+// Permit asks the VM that enforces an endpoint's rate limit to admit one request.
 func (c *Client) Permit(ctx context.Context, vm fleet.VM, l throttle.Limit) (throttle.Answer, error) {
 	reply, err := c.client(ctx, vm).Permit(ctx, &peerpb.PermitRequest{
 		Limit: EndpointLimitMessage(l),
@@ -18,23 +18,24 @@
 	if err != nil {
 		return throttle.Answer{}, err
 	}
-	return permitFromMessage(reply, c.options.Now()), nil
+	return permitFromProto(reply, c.options.Now()), nil
 }
 
 // Permit implements peerpb.DRPCPeerServer.
 func (s *service) Permit(_ context.Context, in *peerpb.PermitRequest) (*peerpb.PermitReply, error) {
 	if s.handlers.Permit == nil {
-		return nil, errNotServed
+		return nil, errUnsupported
 	}
-	return permitMessage(s.handlers.Permit(EndpointLimitFromMessage(in.GetLimit())), s.handlers.Now()), nil
+	return permitToProto(s.handlers.Permit(EndpointLimitFromMessage(in.GetLimit())), s.handlers.Now()), nil
 }
 
-// permitMessage writes an answer that is sent now.
-func permitMessage(a throttle.Answer, now time.Time) *peerpb.PermitReply {
+// permitToProto encodes an answer for immediate sending; its time becomes a remaining
+// duration.
+func permitToProto(a throttle.Answer, now time.Time) *peerpb.PermitReply {
 	m := &peerpb.PermitReply{
 		Kept:     a.Kept,
 		Granted:  a.Granted,
-		NextInMs: leftMilli(a.NextAt, now),
+		NextInMs: remainingMillis(a.NextAt, now),
 	}
 	if a.Limit.Version > 0 {
 		m.Limit = EndpointLimitMessage(a.Limit)
@@ -42,16 +43,16 @@
 	return m
 }
 
-func permitFromMessage(m *peerpb.PermitReply, now time.Time) throttle.Answer {
+func permitFromProto(m *peerpb.PermitReply, now time.Time) throttle.Answer {
 	return throttle.Answer{
 		Kept:    m.GetKept(),
 		Granted: m.GetGranted(),
-		NextAt:  deadlineIn(m.GetNextInMs(), now),
+		NextAt:  deadlineAfter(m.GetNextInMs(), now),
 		Limit:   EndpointLimitFromMessage(m.GetLimit()),
 	}
 }
 
-// EndpointLimitMessage writes a limit.
+// EndpointLimitMessage encodes an endpoint's rate limit.
 func EndpointLimitMessage(l throttle.Limit) *peerpb.EndpointLimit {
 	return &peerpb.EndpointLimit{
 		Endpoint:    l.Endpoint,
@@ -62,7 +63,8 @@
 	}
 }
 
-// EndpointLimitFromMessage reads a limit. One that names no rate a VM could keep to is as none.
+// EndpointLimitFromMessage decodes an endpoint's rate limit. It returns the zero Limit
+// for a rate that is negative, infinite or not a number.
 func EndpointLimitFromMessage(m *peerpb.EndpointLimit) throttle.Limit {
 	perSecond := m.GetPerSecond()
 	if perSecond < 0 || math.IsNaN(perSecond) || math.IsInf(perSecond, 0) {
--- a/peer/permit_test.go
+++ b/peer/permit_test.go
@@ -12,8 +12,8 @@
 	"github.com/fuchsianotch/fuchsianotch/throttle"
 )
 
-// TestPermitMessages holds that a limit and an answer come through as they were, and that the
-// messages stay as small as the capacity page counts them.
+// TestPermitMessages checks the round trip of limits and answers, the message sizes that
+// the capacity page states, and that invalid rates are dropped.
 func TestPermitMessages(t *testing.T) {
 	now := time.Unix(1e9, 0)
 	limit := throttle.Limit{
@@ -30,10 +30,10 @@
 		Granted: true,
 		NextAt:  now.Add(time.Second),
 	}
-	assert.Equal(t, proto.Size(permitMessage(answer, now)), 7)
-	assert.DeepEqual(t, permitFromMessage(permitMessage(answer, now), now), answer)
+	assert.Equal(t, proto.Size(permitToProto(answer, now)), 7)
+	assert.DeepEqual(t, permitFromProto(permitToProto(answer, now), now), answer)
 	answer.Limit = limit
-	assert.DeepEqual(t, permitFromMessage(permitMessage(answer, now), now), answer)
+	assert.DeepEqual(t, permitFromProto(permitToProto(answer, now), now), answer)
 	for _, perSecond := range []float64{-1, math.NaN(), math.Inf(1)} {
 		limit.PerSecond = perSecond
 		assert.Equal(t, EndpointLimitFromMessage(EndpointLimitMessage(limit)), throttle.Limit{})
--- a/peer/routed.go
+++ b/peer/routed.go
@@ -8,10 +8,9 @@
 	"github.com/fuchsianotch/fuchsianotch/peer/peerpb"
 )
 
-// putRouted writes what only routed calls have. Their deadlines travel as what
-// is left of them: a deadline by the sender's clock would be off by the
-// difference of the two clocks, which may be seconds.
-func putRouted(m *peerpb.Call, c *call.Call, now time.Time) {
+// writeRoutedFields encodes the fields that only routed calls have. Deadlines are
+// encoded as remaining durations, because the clocks of two VMs may differ by seconds.
+func writeRoutedFields(m *peerpb.Call, c *call.Call, now time.Time) {
 	r := c.Routed
 	m.FirstByUnixMs = 0
 	m.WholeByUnixMs = 0
@@ -25,9 +24,9 @@
 	m.MaxAttempts = uint32(r.MaxAttempts)
 	m.Resumable = r.Resumable
 	m.Homes = r.Homes
-	m.FirstInMs = leftMilli(c.FirstBy, now)
-	m.WholeInMs = leftMilli(c.WholeBy, now)
-	m.CallerInMs = leftMilli(r.CallerBy, now)
+	m.FirstInMs = remainingMillis(c.FirstBy, now)
+	m.WholeInMs = remainingMillis(c.WholeBy, now)
+	m.CallerInMs = remainingMillis(r.CallerBy, now)
 	m.ResumeAfter = r.ResumeAfter
 	m.RepeatedBefore = r.Repeated
 	m.EventTokens = uint32(r.EventTokens)
@@ -41,17 +40,17 @@
 	}
 }
 
-// leftMilli is at least 1 for a deadline, as 0 means that there is none.
-func leftMilli(by, now time.Time) uint32 {
+// remainingMillis returns the time until a deadline, at least 1 ms; 0 means no deadline.
+func remainingMillis(by, now time.Time) uint32 {
 	if by.IsZero() {
 		return 0
 	}
 	return uint32(max(by.Sub(now).Milliseconds(), 1))
 }
 
-func takeRouted(c *call.Call, m *peerpb.Call, sentAt time.Time) {
-	c.FirstBy = deadlineIn(m.GetFirstInMs(), sentAt)
-	c.WholeBy = deadlineIn(m.GetWholeInMs(), sentAt)
+func readRoutedFields(c *call.Call, m *peerpb.Call, sentAt time.Time) {
+	c.FirstBy = deadlineAfter(m.GetFirstInMs(), sentAt)
+	c.WholeBy = deadlineAfter(m.GetWholeInMs(), sentAt)
 	c.Routed = &call.Routed{
 		Host:        m.GetHost(),
 		Route:       m.GetRoute(),
@@ -60,7 +59,7 @@
 		MaxAttempts: int(m.GetMaxAttempts()),
 		Resumable:   m.GetResumable(),
 		Homes:       m.GetHomes(),
-		CallerBy:    deadlineIn(m.GetCallerInMs(), sentAt),
+		CallerBy:    deadlineAfter(m.GetCallerInMs(), sentAt),
 		ResumeAfter: m.GetResumeAfter(),
 		Repeated:    m.GetRepeatedBefore(),
 		EventTokens: int(m.GetEventTokens()),
@@ -79,7 +78,7 @@
 	}
 }
 
-func deadlineIn(ms uint32, now time.Time) time.Time {
+func deadlineAfter(ms uint32, now time.Time) time.Time {
 	if ms == 0 {
 		return time.Time{}
 	}
--- a/peer/server.go
+++ b/peer/server.go
@@ -17,51 +17,51 @@
 	"github.com/fuchsianotch/fuchsianotch/throttle"
 )
 
-// Handlers are what a VM does with each request of its peers.
+// Handlers process the requests of peers. Forward, Stamp and Witness are required; a
+// request with any other handler nil is rejected.
 type Handlers struct {
 	Heartbeat func(ctx context.Context, in *peerpb.HeartbeatRequest) (*peerpb.HeartbeatReply, error)
 	Documents func(ctx context.Context, in *peerpb.DocumentsRequest) (*peerpb.DocumentsReply, error)
 	Lease     func(ctx context.Context, in *peerpb.LeaseRequest) (*peerpb.LeaseReply, error)
 	HandOver  func(ctx context.Context, in *peerpb.HandOverRequest) (*peerpb.HandOverReply, error)
 	Events    func(ctx context.Context, in *peerpb.EventsRequest) (*peerpb.EventsReply, error)
-	// Gossip and Published are for fleets that find each other and share what
-	// they read of the store.
+	// Gossip and Published serve fleets that discover their members and share what they
+	// read of the store.
 	Gossip    func(ctx context.Context, in *peerpb.GossipMessage) (*peerpb.GossipMessage, error)
 	Published func(ctx context.Context, in *peerpb.PublishedRequest) (*peerpb.PublishedReply, error)
-	// Reports takes the loads of engines from another VM of the region, as of when it
-	// was sent. It may be left out where endpoints are not shared.
+	// Reports takes load reports of engines from another VM of the region, sent at sentAt.
 	Reports func(in *peerpb.ReportNote, sentAt time.Time)
-	// Unread takes what waits at engines for the calls of another VM of the region,
-	// as of a moment.
+	// Unread takes the prompts that waited at engines for calls of another VM of the
+	// region at sentAt.
 	Unread func(in *peerpb.UnreadNote, sentAt time.Time)
-	// Crashes takes under which calls endpoints crashed, and which are held.
+	// Crashes takes crash reports and quarantine verdicts.
 	Crashes func(n quarantine.Note)
-	// Limits takes what other VMs say of workspaces' limits, and answers it.
+	// Limits takes the usage and demand of workspaces' limits that another VM reports.
 	Limits func(n metering.Note) metering.Reply
-	// Permit decides on a request to an endpoint with a limit for a VM that knows
-	// of that.
+	// Permit decides whether another VM may send a request to a rate-limited endpoint.
 	Permit func(l throttle.Limit) throttle.Answer
-	// Forward runs the call and never forwards it again.
+	// Forward runs a call; it must not forward it again.
 	Forward func(ctx context.Context, from *peerpb.Identity, c *call.Call, sink call.Sink) call.Outcome
-	// Stamp and Witness keep the time line's clock on forwarded calls.
+	// Stamp reads the time line's logical clock, and Witness advances it to a stamp
+	// received.
 	Stamp   func() uint64
 	Witness func(stamp uint64)
-	// CountBytes is told of bytes sent and received; nil means nobody counts.
+	// CountBytes records bytes sent and received; nil disables it.
 	CountBytes func(sent, received int)
-	// TLS is TLS's configuration of the shared secret; nil means plain TCP.
+	// TLS is the configuration made by the function TLS; nil means plain TCP.
 	TLS *tls.Config
 	// Now and Transit are as in Options.
 	Now     func() time.Time
 	Transit *Transit
 }
 
-// Server answers peers on one listener.
+// Server serves the requests of peers.
 type Server struct {
 	handlers Handlers
 	drpc     *drpcserver.Server
 }
 
-// NewServer makes a server. It fails only if the protocol cannot be registered.
+// NewServer returns a server. It fails only if the protocol cannot be registered.
 func NewServer(h Handlers) (*Server, error) {
 	if h.Now == nil {
 		h.Now = time.Now
@@ -82,7 +82,7 @@
 	return s, nil
 }
 
-// Serve answers until ctx ends.
+// Serve accepts connections until ctx ends.
 func (s *Server) Serve(ctx context.Context, ln net.Listener) error {
 	ln = &countingListener{
 		Listener: ln,
@@ -99,7 +99,7 @@
 	count func(sent, received int)
 }
 
-// Accept accepts a connection whose bytes are counted.
+// Accept returns a connection whose bytes are counted.
 func (l *countingListener) Accept() (net.Conn, error) {
 	conn, err := l.Listener.Accept()
 	if err != nil {
@@ -108,7 +108,7 @@
 	return countBytes(conn, l.count), nil
 }
 
-// service is the registered implementation.
+// service implements peerpb.DRPCPeerServer.
 type service struct {
 	handlers Handlers
 }
@@ -116,7 +116,7 @@
 // Heartbeat implements peerpb.DRPCPeerServer.
 func (s *service) Heartbeat(ctx context.Context, in *peerpb.HeartbeatRequest) (*peerpb.HeartbeatReply, error) {
 	if s.handlers.Heartbeat == nil {
-		return nil, errNotServed
+		return nil, errUnsupported
 	}
 	return s.handlers.Heartbeat(ctx, in)
 }
@@ -124,7 +124,7 @@
 // Documents implements peerpb.DRPCPeerServer.
 func (s *service) Documents(ctx context.Context, in *peerpb.DocumentsRequest) (*peerpb.DocumentsReply, error) {
 	if s.handlers.Documents == nil {
-		return nil, errNotServed
+		return nil, errUnsupported
 	}
 	return s.handlers.Documents(ctx, in)
 }
@@ -132,7 +132,7 @@
 // Lease implements peerpb.DRPCPeerServer.
 func (s *service) Lease(ctx context.Context, in *peerpb.LeaseRequest) (*peerpb.LeaseReply, error) {
 	if s.handlers.Lease == nil {
-		return nil, errNotServed
+		return nil, errUnsupported
 	}
 	return s.handlers.Lease(ctx, in)
 }
@@ -140,7 +140,7 @@
 // HandOver implements peerpb.DRPCPeerServer.
 func (s *service) HandOver(ctx context.Context, in *peerpb.HandOverRequest) (*peerpb.HandOverReply, error) {
 	if s.handlers.HandOver == nil {
-		return nil, errNotServed
+		return nil, errUnsupported
 	}
 	return s.handlers.HandOver(ctx, in)
 }
@@ -148,7 +148,7 @@
 // Events implements peerpb.DRPCPeerServer.
 func (s *service) Events(ctx context.Context, in *peerpb.EventsRequest) (*peerpb.EventsReply, error) {
 	if s.handlers.Events == nil {
-		return nil, errNotServed
+		return nil, errUnsupported
 	}
 	return s.handlers.Events(ctx, in)
 }
@@ -156,26 +156,26 @@
 // Gossip implements peerpb.DRPCPeerServer.
 func (s *service) Gossip(ctx context.Context, in *peerpb.GossipMessage) (*peerpb.GossipMessage, error) {
 	if s.handlers.Gossip == nil {
-		return nil, errNotServed
+		return nil, errUnsupported
 	}
-	if err := unpackRumors(in); err != nil {
+	if err := decompressRumors(in); err != nil {
 		return nil, err
 	}
 	reply, err := s.handlers.Gossip(ctx, in)
 	if err != nil {
 		return nil, err
 	}
-	if err := packRumors(reply); err != nil {
+	if err := compressRumors(reply); err != nil {
 		return nil, err
 	}
-	reply.SentUs = s.handlers.Transit.stamp()
+	reply.SentUs = s.handlers.Transit.elapsedMicros()
 	return reply, nil
 }
 
 // Published implements peerpb.DRPCPeerServer.
 func (s *service) Published(ctx context.Context, in *peerpb.PublishedRequest) (*peerpb.PublishedReply, error) {
 	if s.handlers.Published == nil {
-		return nil, errNotServed
+		return nil, errUnsupported
 	}
 	return s.handlers.Published(ctx, in)
 }
@@ -183,7 +183,7 @@
 // Reports implements peerpb.DRPCPeerServer.
 func (s *service) Reports(_ context.Context, in *peerpb.ReportNote) (*peerpb.ReportReply, error) {
 	if s.handlers.Reports == nil {
-		return nil, errNotServed
+		return nil, errUnsupported
 	}
 	from := in.GetFrom()
 	s.handlers.Reports(in, s.handlers.Transit.SentAt(from.GetVm(), from.GetIncarnation(), in.GetSentUs()))
@@ -193,25 +193,25 @@
 // Unread implements peerpb.DRPCPeerServer.
 func (s *service) Unread(_ context.Context, in *peerpb.UnreadNote) (*peerpb.UnreadReply, error) {
 	if s.handlers.Unread == nil {
-		return nil, errNotServed
+		return nil, errUnsupported
 	}
 	from := in.GetFrom()
 	s.handlers.Unread(in, s.handlers.Transit.SentAt(from.GetVm(), from.GetIncarnation(), in.GetSentUs()))
 	return &peerpb.UnreadReply{}, nil
 }
 
-// errNotServed answers a request that this kind of deployment has no use for.
-var errNotServed = errors.New("not served by this deployment")
+// errUnsupported rejects a request without a handler.
+var errUnsupported = errors.New("request not supported by this deployment")
 
 // Forward implements peerpb.DRPCPeerServer.
 func (s *service) Forward(in *peerpb.ForwardRequest, stream peerpb.DRPCPeer_ForwardStream) error {
 	s.handlers.Witness(in.GetStamp())
 	sentAt := s.handlers.Transit.SentAt(in.GetFrom().GetVm(), in.GetFrom().GetIncarnation(), in.GetSentUs())
-	c := callFromMessage(in.GetCall(), sentAt)
+	c := callFromProto(in.GetCall(), sentAt)
 	outcome := s.handlers.Forward(stream.Context(), in.GetFrom(), c, streamSink(stream))
 	return stream.Send(&peerpb.ForwardReply{
 		Step: &peerpb.ForwardReply_End{
-			End: endMessage(outcome, s.handlers.Stamp(), s.handlers.Now()),
+			End: outcomeToProto(outcome, s.handlers.Stamp(), s.handlers.Now()),
 		},
 	})
 }
--- a/peer/transit.go
+++ b/peer/transit.go
@@ -5,84 +5,85 @@
 	"time"
 )
 
-// sendersMost bounds the processes that are measured; over it all are measured anew.
-const sendersMost = 4096
+// maxSenders bounds the baselines kept; when it is reached, all are discarded.
+const maxSenders = 4096
 
-// clockDrift is how far two steady clocks may drift apart in a second, so that
-// a measure taken long ago does not make later messages look held up for good.
-const clockDrift = 200 * time.Microsecond
+// maxClockDrift is the assumed drift per second between two monotonic clocks. It keeps an
+// old baseline from making later messages look delayed.
+const maxClockDrift = 200 * time.Microsecond
 
-// Transit tells when a message of another VM was sent, by this VM's own clock.
-// The clocks of two processes differ by an unknown amount, but steadily: the
-// message that came fastest of all is the measure, and any other was held up by
-// as much more as it took. So what waited on a cut way is known as old, however
-// fresh the time left that it tells. It is safe for concurrent use.
+// Transit estimates when a message of another VM was sent, by this VM's clock. The
+// offset between two monotonic clocks is unknown but nearly constant, so the message
+// with the smallest observed offset serves as the baseline, and any excess over it is
+// delay in transit. A message that waited out a network partition is thus recognised as
+// old. It is safe for concurrent use.
 type Transit struct {
 	now       func() time.Time
 	startedAt time.Time
 
-	mu      sync.Mutex
-	fastest map[string]fastest
+	mu        sync.Mutex
+	baselines map[string]delayBaseline
 }
 
-// fastest is the measure of one process.
-type fastest struct {
+// delayBaseline is the smallest clock offset observed from one incarnation of a VM.
+type delayBaseline struct {
 	incarnation uint64
-	// ahead is what this clock is ahead of the sender's, with the shortest way, as
-	// of at.
-	ahead time.Duration
-	at    time.Time
+	// minOffset is the receive time minus the send time, each by its own process's clock.
+	minOffset  time.Duration
+	measuredAt time.Time
 }
 
-// NewTransit makes a Transit; now is a steady clock.
+// NewTransit returns a Transit; now is a monotonic clock.
 func NewTransit(now func() time.Time) *Transit {
 	return &Transit{
 		now:       now,
 		startedAt: now(),
-		fastest:   make(map[string]fastest),
+		baselines: make(map[string]delayBaseline),
 	}
 }
 
-// stamp is this process's steady clock, for a message that is sent now. It is
-// never zero, which means that a message does not say.
-func (t *Transit) stamp() uint64 {
+// elapsedMicros returns the monotonic time of this process for an outgoing message. It
+// is never zero, which marks a message without a timestamp.
+func (t *Transit) elapsedMicros() uint64 {
 	return uint64(max(t.now().Sub(t.startedAt), time.Microsecond).Microseconds())
 }
 
-// SentAt gives when a message that came just now was sent, at the latest: the
-// shortest way is not counted. The first message of a process counts as fresh.
-func (t *Transit) SentAt(vm string, incarnation, stamp uint64) time.Time {
+// SentAt returns the latest time at which a message that just arrived can have been
+// sent. The shortest network delay is not counted, and the first message of an
+// incarnation counts as undelayed.
+func (t *Transit) SentAt(vm string, incarnation, sentMicros uint64) time.Time {
 	now := t.now()
-	if stamp == 0 || vm == "" {
+	if sentMicros == 0 || vm == "" {
 		return now
 	}
-	took := now.Sub(t.startedAt) - time.Duration(stamp)*time.Microsecond
-	return now.Add(-t.heldUp(vm, incarnation, took, now))
+	offset := now.Sub(t.startedAt) - time.Duration(sentMicros)*time.Microsecond
+	return now.Add(-t.excessDelay(vm, incarnation, offset, now))
 }
 
-// heldUp is how much longer than the fastest a message took.
-func (t *Transit) heldUp(vm string, incarnation uint64, took time.Duration, now time.Time) time.Duration {
+// excessDelay returns the delay of a message beyond the baseline, and updates the
+// baseline.
+func (t *Transit) excessDelay(vm string, incarnation uint64, offset time.Duration, now time.Time) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	known, ok := t.fastest[vm]
+	known, ok := t.baselines[vm]
 	if ok && known.incarnation > incarnation {
 		return 0
 	}
-	least := known.ahead + drifted(now.Sub(known.at))
-	if !ok || known.incarnation != incarnation || took < least {
-		if len(t.fastest) >= sendersMost {
-			clear(t.fastest)
+	minOffset := known.minOffset + maxDrift(now.Sub(known.measuredAt))
+	if !ok || known.incarnation != incarnation || offset < minOffset {
+		if len(t.baselines) >= maxSenders {
+			clear(t.baselines)
 		}
-		t.fastest[vm] = fastest{
+		t.baselines[vm] = delayBaseline{
 			incarnation: incarnation,
-			ahead:       took,
-			at:          now,
+			minOffset:   offset,
+			measuredAt:  now,
 		}
 		return 0
 	}
-	return took - least
+	return offset - minOffset
 }
 
-func drifted(since time.Duration) time.Duration {
-	return time.Duration(since.Seconds() * float64(clockDrift))
+func maxDrift(elapsed time.Duration) time.Duration {
+	return time.Duration(elapsed.Seconds() * float64(maxClockDrift))
 }
--- a/peer/transit_test.go
+++ b/peer/transit_test.go
@@ -21,8 +21,8 @@
 
 var epoch = time.Date(2026, time.March, 1, 6, 0, 0, 0, time.UTC)
 
-// transitRow is one row of testdata/transit.json: messages of one VM, and by how
-// much each counts as held up. ahead is what the sender's clock differs.
+// transitRow is a case of testdata/transit.json: messages of one VM, and the delay
+// expected for each. Ahead is the offset of the sender's clock.
 type transitRow struct {
 	Name     string
 	Ahead    string
@@ -55,9 +55,9 @@
 		if m.Unstamped {
 			stamp = 0
 		}
-		held := now.Sub(transit.SentAt("far", max(m.Incarnation, 1), stamp))
-		// The drift that is allowed for is below this.
-		assert.Equal(t, held.Round(10*time.Millisecond), duration(t, row.Held[i]), "message %d", i)
+		delay := now.Sub(transit.SentAt("far", max(m.Incarnation, 1), stamp))
+		// Rounding hides the tolerated clock drift.
+		assert.Equal(t, delay.Round(10*time.Millisecond), duration(t, row.Held[i]), "message %d", i)
 	}
 }
 
@@ -67,67 +67,67 @@
 	return d
 }
 
-// steadyClock is a clock that a test moves.
-type steadyClock struct {
+// fakeClock is a clock that tests advance.
+type fakeClock struct {
 	mu  sync.Mutex
 	now time.Time
 }
 
-func (c *steadyClock) Now() time.Time {
+func (c *fakeClock) Now() time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.now
 }
 
-func (c *steadyClock) advance(d time.Duration) {
+func (c *fakeClock) advance(d time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.now = c.now.Add(d)
 }
 
-// holdingWay is a way between two VMs that keeps what is under way until it is
-// released, as connections do that live through a cut.
-type holdingWay struct {
-	target string
-	mu     sync.Mutex
-	free   *sync.Cond
-	held   bool
-	// mark is in the first piece that is held, of which waits is told. What ends the call
-	// before may be under way yet, and passes.
-	mark  []byte
-	waits chan struct{}
-}
-
-func newHoldingWay(target, mark string) *holdingWay {
-	w := &holdingWay{
-		target: target,
-		mark:   []byte(mark),
-		waits:  make(chan struct{}, 16),
+// blockingLink is a connection between two VMs that holds back data while blocked, as
+// connections do that survive a network partition.
+type blockingLink struct {
+	target    string
+	mu        sync.Mutex
+	unblocked *sync.Cond
+	blocked   bool
+	// mark selects the data that is held back and signalled on blockedWrites; other data,
+	// such as the end of an earlier call, passes.
+	mark          []byte
+	blockedWrites chan struct{}
+}
+
+func newBlockingLink(target, mark string) *blockingLink {
+	w := &blockingLink{
+		target:        target,
+		mark:          []byte(mark),
+		blockedWrites: make(chan struct{}, 16),
 	}
-	w.free = sync.NewCond(&w.mu)
+	w.unblocked = sync.NewCond(&w.mu)
 	return w
 }
 
-func (w *holdingWay) set(held bool) {
+func (w *blockingLink) setBlocked(blocked bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.held = held
-	w.free.Broadcast()
+	w.blocked = blocked
+	w.unblocked.Broadcast()
 }
 
-func (w *holdingWay) dial(ctx context.Context, _ string) (net.Conn, error) {
+func (w *blockingLink) dial(ctx context.Context, _ string) (net.Conn, error) {
 	var d net.Dialer
-	far, err := d.DialContext(ctx, "tcp", w.target)
+	remote, err := d.DialContext(ctx, "tcp", w.target)
 	if err != nil {
 		return nil, err
 	}
 	near, here := net.Pipe()
-	go w.pass(far, here)
-	go func() { _, _ = io.Copy(here, far) }()
+	go w.copyData(remote, here)
+	go func() { _, _ = io.Copy(here, remote) }()
 	return near, nil
 }
 
-func (w *holdingWay) pass(to, from net.Conn) {
+func (w *blockingLink) copyData(to, from net.Conn) {
 	buffer := make([]byte, 32<<10)
 	for {
 		n, err := from.Read(buffer)
@@ -135,67 +135,67 @@
 			_ = to.Close()
 			return
 		}
-		w.await(buffer[:n])
+		w.waitUnblocked(buffer[:n])
 		if _, err := to.Write(buffer[:n]); err != nil {
 			return
 		}
 	}
 }
 
-func (w *holdingWay) await(piece []byte) {
+func (w *blockingLink) waitUnblocked(data []byte) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if !bytes.Contains(piece, w.mark) {
+	if !bytes.Contains(data, w.mark) {
 		return
 	}
-	if w.held {
-		w.waits <- struct{}{}
+	if w.blocked {
+		w.blockedWrites <- struct{}{}
 	}
-	for w.held {
-		w.free.Wait()
+	for w.blocked {
+		w.unblocked.Wait()
 	}
 }
 
-// TestHeldForward holds a call on its way for three seconds and releases it.
-// Its deadlines at the far VM must count them, in full.
+// TestHeldForward checks that the time which a call is held up in the network counts
+// against its deadlines at the remote VM.
 func TestHeldForward(t *testing.T) {
-	clock := &steadyClock{
+	clock := &fakeClock{
 		now: epoch,
 	}
-	came := make(chan *call.Call, 1)
-	addr := listenFor(t, clock, came)
-	way := newHoldingWay(addr, "held-call")
+	received := make(chan *call.Call, 1)
+	addr := startServer(t, clock, received)
+	link := newBlockingLink(addr, "held-call")
 	client := New(Options{
-		Dial: way.dial,
+		Dial: link.dial,
 		Now:  clock.Now,
 	})
 	defer func() { _ = client.Close() }()
 	forward := func(id string) { forwardRouted(t, client, clock, id) }
 
 	forward("first-call")
-	assert.Equal(t, (<-came).WholeBy, epoch.Add(2400*time.Millisecond))
+	assert.Equal(t, (<-received).WholeBy, epoch.Add(2400*time.Millisecond))
 
-	way.set(true)
+	link.setBlocked(true)
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
 		forward("held-call")
 	}()
-	<-way.waits
+	<-link.blockedWrites
 	clock.advance(3 * time.Second)
-	way.set(false)
-	held := <-came
+	link.setBlocked(false)
+	delayed := <-received
 	<-done
-	// The way's own 0 s and the drift allowed for are below this.
-	late := clock.Now().Sub(held.WholeBy).Round(10 * time.Millisecond)
-	assert.Equal(t, late, 600*time.Millisecond)
-	assert.Assert(t, held.Routed.CallerBy.Before(clock.Now()))
+	// Rounding hides the tolerated clock drift.
+	overdue := clock.Now().Sub(delayed.WholeBy).Round(10 * time.Millisecond)
+	assert.Equal(t, overdue, 600*time.Millisecond)
+	assert.Assert(t, delayed.Routed.CallerBy.Before(clock.Now()))
 }
 
-func listenFor(t *testing.T, clock *steadyClock, came chan<- *call.Call) string {
+func startServer(t *testing.T, clock *fakeClock, received chan<- *call.Call) string {
 	server, err := NewServer(Handlers{
 		Forward: func(_ context.Context, _ *peerpb.Identity, c *call.Call, _ call.Sink) call.Outcome {
-			came <- c
+			received <- c
 			return call.Refused(result.Refuse(result.NoEndpoint, "none"))
 		},
 		Stamp:   func() uint64 { return 0 },
@@ -211,8 +211,8 @@
 	return ln.Addr().String()
 }
 
-// forwardRouted sends a call with 2.4 s left.
-func forwardRouted(t *testing.T, client *Client, clock *steadyClock, id string) {
+// forwardRouted forwards a routed call whose deadline is 2.4 s ahead.
+func forwardRouted(t *testing.T, client *Client, clock *fakeClock, id string) {
 	now := clock.Now()
 	c := &call.Call{
 		ID:      id,
