--- a/node/handlers.go
+++ b/node/handlers.go
@@ -248,7 +248,7 @@
 	}, nil
 }
 
-var errEncodeEvents = errors.New("cannot encode events")
+var errEncodeEvents = errors.New("events cannot be written")
 
 func (n *Node) isRegionBound(e timeline.Event) bool {
 	if e.Workspace == "" {
--- a/peer/server.go
+++ b/peer/server.go
@@ -201,7 +201,7 @@
 }
 
 // errUnsupported rejects a request without a handler.
-var errUnsupported = errors.New("request not supported by this deployment")
+var errUnsupported = errors.New("not served by this deployment")
 
 // Forward implements peerpb.DRPCPeerServer.
 func (s *service) Forward(in *peerpb.ForwardRequest, stream peerpb.DRPCPeer_ForwardStream) error {
