--- a/common/clock/boot_linux.go
+++ b/common/clock/boot_linux.go
@@ -6,7 +6,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// sinceBoot reads the kernel's clock that goes on while the VM is suspended.
+// sinceBoot returns the time since boot, suspensions included.
 func sinceBoot() (time.Duration, error) {
 	var ts unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts); err != nil {
--- a/common/clock/boot_other.go
+++ b/common/clock/boot_other.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// sinceBoot is known on Linux only; elsewhere suspensions go unseen.
+// sinceBoot is supported on Linux only; elsewhere suspensions are not detected.
 func sinceBoot() (time.Duration, error) {
 	return 0, errors.ErrUnsupported
 }
--- a/common/clock/clock.go
+++ b/common/clock/clock.go
@@ -1,7 +1,6 @@
-// Package clock tells the time by which a process decides. Go's steady clock stands
-// still while the VM is suspended: a lease, a report or a deadline from before would
-// look as fresh as if no time had gone by. The time of day goes on, but jumps when it
-// is set. This clock goes on and does not jump.
+// Package clock provides a monotonic clock that includes the time a VM was suspended.
+// Go's monotonic clock stops during a suspension, so a lease or deadline from before
+// would not expire; the wall clock jumps when it is set.
 package clock
 
 import (
@@ -11,110 +10,107 @@
 	"time"
 )
 
-// slack is by how much the time of day may drift from the steady clock before the
-// kernel is asked why: it is set slowly by some tenths of a millisecond a second, and
-// a suspension that matters is longer than the time of one call.
-const slack = 20 * time.Millisecond
+// maxWallDrift is how far the wall clock may drift from the monotonic clock before the
+// boot clock is read to tell a suspension from a clock adjustment.
+const maxWallDrift = 20 * time.Millisecond
 
-// Options set up a Clock.
+// Options configures a Clock.
 type Options struct {
-	// Read returns the time of day, and how long the steady clock went since the clock was
-	// made; nil means the process's.
-	Read func() (day time.Time, steady time.Duration)
-	// SinceBoot returns the time since the VM started, suspensions included; nil means
-	// the kernel's.
+	// Read returns the wall time and the monotonic time since New; nil reads the process's
+	// clocks.
+	Read func() (wall time.Time, monotonic time.Duration)
+	// SinceBoot returns the time since boot, suspensions included; nil reads the kernel's
+	// boot clock.
 	SinceBoot func() (time.Duration, error)
 }
 
-// Clock is the clock of one process. It is safe for concurrent use.
+// Clock is a monotonic clock that counts suspensions. It is safe for concurrent use.
 type Clock struct {
-	read      func() (day time.Time, steady time.Duration)
-	sinceBoot func() (time.Duration, error)
-	start     time.Time
-	startBoot time.Duration
-	// works says that the kernel tells the time since boot.
-	works bool
+	readClocks   func() (wall time.Time, monotonic time.Duration)
+	sinceBoot    func() (time.Duration, error)
+	startTime    time.Time
+	startBoot    time.Duration
+	hasBootClock bool
 
 	mu sync.Mutex
-	// ahead is by how much the time of day was ahead of the steady clock when it was last
-	// looked why, and suspended how long the VM has been suspended since the start.
-	ahead     atomic.Int64
+	// wallOffset is the offset of the wall clock at the last read of the boot clock.
+	wallOffset atomic.Int64
+	// suspended is the total time suspended since the clock was created.
 	suspended atomic.Int64
-	// woken is told of each suspension.
-	woken atomic.Pointer[func(time.Duration)]
+	onWake    atomic.Pointer[func(time.Duration)]
 }
 
-// New makes a clock that starts now.
+// New returns a clock that starts at the current time.
 func New(o Options) *Clock {
 	c := &Clock{
-		read:      o.Read,
-		sinceBoot: o.SinceBoot,
-		start:     time.Now(),
+		readClocks: o.Read,
+		sinceBoot:  o.SinceBoot,
+		startTime:  time.Now(),
 	}
-	if c.read == nil {
-		c.read = c.process
+	if c.readClocks == nil {
+		c.readClocks = c.readProcessClocks
 	}
 	if c.sinceBoot == nil {
 		c.sinceBoot = sinceBoot
 	}
 	boot, err := c.sinceBoot()
 	c.startBoot = boot
-	c.works = err == nil
+	c.hasBootClock = err == nil
 	return c
 }
 
-// process reads the clocks of this process.
-func (c *Clock) process() (day time.Time, steady time.Duration) {
+// readProcessClocks returns the wall time without its monotonic reading, and the monotonic
+// time since the clock was created.
+func (c *Clock) readProcessClocks() (wall time.Time, monotonic time.Duration) {
 	now := time.Now()
-	return now.Round(0), now.Sub(c.start)
+	return now.Round(0), now.Sub(c.startTime)
 }
 
-// OnWake has a function told, without waiting for it, how long the VM was suspended.
-func (c *Clock) OnWake(woken func(suspended time.Duration)) {
-	c.woken.Store(&woken)
+// OnWake sets the function that is called in its own goroutine after each suspension.
+func (c *Clock) OnWake(onWake func(suspended time.Duration)) {
+	c.onWake.Store(&onWake)
 }
 
-// Now returns the time. It costs the kernel's time of day, and a question more after that
-// has jumped.
+// Now returns the current time. It reads the boot clock only after the wall clock jumped.
 func (c *Clock) Now() time.Time {
-	day, steady := c.read()
-	if c.works {
-		jump := c.aheadAt(day, steady) - time.Duration(c.ahead.Load())
-		if jump > slack || jump < -slack {
-			c.look()
+	wall, monotonic := c.readClocks()
+	if c.hasBootClock {
+		jump := c.wallOffsetAt(wall, monotonic) - time.Duration(c.wallOffset.Load())
+		if jump > maxWallDrift || jump < -maxWallDrift {
+			c.detectSuspension()
 		}
 	}
-	return c.start.Add(steady + time.Duration(c.suspended.Load()))
+	return c.startTime.Add(monotonic + time.Duration(c.suspended.Load()))
 }
 
-// aheadAt is by how much the time of day went on more than the steady clock.
-func (c *Clock) aheadAt(day time.Time, steady time.Duration) time.Duration {
-	return day.Sub(c.start.Round(0)) - steady
+// wallOffsetAt returns how far the wall clock has advanced ahead of the monotonic clock.
+func (c *Clock) wallOffsetAt(wall time.Time, monotonic time.Duration) time.Duration {
+	return wall.Sub(c.startTime.Round(0)) - monotonic
 }
 
-// look finds out whether the time of day jumped because the VM was suspended.
-func (c *Clock) look() {
+// detectSuspension adds a suspension to the clock if one made the wall clock jump.
+func (c *Clock) detectSuspension() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	boot, err := c.sinceBoot()
 	if err != nil {
 		return
 	}
-	day, steady := c.read()
-	c.ahead.Store(int64(c.aheadAt(day, steady)))
+	wall, monotonic := c.readClocks()
+	c.wallOffset.Store(int64(c.wallOffsetAt(wall, monotonic)))
 	before := time.Duration(c.suspended.Load())
-	total := boot - c.startBoot - steady
-	if total-before <= slack {
+	total := boot - c.startBoot - monotonic
+	if total-before <= maxWallDrift {
 		return
 	}
 	c.suspended.Store(int64(total))
-	if woken := c.woken.Load(); woken != nil {
-		go (*woken)(total - before)
+	if onWake := c.onWake.Load(); onWake != nil {
+		go (*onWake)(total - before)
 	}
 }
 
-// WithDeadline ends a context at a moment of such a clock, where it is now. A context
-// takes a deadline by the steady clock or the time of day, which differ from it.
+// WithDeadline returns a context that expires at a time of a Clock whose current time is
+// now. context.WithDeadline would compare that time with the process's own clocks.
 func WithDeadline(ctx context.Context, now, at time.Time) (context.Context, context.CancelFunc) {
 	return context.WithTimeout(ctx, at.Sub(now))
 }
--- a/common/clock/clock_test.go
+++ b/common/clock/clock_test.go
@@ -10,38 +10,39 @@
 	"github.com/fuchsianotch/fuchsianotch/common/datatest"
 )
 
-// machine is a VM whose clocks the test moves.
-type machine struct {
-	begun  time.Time
-	steady time.Duration
-	day    time.Duration
-	boot   time.Duration
+// fakeVM holds the clocks of a VM, which the test advances.
+type fakeVM struct {
+	start     time.Time
+	monotonic time.Duration
+	wall      time.Duration
+	boot      time.Duration
 }
 
-func (m *machine) read() (day time.Time, steady time.Duration) {
-	return m.begun.Add(m.day).Round(0), m.steady
+func (m *fakeVM) read() (wall time.Time, monotonic time.Duration) {
+	return m.start.Add(m.wall).Round(0), m.monotonic
 }
 
 type step struct {
-	// Runs, Suspended and Set are how long the VM runs or is suspended, and by how much
-	// its time of day is set ahead or back, in milliseconds.
+	// Runs and Suspended are how long the VM runs and is suspended, and Set is the change
+	// of its wall clock, in milliseconds.
 	Runs      int64
 	Suspended int64
 	Set       int64
-	// Want is the time since the start by the clock, in milliseconds.
+	// Want is the expected time since the start, in milliseconds.
 	Want int64
-	// Woken is how long the VM is said to have been suspended.
+	// Woken is the suspension passed to OnWake, in milliseconds.
 	Woken int64
 }
 
-// TestClock moves the clocks of a VM.
-func TestClock(t *testing.T) {
+// TestNow guards against a clock that misses a suspension or follows a change of the wall
+// clock.
+func TestNow(t *testing.T) {
 	for _, c := range datatest.Read[[]struct {
 		Name  string
 		Steps []step
 	}](t, "testdata/clock.json") {
 		t.Run(c.Name, func(t *testing.T) {
-			m := &machine{begun: time.Now()}
+			m := &fakeVM{start: time.Now()}
 			clock := New(Options{
 				Read:      m.read,
 				SinceBoot: func() (time.Duration, error) { return m.boot, nil },
@@ -50,8 +51,8 @@
 			clock.OnWake(func(d time.Duration) { woken <- d })
 			start := clock.Now()
 			for i, s := range c.Steps {
-				m.steady += time.Duration(s.Runs) * time.Millisecond
-				m.day += time.Duration(s.Runs+s.Suspended+s.Set) * time.Millisecond
+				m.monotonic += time.Duration(s.Runs) * time.Millisecond
+				m.wall += time.Duration(s.Runs+s.Suspended+s.Set) * time.Millisecond
 				m.boot += time.Duration(s.Runs+s.Suspended) * time.Millisecond
 				assert.Equal(t, clock.Now().Sub(start).Milliseconds(), s.Want, "step %d", i)
 				if s.Woken > 0 {
@@ -63,29 +64,28 @@
 	}
 }
 
-// TestWithoutBoot holds that the clock is the usual one where the kernel tells nothing.
-func TestWithoutBoot(t *testing.T) {
-	m := &machine{begun: time.Now()}
+// TestNowWithoutBootClock checks that Now is the monotonic time where there is no boot clock.
+func TestNowWithoutBootClock(t *testing.T) {
+	m := &fakeVM{start: time.Now()}
 	clock := New(Options{
 		Read:      m.read,
 		SinceBoot: func() (time.Duration, error) { return 0, errors.ErrUnsupported },
 	})
 	start := clock.Now()
-	m.steady += time.Second
-	m.day += time.Hour
+	m.monotonic += time.Second
+	m.wall += time.Hour
 	assert.Equal(t, clock.Now().Sub(start), time.Second)
 }
 
-// TestKernel holds that the kernel tells the time since boot here.
-func TestKernel(t *testing.T) {
+// TestSystemClock checks that the kernel's boot clock is available.
+func TestSystemClock(t *testing.T) {
 	clock := New(Options{})
-	assert.Assert(t, clock.works)
+	assert.Assert(t, clock.hasBootClock)
 	before := clock.Now()
 	assert.Assert(t, !clock.Now().Before(before))
 }
 
-// BenchmarkNow is what each question costs while nothing jumps: 116 to 139 ns, of which
-// time.Now takes 85 to 98, and nothing allocated.
+// BenchmarkNow measures Now without jumps of the wall clock.
 func BenchmarkNow(b *testing.B) {
 	clock := New(Options{})
 	b.ReportAllocs()
--- a/common/datatest/datatest.go
+++ b/common/datatest/datatest.go
@@ -1,5 +1,5 @@
-// Package datatest runs tests from data files: tables in JSON, and archives of
-// scripts with one command a line.
+// Package datatest runs tests from data files: JSON tables, and txtar archives of
+// scripts with one command per line.
 package datatest
 
 import (
@@ -13,7 +13,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// Read reads a JSON file as a value, such as the rows of a table.
+// Read decodes a JSON file, such as the rows of a table.
 func Read[T any](t testing.TB, path string) T {
 	t.Helper()
 	data, err := os.ReadFile(path)
@@ -23,13 +23,13 @@
 	return value
 }
 
-// Do runs one command of a script and gives what it prints.
+// Do runs one command of a script and returns its output.
 type Do func(t *testing.T, name string, words []string) string
 
-// Scripts runs each script of the txtar archives that match a pattern as a
-// subtest of its own, with the Do that begin makes. A line "command -> text"
-// must print the text; one without an arrow must print nothing.
-func Scripts(t *testing.T, pattern string, begin func() Do) {
+// Scripts runs each script of the txtar archives that match pattern as a subtest,
+// with a Do of its own. A line "command -> text" expects that output; a line
+// without an arrow expects none.
+func Scripts(t *testing.T, pattern string, newDo func() Do) {
 	t.Helper()
 	files, err := filepath.Glob(pattern)
 	assert.NilError(t, err)
@@ -38,12 +38,12 @@
 		archive, err := txtar.ParseFile(file)
 		assert.NilError(t, err)
 		for _, f := range archive.Files {
-			t.Run(f.Name, func(t *testing.T) { run(t, string(f.Data), begin()) })
+			t.Run(f.Name, func(t *testing.T) { runScript(t, string(f.Data), newDo()) })
 		}
 	}
 }
 
-func run(t *testing.T, text string, do Do) {
+func runScript(t *testing.T, text string, do Do) {
 	for line := range strings.Lines(text) {
 		command, want, _ := strings.Cut(strings.TrimSpace(line), "->")
 		words := strings.Fields(command)
--- a/common/jsonc/check.go
+++ b/common/jsonc/check.go
@@ -11,20 +11,20 @@
 	"github.com/tailscale/hujson"
 )
 
-// checker compares a parsed value with a Go type before encoding/json decodes
-// it, because encoding/json gives no place for what it refuses.
-type checker struct {
+// typeChecker checks a parsed value against a Go type before encoding/json decodes
+// it, because the errors of encoding/json have no line or field.
+type typeChecker struct {
 	name string
 	data []byte
 }
 
-func (c *checker) checkAs(root *hujson.Value, into any) *Problem {
+func (c *typeChecker) checkRoot(root *hujson.Value, into any) *Problem {
 	return c.check(root, reflect.TypeOf(into).Elem(), "")
 }
 
-func (c *checker) check(v *hujson.Value, t reflect.Type, pointer string) *Problem {
+func (c *typeChecker) check(v *hujson.Value, t reflect.Type, pointer string) *Problem {
 	if v.Value.Kind() == 'n' {
-		return c.problem(v, pointer, KindValue, "a value in place of null")
+		return c.newProblem(v, pointer, KindValue, "a value in place of null")
 	}
 	if reflect.PointerTo(t).Implements(reflect.TypeFor[json.Unmarshaler]()) {
 		return c.checkLeaf(v, t, pointer)
@@ -39,10 +39,10 @@
 	}
 }
 
-func (c *checker) checkObject(v *hujson.Value, t reflect.Type, pointer string) *Problem {
+func (c *typeChecker) checkObject(v *hujson.Value, t reflect.Type, pointer string) *Problem {
 	object, ok := v.Value.(*hujson.Object)
 	if !ok {
-		return c.problem(v, pointer, KindValue, "an object")
+		return c.newProblem(v, pointer, KindValue, "an object")
 	}
 	fields := fieldsOf(t)
 	seen := make(map[string]bool, len(object.Members))
@@ -50,16 +50,16 @@
 		member := &object.Members[i]
 		literal, ok := member.Name.Value.(hujson.Literal)
 		if !ok {
-			return c.problem(&member.Name, pointer, KindValue, "a field name")
+			return c.newProblem(&member.Name, pointer, KindValue, "a field name")
 		}
 		name := literal.String()
-		at := pointer + "/" + escape(name)
+		at := pointer + "/" + escapePointer(name)
 		field, known := fields.find(name)
 		if !known {
-			return c.problem(&member.Name, at, KindUnknown, "one of "+fields.names())
+			return c.newProblem(&member.Name, at, KindUnknown, "one of "+fields.names())
 		}
 		if seen[name] {
-			return c.problem(&member.Name, at, KindDuplicate, "each field once")
+			return c.newProblem(&member.Name, at, KindDuplicate, "each field once")
 		}
 		seen[name] = true
 		if problem := c.check(&member.Value, field, at); problem != nil {
@@ -69,10 +69,10 @@
 	return nil
 }
 
-func (c *checker) checkArray(v *hujson.Value, t reflect.Type, pointer string) *Problem {
+func (c *typeChecker) checkArray(v *hujson.Value, t reflect.Type, pointer string) *Problem {
 	array, ok := v.Value.(*hujson.Array)
 	if !ok {
-		return c.problem(v, pointer, KindValue, "a list")
+		return c.newProblem(v, pointer, KindValue, "a list")
 	}
 	for i := range array.Elements {
 		at := pointer + "/" + strconv.Itoa(i)
@@ -83,16 +83,16 @@
 	return nil
 }
 
-func (c *checker) checkLeaf(v *hujson.Value, t reflect.Type, pointer string) *Problem {
+func (c *typeChecker) checkLeaf(v *hujson.Value, t reflect.Type, pointer string) *Problem {
 	plain := v.Clone()
 	plain.Standardize()
 	if err := json.Unmarshal(plain.Pack(), reflect.New(t).Interface()); err != nil {
-		return c.problem(v, pointer, KindValue, wanted(t))
+		return c.newProblem(v, pointer, KindValue, describeType(t))
 	}
 	return nil
 }
 
-func (c *checker) problem(v *hujson.Value, pointer string, kind Kind, want string) *Problem {
+func (c *typeChecker) newProblem(v *hujson.Value, pointer string, kind Kind, want string) *Problem {
 	return &Problem{
 		File:  c.name,
 		Line:  lineAt(c.data, v.StartOffset),
@@ -102,14 +102,14 @@
 	}
 }
 
-// wanter is a type that says in words which values it takes.
-type wanter interface {
-	Wanted() string
+// valueDescriber is a type that describes its valid values in problems.
+type valueDescriber interface {
+	DescribeValues() string
 }
 
-func wanted(t reflect.Type) string {
-	if w, ok := reflect.Zero(t).Interface().(wanter); ok {
-		return w.Wanted()
+func describeType(t reflect.Type) string {
+	if w, ok := reflect.Zero(t).Interface().(valueDescriber); ok {
+		return w.DescribeValues()
 	}
 	switch t {
 	case reflect.TypeFor[json.Number]():
@@ -130,7 +130,7 @@
 	return fmt.Sprintf("a %s", t)
 }
 
-// structField is a field of a struct by its name in JSON.
+// structField is the JSON name and the type of a struct field.
 type structField struct {
 	name  string
 	value reflect.Type
--- a/common/jsonc/depth.go
+++ b/common/jsonc/depth.go
@@ -2,9 +2,9 @@
 
 import "bytes"
 
-// tooDeep finds where the nesting goes over MaxDepth. It skips strings and
-// comments, and judges nothing else; the parser does.
-func tooDeep(data []byte) (offset int, deep bool) {
+// exceedsMaxDepth returns the offset at which the nesting exceeds MaxDepth. It skips
+// strings and comments, and leaves all other validation to the parser.
+func exceedsMaxDepth(data []byte) (offset int, deep bool) {
 	depth := 0
 	for i := 0; i < len(data); i++ {
 		switch data[i] {
@@ -47,10 +47,10 @@
 	return start
 }
 
-func endAfter(data []byte, start int, mark string) int {
-	n := bytes.Index(data[start:], []byte(mark))
+func endAfter(data []byte, start int, delimiter string) int {
+	n := bytes.Index(data[start:], []byte(delimiter))
 	if n < 0 {
 		return len(data)
 	}
-	return start + n + len(mark) - 1
+	return start + n + len(delimiter) - 1
 }
--- a/common/jsonc/duration.go
+++ b/common/jsonc/duration.go
@@ -5,13 +5,12 @@
 	"time"
 )
 
-// Duration is a time.Duration written as a string such as "580ms". Files hold
-// durations only where a bound is relative by nature, as a timeout is.
+// Duration is a time.Duration encoded as a string such as "580ms".
 type Duration struct {
 	time.Duration
 }
 
-// UnmarshalJSON reads the string form. It fails on any other JSON type.
+// UnmarshalJSON parses the string form. It fails on any other JSON type.
 func (d *Duration) UnmarshalJSON(data []byte) error {
 	var text string
 	if err := json.Unmarshal(data, &text); err != nil {
@@ -30,7 +29,7 @@
 	return json.Marshal(d.String())
 }
 
-// Wanted says which values a Duration takes.
-func (Duration) Wanted() string {
+// DescribeValues returns examples of valid durations.
+func (Duration) DescribeValues() string {
 	return `a duration such as "580ms" or "2m"`
 }
--- a/common/jsonc/jsonc.go
+++ b/common/jsonc/jsonc.go
@@ -1,6 +1,6 @@
 // Package jsonc decodes JSON with comments into typed values. It is stricter
-// than encoding/json: unknown fields, duplicate fields, nulls and field names
-// in another case are problems, and each problem names its line.
+// than encoding/json: it rejects unknown fields, duplicate fields, nulls and field
+// names in another case, and reports the line of each problem.
 package jsonc
 
 import (
@@ -15,7 +15,7 @@
 // MaxDepth bounds the nesting of objects and arrays, since the parser recurses.
 const MaxDepth = 64
 
-// Kind sorts problems.
+// Kind is the kind of a Problem.
 type Kind int
 
 // The kinds of problems.
@@ -24,13 +24,13 @@
 	KindSyntax Kind = iota + 1
 	// KindUnknown is a field that the type does not have.
 	KindUnknown
-	// KindDuplicate is a field or a name that stands twice.
+	// KindDuplicate is a field or a name that occurs twice.
 	KindDuplicate
-	// KindValue is a value of the wrong type or out of its bounds.
+	// KindValue is a value of the wrong type or out of range.
 	KindValue
 )
 
-// Problem says what is wrong in a file, where, and what would be right.
+// Problem is an error at a line and field of a file, with what was expected there.
 type Problem struct {
 	File string
 	// Line counts from 1.
@@ -41,7 +41,7 @@
 	Kind  Kind
 }
 
-// Error returns the file, the line, the field and what would be right.
+// Error returns the file, the line, the field and what was expected.
 func (p *Problem) Error() string {
 	if p.Field == "" {
 		return fmt.Sprintf("%s:%d: %s", p.File, p.Line, p.Want)
@@ -49,7 +49,7 @@
 	return fmt.Sprintf("%s:%d: field %q: %s", p.File, p.Line, p.Field, p.Want)
 }
 
-// Decode reads data as a T. The name is used in problems only.
+// Decode decodes data into a T. The name is used in problems only.
 func Decode[T any](name string, data []byte) (*T, *Problem) {
 	into := new(T)
 	if problem := DecodeInto(name, data, into); problem != nil {
@@ -58,28 +58,28 @@
 	return into, nil
 }
 
-// DecodeInto reads data into a T that holds defaults; absent fields keep them.
-// After a problem the T is unchanged.
+// DecodeInto decodes data into a T that holds defaults, which absent fields keep.
+// If it returns a problem, the T is unchanged.
 func DecodeInto[T any](name string, data []byte, into *T) *Problem {
 	root, problem := parse(name, data)
 	if problem != nil {
 		return problem
 	}
-	c := checker{
+	c := typeChecker{
 		name: name,
 		data: data,
 	}
-	if problem := c.checkAs(root, into); problem != nil {
+	if problem := c.checkRoot(root, into); problem != nil {
 		return problem
 	}
 	root.Standardize()
 	if err := json.Unmarshal(root.Pack(), into); err != nil {
-		return c.problem(root, "", KindValue, err.Error())
+		return c.newProblem(root, "", KindValue, err.Error())
 	}
 	return nil
 }
 
-// At makes a problem of the value that a JSON pointer names.
+// At returns a problem at the value that a JSON pointer refers to.
 func At(name string, data []byte, pointer string, kind Kind, want string) *Problem {
 	return &Problem{
 		File:  name,
@@ -90,8 +90,8 @@
 	}
 }
 
-// Line returns the line of the value that a JSON pointer names. For an absent
-// value it gives the line of the nearest parent, and 1 when data is no JSON.
+// Line returns the line of the value that a JSON pointer refers to. For an absent
+// value it returns the line of the nearest parent, and 1 if data is invalid.
 func Line(data []byte, pointer string) int {
 	root, problem := parse("", data)
 	if problem != nil {
@@ -114,9 +114,9 @@
 		case isIndex(part):
 			b.WriteString("[" + part + "]")
 		case b.Len() == 0:
-			b.WriteString(unescape(part))
+			b.WriteString(unescapePointer(part))
 		default:
-			b.WriteString("." + unescape(part))
+			b.WriteString("." + unescapePointer(part))
 		}
 	}
 	return b.String()
@@ -126,23 +126,23 @@
 	return part != "" && strings.Trim(part, "0123456789") == ""
 }
 
-// Replacers of a JSON pointer's parts. Making one costs far more than using it.
+// Escaping of reference tokens in JSON pointers (RFC 6901).
 var (
 	pointerEscaper   = strings.NewReplacer("~", "~0", "/", "~1")
 	pointerUnescaper = strings.NewReplacer("~1", "/", "~0", "~")
 )
 
-func escape(name string) string {
+func escapePointer(name string) string {
 	return pointerEscaper.Replace(name)
 }
 
-func unescape(part string) string {
+func unescapePointer(part string) string {
 	return pointerUnescaper.Replace(part)
 }
 
-// parse reads a copy of data, because Standardize writes into what was parsed.
+// parse parses a copy of data, because Standardize overwrites its input.
 func parse(name string, data []byte) (*hujson.Value, *Problem) {
-	if offset, deep := tooDeep(data); deep {
+	if offset, deep := exceedsMaxDepth(data); deep {
 		return nil, &Problem{
 			File: name,
 			Line: lineAt(data, offset),
@@ -157,8 +157,8 @@
 	return &root, nil
 }
 
-// syntaxProblem takes the line out of the parser's message, the only place it
-// is given in.
+// syntaxProblem extracts the line from the parser's message, because its errors
+// have no field for it.
 func syntaxProblem(name string, err error) *Problem {
 	var line, column int
 	text := err.Error()
@@ -181,8 +181,8 @@
 	return 1 + bytes.Count(data[:min(offset, len(data))], []byte("\n"))
 }
 
-// Peek reads the one value that a JSON pointer names, without a look at the
-// rest. It fails when data is no JSON or the value is absent or no T.
+// Peek decodes only the value that a JSON pointer refers to. It fails if data is
+// invalid, or if the value is absent or does not decode into a T.
 func Peek[T any](data []byte, pointer string) (value T, ok bool) {
 	root, problem := parse("", data)
 	if problem != nil {
--- a/common/jsonc/jsonc_test.go
+++ b/common/jsonc/jsonc_test.go
@@ -23,7 +23,7 @@
 	List []float64 `json:"list"`
 }
 
-// problemCase states the whole text of a problem; an empty one means none.
+// problemCase is an input and the text of its problem, which is empty for valid input.
 type problemCase struct {
 	Name    string `json:"name"`
 	Data    string `json:"data"`
@@ -78,8 +78,7 @@
 	assert.Assert(t, problem == nil)
 }
 
-// FuzzDecode checks that nothing makes the reader panic, and that each problem
-// is whole.
+// FuzzDecode guards against panics and incomplete problems.
 func FuzzDecode(f *testing.F) {
 	f.Add([]byte(`{"name": "a", "inner": {"list": [1]}, "wait": "1s"}`))
 	f.Add([]byte("{/*\"*/}//"))
--- a/common/jsonc/verify.go
+++ b/common/jsonc/verify.go
@@ -7,14 +7,14 @@
 	"time"
 )
 
-// Names of VMs, regions, workspaces and the like are made of these characters.
+// Names of VMs, regions and workspaces need no escaping in paths, headers and metrics.
 const (
 	maxNameLength  = 63
 	nameCharacters = "abcdefghijklmnopqrstuvwxyz0123456789-"
 )
 
-// Verifier checks decoded values one by one and keeps the first problem.
-// Pointers are JSON pointers into Data.
+// Verifier validates decoded values and keeps the first problem. Pointers are
+// JSON pointers into Data.
 type Verifier struct {
 	File  string
 	Data  []byte
@@ -26,51 +26,51 @@
 	return v.first
 }
 
-// That reports a value that is not ok; the format says what would be right.
+// That reports a problem unless ok is true; the format describes what was expected.
 func (v *Verifier) That(ok bool, pointer, format string, args ...any) {
-	v.check(ok, pointer, KindValue, format, args...)
+	v.checkKind(ok, pointer, KindValue, format, args...)
 }
 
-func (v *Verifier) check(ok bool, pointer string, kind Kind, format string, args ...any) {
+func (v *Verifier) checkKind(ok bool, pointer string, kind Kind, format string, args ...any) {
 	if ok || v.first != nil {
 		return
 	}
 	v.first = At(v.File, v.Data, pointer, kind, fmt.Sprintf(format, args...))
 }
 
-// Name reports a name that is empty, too long or has other characters than
-// lower-case letters, digits and hyphens.
+// Name reports a name that is empty, too long or contains a character other than
+// a lower-case letter, a digit or a hyphen.
 func (v *Verifier) Name(pointer, name string) {
 	ok := name != "" && len(name) <= maxNameLength && strings.Trim(name, nameCharacters) == ""
 	v.That(ok, pointer, "a name of 1 to %d characters from a-z, 0-9 and -", maxNameLength)
 }
 
-// OneOf reports a value that is not among values.
+// OneOf reports a value that is not in values.
 func (v *Verifier) OneOf(pointer, value string, values []string) {
 	v.That(slices.Contains(values, value), pointer, "one of %s", strings.Join(values, ", "))
 }
 
-// Whole reports a whole number outside its bounds.
+// Whole reports an integer that is out of range.
 func (v *Verifier) Whole(pointer string, value, low, high int) {
 	v.That(value >= low && value <= high, pointer, "a whole number from %d to %d", low, high)
 }
 
-// Number reports a number outside its bounds.
+// Number reports a number that is out of range.
 func (v *Verifier) Number(pointer string, value, low, high float64) {
 	v.That(value >= low && value <= high, pointer, "a number from %g to %g", low, high)
 }
 
-// Duration reports a duration outside its bounds.
+// Duration reports a duration that is out of range.
 func (v *Verifier) Duration(pointer string, value Duration, low, high time.Duration) {
 	ok := value.Duration >= low && value.Duration <= high
 	v.That(ok, pointer, "a duration from %s to %s", low, high)
 }
 
-// Names is a set of names, each of which may stand once.
+// Names is the set of names that occurred in a document.
 type Names map[string]bool
 
-// Once reports a name that is in seen already, and adds it.
+// Once reports a duplicate name, and adds the name to seen.
 func (v *Verifier) Once(seen Names, pointer, name string) {
-	v.check(!seen[name], pointer, KindDuplicate, "each name once; %q stands twice", name)
+	v.checkKind(!seen[name], pointer, KindDuplicate, "each name once; %q stands twice", name)
 	seen[name] = true
 }
--- a/common/listen/listen.go
+++ b/common/listen/listen.go
@@ -1,5 +1,5 @@
-// Package listen bounds the connections that a listener holds open, in all
-// and from one address.
+// Package listen provides listeners that limit open connections, in total and per
+// client address, and that stop accepting before they are closed.
 package listen
 
 import (
@@ -7,38 +7,38 @@
 	"sync"
 )
 
-// Options set up a Listener.
+// Options configures a Listener.
 type Options struct {
-	// Max and MaxPerAddress bound the open connections; both are at least 1.
+	// Max and MaxPerAddress limit the open connections; both are at least 1.
 	Max           int
 	MaxPerAddress int
-	// Refused is told of each connection closed over a bound; nil means nobody is.
+	// Refused is called for each connection closed over a limit; it may be nil.
 	Refused func()
 }
 
-// Listener closes connections over its bounds right after it accepts them.
+// Listener closes connections over its limits right after it accepts them.
 type Listener struct {
 	net.Listener
 
-	options Options
-	mu      sync.Mutex
-	open    int
-	byHost  map[string]int
+	options    Options
+	mu         sync.Mutex
+	openConns  int
+	openByHost map[string]int
 }
 
-// New bounds a listener.
+// New returns a Listener that accepts from ln.
 func New(ln net.Listener, o Options) *Listener {
 	if o.Refused == nil {
 		o.Refused = func() {}
 	}
 	return &Listener{
-		Listener: ln,
-		options:  o,
-		byHost:   make(map[string]int),
+		Listener:   ln,
+		options:    o,
+		openByHost: make(map[string]int),
 	}
 }
 
-// Accept returns the next connection within the bounds.
+// Accept returns the next connection within the limits.
 func (l *Listener) Accept() (net.Conn, error) {
 	for {
 		conn, err := l.Listener.Accept()
@@ -46,10 +46,10 @@
 			return nil, err
 		}
 		host := hostOf(conn)
-		if l.enter(host) {
-			return &boundConn{
-				Conn:  conn,
-				leave: sync.OnceFunc(func() { l.leave(host) }),
+		if l.acquire(host) {
+			return &limitedConn{
+				Conn:    conn,
+				release: sync.OnceFunc(func() { l.release(host) }),
 			}, nil
 		}
 		_ = conn.Close()
@@ -65,39 +65,39 @@
 	return host
 }
 
-func (l *Listener) enter(host string) bool {
+func (l *Listener) acquire(host string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.open >= l.options.Max || l.byHost[host] >= l.options.MaxPerAddress {
+	if l.openConns >= l.options.Max || l.openByHost[host] >= l.options.MaxPerAddress {
 		return false
 	}
-	l.open++
-	l.byHost[host]++
+	l.openConns++
+	l.openByHost[host]++
 	return true
 }
 
-func (l *Listener) leave(host string) {
+func (l *Listener) release(host string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.open--
-	l.byHost[host]--
-	if l.byHost[host] == 0 {
-		delete(l.byHost, host)
+	l.openConns--
+	l.openByHost[host]--
+	if l.openByHost[host] == 0 {
+		delete(l.openByHost, host)
 	}
 }
 
-type boundConn struct {
+type limitedConn struct {
 	net.Conn
-	leave func()
+	release func()
 }
 
-// NetConn returns the connection without its place.
-func (c *boundConn) NetConn() net.Conn {
+// NetConn returns the underlying connection.
+func (c *limitedConn) NetConn() net.Conn {
 	return c.Conn
 }
 
-// Close closes the connection and frees its place.
-func (c *boundConn) Close() error {
-	c.leave()
+// Close closes the connection and stops counting it towards the limits.
+func (c *limitedConn) Close() error {
+	c.release()
 	return c.Conn.Close()
 }
--- a/common/listen/listen_test.go
+++ b/common/listen/listen_test.go
@@ -8,9 +8,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestBounds opens connections up to the bound of one address, checks that the
-// next is closed at once, and that a closed one frees its place.
-func TestBounds(t *testing.T) {
+// TestConnectionLimits checks that connections over a limit are closed, and that closing
+// a connection makes room for one other.
+func TestConnectionLimits(t *testing.T) {
 	inner, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	refused := make(chan struct{}, 1)
@@ -44,7 +44,7 @@
 	_, err = over.Read(make([]byte, 1))
 	assert.ErrorIs(t, err, io.EOF)
 	assert.NilError(t, first.Close())
-	_ = first.Close() // A second close frees no second place.
+	_ = first.Close() // A second close must not release twice.
 	dial()
 	<-accepted
 	dial()
--- a/common/listen/stopping.go
+++ b/common/listen/stopping.go
@@ -5,21 +5,19 @@
 	"sync"
 )
 
-// Stopping is a listener that can stop to take connections before it is closed.
-// A server over it goes on with those that it has. http.Server.Shutdown alone
-// drops a request that it reads after its call: of new connections of the last
-// instant before it, requests ended without an answer in 7 of 24 plays of a day
-// with a planned stop.
+// Stopping is a listener that can stop accepting connections while its server keeps
+// serving the open ones. http.Server.Shutdown alone drops requests that it reads after
+// the call, such as the first request of a connection that was just accepted.
 type Stopping struct {
 	net.Listener
 
-	stop    sync.Once
-	stopped chan struct{}
-	end     sync.Once
-	closed  chan struct{}
+	stopOnce  sync.Once
+	stopped   chan struct{}
+	closeOnce sync.Once
+	closed    chan struct{}
 }
 
-// NewStopping makes one that takes connections.
+// NewStopping returns a Stopping that accepts from ln.
 func NewStopping(ln net.Listener) *Stopping {
 	return &Stopping{
 		Listener: ln,
@@ -28,7 +26,7 @@
 	}
 }
 
-// Accept returns the next connection. After Stop it waits for Close.
+// Accept returns the next connection. After Stop it blocks until Close.
 func (l *Stopping) Accept() (net.Conn, error) {
 	conn, err := l.Listener.Accept()
 	if err == nil {
@@ -42,19 +40,19 @@
 	return nil, err
 }
 
-// Stop takes no more connections.
+// Stop stops accepting connections.
 func (l *Stopping) Stop() error {
 	var err error
-	l.stop.Do(func() {
+	l.stopOnce.Do(func() {
 		close(l.stopped)
 		err = l.Listener.Close()
 	})
 	return err
 }
 
-// Close ends the listener for good.
+// Close stops the listener and unblocks Accept.
 func (l *Stopping) Close() error {
 	err := l.Stop()
-	l.end.Do(func() { close(l.closed) })
+	l.closeOnce.Do(func() { close(l.closed) })
 	return err
 }
--- a/common/listen/stopping_test.go
+++ b/common/listen/stopping_test.go
@@ -10,9 +10,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestStopping sends half of a request, stops the listener, and sends the rest:
-// it is answered, no other connection is taken, and the server ends when it is
-// shut down.
+// TestStopping guards against dropping a request that is half received when the
+// listener stops.
 func TestStopping(t *testing.T) {
 	inner, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
--- a/common/mailbox/mailbox.go
+++ b/common/mailbox/mailbox.go
@@ -1,26 +1,26 @@
-// Package mailbox passes messages to the one goroutine that owns some state.
+// Package mailbox sends messages to the goroutine that owns some state.
 package mailbox
 
 import "context"
 
-// Mailbox holds messages until the owner takes them.
+// Mailbox queues messages until the owner receives them.
 type Mailbox[M any] struct {
 	messages chan M
 }
 
-// New makes a mailbox in which so many messages may wait.
-func New[M any](length int) Mailbox[M] {
+// New returns a mailbox that queues up to capacity messages.
+func New[M any](capacity int) Mailbox[M] {
 	return Mailbox[M]{
-		messages: make(chan M, length),
+		messages: make(chan M, capacity),
 	}
 }
 
-// Messages is where the owner takes them from.
+// Messages returns the channel from which the owner receives.
 func (m Mailbox[M]) Messages() <-chan M {
 	return m.messages
 }
 
-// Send passes a message; it is lost, and false given, when ctx ends first.
+// Send queues a message, and returns false without queueing it if ctx ends first.
 func (m Mailbox[M]) Send(ctx context.Context, message M) bool {
 	select {
 	case m.messages <- message:
@@ -30,7 +30,7 @@
 	}
 }
 
-// Offer passes a message if there is room; it never waits.
+// Offer queues a message if there is room. It never blocks.
 func (m Mailbox[M]) Offer(message M) bool {
 	select {
 	case m.messages <- message:
@@ -40,12 +40,12 @@
 	}
 }
 
-// Ask passes a question and waits for its answer, which the owner sends on the
-// reply. The error is that of ctx.
-func Ask[T, M any](ctx context.Context, m Mailbox[M], question func(reply chan<- T) M) (T, error) {
+// Ask sends a request message and waits for the owner's reply. It returns ctx.Err()
+// if ctx ends first.
+func Ask[T, M any](ctx context.Context, m Mailbox[M], newMessage func(reply chan<- T) M) (T, error) {
 	var zero T
 	reply := make(chan T, 1)
-	if !m.Send(ctx, question(reply)) {
+	if !m.Send(ctx, newMessage(reply)) {
 		return zero, ctx.Err()
 	}
 	select {
--- a/common/moment/moment.go
+++ b/common/moment/moment.go
@@ -3,7 +3,7 @@
 
 import "time"
 
-// Later returns the later of two moments.
+// Later returns the later of two times.
 func Later(a, b time.Time) time.Time {
 	if a.After(b) {
 		return a
--- a/common/tcp/tcp.go
+++ b/common/tcp/tcp.go
@@ -1,7 +1,7 @@
-// Package tcp opens connections that notice by themselves when the other side
-// falls silent. A connection that a cut swallowed is never reset: without a
-// time-out of its own, what was written to it waits in the kernel and may reach
-// the other side many seconds later, when nobody wants it any more.
+// Package tcp opens TCP connections that fail soon after the peer becomes
+// unreachable. In a network partition a connection is not reset: without these
+// timeouts the kernel retransmits, and a request may reach the peer long after its
+// deadline.
 package tcp
 
 import (
@@ -11,38 +11,35 @@
 )
 
 const (
-	// unackedWithin is how long sent bytes may stay unacknowledged: several trips
-	// there and back between regions, with two lost packets in a row (retransmitted
-	// after some 0.3 and 0.6 s). Of six seconds of a cut between all regions, 7 to 10
-	// calls reached engines after their callers had left without it, in three plays
-	// of four.
-	unackedWithin = time.Second
-	// probeAfter is how long a connection may be idle before it is probed, and
-	// probeEvery and probes how often until it counts as lost.
-	probeAfter = time.Second
-	probeEvery = 500 * time.Millisecond
-	probes     = 2
+	// userTimeout is how long sent data may stay unacknowledged. It allows for two
+	// lost packets in a row between regions.
+	userTimeout = time.Second
+	// keepAliveIdle is how long a connection may be idle before the first probe.
+	keepAliveIdle     = time.Second
+	keepAliveInterval = 500 * time.Millisecond
+	keepAliveProbes   = 2
 )
 
-// Dialer returns a dialer whose connections are lost after some 2 s of silence.
-func Dialer(within time.Duration) *net.Dialer {
+// Dialer returns a dialer whose connections fail after 2 s without a response from
+// the peer.
+func Dialer(dialTimeout time.Duration) *net.Dialer {
 	return &net.Dialer{
-		Timeout:         within,
-		KeepAliveConfig: keepAlive(),
+		Timeout:         dialTimeout,
+		KeepAliveConfig: keepAliveConfig(),
 		Control:         control,
 	}
 }
 
-// Listen listens for connections that are lost in the same way.
+// Listen returns a listener whose connections have the timeouts of Dialer.
 func Listen(ctx context.Context, addr string) (net.Listener, error) {
 	config := net.ListenConfig{
-		KeepAliveConfig: keepAlive(),
+		KeepAliveConfig: keepAliveConfig(),
 		Control:         control,
 	}
 	return config.Listen(ctx, "tcp", addr)
 }
 
-// Reach opens a connection to an address and closes it.
+// Reach checks that an address accepts connections.
 func Reach(ctx context.Context, addr string) error {
 	conn, err := new(net.Dialer).DialContext(ctx, "tcp", addr)
 	if err != nil {
@@ -51,11 +48,11 @@
 	return conn.Close()
 }
 
-func keepAlive() net.KeepAliveConfig {
+func keepAliveConfig() net.KeepAliveConfig {
 	return net.KeepAliveConfig{
 		Enable:   true,
-		Idle:     probeAfter,
-		Interval: probeEvery,
-		Count:    probes,
+		Idle:     keepAliveIdle,
+		Interval: keepAliveInterval,
+		Count:    keepAliveProbes,
 	}
 }
--- a/common/tcp/tcp_test.go
+++ b/common/tcp/tcp_test.go
@@ -10,8 +10,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestOptions reads back what both sides of a connection are set to.
-func TestOptions(t *testing.T) {
+// TestSocketOptions checks the timeouts of dialed and accepted connections.
+func TestSocketOptions(t *testing.T) {
 	ln, err := Listen(t.Context(), "127.0.0.1:0")
 	assert.NilError(t, err)
 	defer func() { _ = ln.Close() }()
@@ -25,14 +25,14 @@
 	dialed, err := Dialer(time.Minute).DialContext(t.Context(), "tcp", ln.Addr().String())
 	assert.NilError(t, err)
 	for _, conn := range []net.Conn{dialed, <-accepted} {
-		assert.Equal(t, option(t, conn, unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT), int(unackedWithin.Milliseconds()))
-		assert.Equal(t, option(t, conn, unix.SOL_SOCKET, unix.SO_KEEPALIVE), 1)
-		assert.Equal(t, option(t, conn, unix.IPPROTO_TCP, unix.TCP_KEEPCNT), probes)
+		assert.Equal(t, socketOption(t, conn, unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT), int(userTimeout.Milliseconds()))
+		assert.Equal(t, socketOption(t, conn, unix.SOL_SOCKET, unix.SO_KEEPALIVE), 1)
+		assert.Equal(t, socketOption(t, conn, unix.IPPROTO_TCP, unix.TCP_KEEPCNT), keepAliveProbes)
 		assert.NilError(t, conn.Close())
 	}
 }
 
-func option(t *testing.T, conn net.Conn, level, name int) int {
+func socketOption(t *testing.T, conn net.Conn, level, name int) int {
 	raw, err := conn.(syscall.Conn).SyscallConn()
 	assert.NilError(t, err)
 	value := 0
--- a/common/tcp/unacked_other.go
+++ b/common/tcp/user_timeout_other.go
@@ -4,8 +4,8 @@
 
 import "syscall"
 
-// control does nothing where the system has no such bound: probes alone show
-// then that the other side is silent.
+// control does nothing: without TCP_USER_TIMEOUT, only keep-alive probes detect an
+// unreachable peer.
 func control(_, _ string, _ syscall.RawConn) error {
 	return nil
 }
--- a/common/worker/worker.go
+++ b/common/worker/worker.go
@@ -1,4 +1,4 @@
-// Package worker adds goroutines to run groups that stop together.
+// Package worker adds goroutines with a shared lifetime to run groups.
 package worker
 
 import (
@@ -10,7 +10,7 @@
 	"github.com/oklog/run"
 )
 
-// Add adds a goroutine that runs until the group stops.
+// Add adds a goroutine whose context is cancelled when the group stops.
 func Add(group *run.Group, work func(ctx context.Context) error) {
 	ctx, cancel := context.WithCancel(context.Background())
 	group.Add(func() error {
@@ -20,12 +20,12 @@
 	})
 }
 
-// AddStop adds the goroutine whose end stops the group: once ctx ends it calls
-// stop and then closes gone. gone is closed too when the group ends by itself.
-func AddStop(ctx context.Context, group *run.Group, gone chan<- struct{}, stop func()) {
+// AddStop adds a goroutine that calls stop when ctx ends, and then ends the group.
+// It closes stopped afterwards, also if the group ends for another reason.
+func AddStop(ctx context.Context, group *run.Group, stopped chan<- struct{}, stop func()) {
 	aborted, abort := context.WithCancel(context.Background())
 	group.Add(func() error {
-		defer close(gone)
+		defer close(stopped)
 		select {
 		case <-ctx.Done():
 			stop()
@@ -37,13 +37,13 @@
 	})
 }
 
-// AddHTTP adds a server that listens already. One that is shut down in a planned
-// stop ends only when gone is closed, so that the group goes on until then.
-func AddHTTP(group *run.Group, gone <-chan struct{}, serve, closeAll func() error) {
+// AddHTTP adds an HTTP server. After a graceful shutdown it waits until stopped is
+// closed, so that the server does not end the group before then.
+func AddHTTP(group *run.Group, stopped <-chan struct{}, serve, closeAll func() error) {
 	group.Add(func() error {
 		err := serve()
 		if errors.Is(err, http.ErrServerClosed) {
-			<-gone
+			<-stopped
 			return nil
 		}
 		return err
@@ -52,7 +52,7 @@
 	})
 }
 
-// SleepUntil waits for a moment or the end of ctx.
+// SleepUntil blocks until a time, or until ctx ends.
 func SleepUntil(ctx context.Context, now, at time.Time) {
 	timer := time.NewTimer(at.Sub(now))
 	defer timer.Stop()
