--- a/replay/replay.go
+++ b/replay/replay.go
@@ -12,65 +12,65 @@
 	"github.com/fuchsianotch/fuchsianotch/result"
 )
 
-// Options set up a Replay.
+// Options configures a Replay.
 type Options struct {
 	HTTP *http.Client
-	// VMs are "ip:port" of caller fronts.
+	// VMs are the addresses of caller listeners, "ip:port".
 	VMs []string
-	// Endpoints are "ip:port" of stand-ins that count runs.
+	// Endpoints are the addresses of test endpoints that count runs, "ip:port".
 	Endpoints []string
-	// Keys admit the trace's workspaces.
+	// Keys authenticate the workspaces of the trace.
 	Keys []Key
-	// Speed divides the waits between steps; 1 keeps those of the recording.
+	// Speed divides the intervals between steps; 1 keeps those of the recording.
 	Speed float64
 	Now   func() time.Time
-	// Wait returns at a time, or earlier when the context ends.
+	// Wait blocks until a time, or until ctx ends.
 	Wait func(ctx context.Context, until time.Time)
 }
 
-// Key is a caller's key.
+// Key is a workspace's API key.
 type Key struct {
 	Workspace string
 	Secret    string
 }
 
-// Mismatch is one statement of the trace that did not hold.
+// Mismatch is an expectation of the trace that was not met.
 type Mismatch struct {
 	Line int    `json:"line"`
 	Want string `json:"want"`
 	Got  string `json:"got"`
 }
 
-// Report is what a replay found.
+// Report is the result of a replay.
 type Report struct {
 	Steps      int        `json:"steps"`
 	Mismatches []Mismatch `json:"mismatches"`
-	// Unanswered counts steps that no VM answered; they are mismatches too.
+	// Unanswered counts steps without a valid response; they are mismatches too.
 	Unanswered int `json:"unanswered"`
 }
 
-// Outcome is what one step came to.
+// Outcome is the response to one step.
 type Outcome struct {
 	Code result.Code
 	Body []byte
-	// Err is set when no answer came.
+	// Err is set if there was no valid response.
 	Err error
 }
 
-// Replay sends one trace.
+// Replay sends the steps of one trace.
 type Replay struct {
 	options Options
-	tickets tickets
+	tickets ticketCache
 }
 
-// New makes a replay.
+// New returns a replay that has sent nothing yet.
 func New(o Options) *Replay {
 	return &Replay{
 		options: o,
 	}
 }
 
-// Run sends every step at its time, waits for all answers, and then counts runs.
+// Run sends each step at its time, waits for all responses, and then checks the runs.
 func (r *Replay) Run(ctx context.Context, steps []Step) Report {
 	outcomes := r.sendAll(ctx, steps)
 	report := Report{
@@ -81,7 +81,7 @@
 		if o.Err != nil {
 			report.Unanswered++
 		}
-		report.add(compare(steps[i], o))
+		report.add(compareOutcome(steps[i], o))
 	}
 	report.Mismatches = append(report.Mismatches, r.compareRuns(ctx, steps)...)
 	slices.SortStableFunc(report.Mismatches, func(a, b Mismatch) int { return cmp.Compare(a.Line, b.Line) })
@@ -96,28 +96,28 @@
 
 func (r *Replay) sendAll(ctx context.Context, steps []Step) []Outcome {
 	outcomes := make([]Outcome, len(steps))
-	clock := shift{
-		recorded: earliest(steps),
-		started:  r.options.Now(),
-		speed:    r.options.Speed,
+	times := timeMap{
+		recordingStart: earliestTime(steps),
+		replayStart:    r.options.Now(),
+		speed:          r.options.Speed,
 	}
 	var group sync.WaitGroup
 	for i, step := range steps {
 		group.Go(func() {
-			r.options.Wait(ctx, clock.move(step.At))
-			outcomes[i] = r.send(ctx, step, r.vmOf(i, step), clock)
+			r.options.Wait(ctx, times.replayTime(step.At))
+			outcomes[i] = r.send(ctx, step, r.vmFor(i, step), times)
 		})
 	}
 	group.Wait()
 	return outcomes
 }
 
-func earliest(steps []Step) time.Time {
+func earliestTime(steps []Step) time.Time {
 	first := slices.MinFunc(steps, func(a, b Step) int { return a.At.Compare(b.At) })
 	return first.At
 }
 
-func (r *Replay) vmOf(i int, step Step) string {
+func (r *Replay) vmFor(i int, step Step) string {
 	n := i
 	if step.Call.VM > 0 {
 		n = step.Call.VM - 1
@@ -125,38 +125,38 @@
 	return r.options.VMs[n%len(r.options.VMs)]
 }
 
-// shift moves times of a recording to those of its replay.
-type shift struct {
-	recorded time.Time
-	started  time.Time
-	speed    float64
+// timeMap converts times of a recording to times of its replay.
+type timeMap struct {
+	recordingStart time.Time
+	replayStart    time.Time
+	speed          float64
 }
 
-func (s shift) move(at time.Time) time.Time {
-	since := float64(at.Sub(s.recorded)) / s.speed
-	return s.started.Add(time.Duration(since))
+func (m timeMap) replayTime(at time.Time) time.Time {
+	elapsed := float64(at.Sub(m.recordingStart)) / m.speed
+	return m.replayStart.Add(time.Duration(elapsed))
 }
 
-// deadline moves a deadline. The time a call may take is that of the recording
-// at any speed.
-func (s shift) deadline(step Step) time.Time {
-	return s.move(step.At).Add(step.Call.Deadline.Sub(step.At))
+// replayDeadline converts a step's deadline. The time from the call to its deadline does
+// not depend on the speed.
+func (m timeMap) replayDeadline(step Step) time.Time {
+	return m.replayTime(step.At).Add(step.Call.Deadline.Sub(step.At))
 }
 
-func compare(step Step, o Outcome) *Mismatch {
+func compareOutcome(step Step, o Outcome) *Mismatch {
 	want := step.Expect
 	switch {
 	case o.Err != nil:
-		return mismatch(step, want.text(), "no answer: "+o.Err.Error())
+		return newMismatch(step, want.describe(), "error: "+o.Err.Error())
 	case want.Code != 0 && o.Code != want.Code, want.Class != "" && o.Code.Class() != want.Class:
-		return mismatch(step, want.text(), fmt.Sprintf("code %d %s of class %s", o.Code, o.Code, o.Code.Class()))
+		return newMismatch(step, want.describe(), fmt.Sprintf("code %d %s of class %s", o.Code, o.Code, o.Code.Class()))
 	case !containsText(o.Body, want.Contains):
-		return mismatch(step, fmt.Sprintf("a body with %q", want.Contains), fmt.Sprintf("%d bytes without it", len(o.Body)))
+		return newMismatch(step, fmt.Sprintf("a body with %q", want.Contains), fmt.Sprintf("%d bytes without it", len(o.Body)))
 	}
 	return nil
 }
 
-func mismatch(step Step, want, got string) *Mismatch {
+func newMismatch(step Step, want, got string) *Mismatch {
 	return &Mismatch{
 		Line: step.Line,
 		Want: want,
@@ -164,7 +164,7 @@
 	}
 }
 
-func (e Expect) text() string {
+func (e Expect) describe() string {
 	if e.Code != 0 {
 		return fmt.Sprintf("code %d %s", e.Code, e.Code)
 	}
--- a/replay/replay_test.go
+++ b/replay/replay_test.go
@@ -17,28 +17,28 @@
 	"github.com/fuchsianotch/fuchsianotch/common/datatest"
 )
 
-// answerCase is one answer of a VM, the outcome stated, and what is reported
-// instead; an empty text means that the statement holds.
-type answerCase struct {
+// outcomeCase is a VM's response, the expected outcome and the reported one; an
+// empty Got means that the expectation is met.
+type outcomeCase struct {
 	Name   string `json:"name"`
 	Result string `json:"result"`
 	Body   string `json:"body"`
 	Stream bool   `json:"stream"`
-	// Missing is the number of bytes announced and not sent.
+	// Missing is the number of bytes by which the body is shorter than Content-Length.
 	Missing int    `json:"missing"`
 	Expect  Expect `json:"expect"`
 	Got     string `json:"got"`
 }
 
-// refusedCase changes one place of goodStep and states the problem.
-type refusedCase struct {
+// invalidStepCase replaces Old by New in validStep and has the prefix of the problem.
+type invalidStepCase struct {
 	Name    string `json:"name"`
 	Old     string `json:"old"`
 	New     string `json:"new"`
 	Problem string `json:"problem"`
 }
 
-const goodStep = `{"at": "2030-01-01T00:00:00Z", "call": {"workspace": "club", "method": "GET", "path": "/v1/x"}, "expect": {"code": 1000}}`
+const validStep = `{"at": "2030-01-01T00:00:00Z", "call": {"workspace": "club", "method": "GET", "path": "/v1/x"}, "expect": {"code": 1000}}`
 
 func readTable[T any](t *testing.T, path string) []T {
 	t.Helper()
@@ -46,11 +46,11 @@
 	return rows
 }
 
-func TestReadRefuses(t *testing.T) {
-	for _, c := range readTable[refusedCase](t, "testdata/refused.json") {
+func TestReadInvalid(t *testing.T) {
+	for _, c := range readTable[invalidStepCase](t, "testdata/refused.json") {
 		t.Run(c.Name, func(t *testing.T) {
-			assert.Equal(t, strings.Count(goodStep, c.Old), 1)
-			_, problem := Read("trace", []byte(goodStep+"\n// next\n"+strings.Replace(goodStep, c.Old, c.New, 1)))
+			assert.Equal(t, strings.Count(validStep, c.Old), 1)
+			_, problem := Read("trace", []byte(validStep+"\n// next\n"+strings.Replace(validStep, c.Old, c.New, 1)))
 			assert.Assert(t, problem != nil)
 			assert.Assert(t, strings.HasPrefix(problem.Error(), "trace:3: "+c.Problem), problem.Error())
 		})
@@ -80,7 +80,7 @@
 func noWait(context.Context, time.Time) {}
 
 func TestOutcomes(t *testing.T) {
-	for _, c := range readTable[answerCase](t, "testdata/answers.json") {
+	for _, c := range readTable[outcomeCase](t, "testdata/answers.json") {
 		t.Run(c.Name, func(t *testing.T) {
 			server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 				if c.Result != "" {
@@ -93,7 +93,7 @@
 				_, _ = w.Write([]byte(c.Body))
 			}))
 			defer server.Close()
-			steps, problem := Read("trace", []byte(goodStep))
+			steps, problem := Read("trace", []byte(validStep))
 			assert.Assert(t, problem == nil, "%v", problem)
 			steps[0].Expect = c.Expect
 			report := newReplay(server, noWait).Run(t.Context(), steps)
@@ -102,14 +102,14 @@
 				got = m.Got
 			}
 			assert.Equal(t, got, c.Got)
-			assert.Equal(t, report.Unanswered == 1, strings.HasPrefix(c.Got, "no answer"))
+			assert.Equal(t, report.Unanswered == 1, strings.HasPrefix(c.Got, "error: "))
 		})
 	}
 }
 
-// TestTicketsAndTimes checks that one ticket is asked for by name however many
-// calls name it at once, that times move and runs add up.
-func TestTicketsAndTimes(t *testing.T) {
+// TestTicketReuseAndTimeShift guards against a second request for the same ticket, wrong
+// replay times and deadlines, and miscounted runs.
+func TestTicketReuseAndTimeShift(t *testing.T) {
 	var mu sync.Mutex
 	var asked int
 	var tickets, deadlines []string
@@ -145,7 +145,7 @@
 	start := time.Unix(1000, 0)
 	for _, at := range []time.Time{start, start.Add(100 * time.Millisecond)} {
 		assert.Assert(t, slices.ContainsFunc(waits, at.Equal), "%v", waits)
-		assert.Assert(t, slices.ContainsFunc(parsed(t, deadlines), at.Add(2*time.Second).Equal), "%v", deadlines)
+		assert.Assert(t, slices.ContainsFunc(parseTimes(t, deadlines), at.Add(2*time.Second).Equal), "%v", deadlines)
 	}
 	assert.DeepEqual(t, report.Mismatches, []Mismatch{
 		{
@@ -156,7 +156,7 @@
 	})
 }
 
-func parsed(t *testing.T, texts []string) []time.Time {
+func parseTimes(t *testing.T, texts []string) []time.Time {
 	t.Helper()
 	var times []time.Time
 	for _, text := range texts {
--- a/replay/send.go
+++ b/replay/send.go
@@ -16,28 +16,28 @@
 	"github.com/fuchsianotch/fuchsianotch/result"
 )
 
-// The published protocol of the caller front. It stands here a second time on
-// purpose: a replay shows when the server departs from it.
+// The published caller API. It is duplicated here so that a replay detects a server
+// that departs from it.
 const (
-	pathTickets    = "/v1/tickets"
-	headerResult   = "Fuchsianotch-Result"
-	headerTicket   = "Fuchsianotch-Ticket"
-	headerDeadline = "Fuchsianotch-Deadline"
-	headerPriority = "Fuchsianotch-Priority"
-	headerKey      = "Idempotency-Key"
-	eventStream    = "text/event-stream"
+	pathTickets          = "/v1/tickets"
+	headerResult         = "Fuchsianotch-Result"
+	headerTicket         = "Fuchsianotch-Ticket"
+	headerDeadline       = "Fuchsianotch-Deadline"
+	headerPriority       = "Fuchsianotch-Priority"
+	headerIdempotencyKey = "Idempotency-Key"
+	eventStream          = "text/event-stream"
 )
 
-// maxBodyBytes bounds what is kept of one answer.
+// maxBodyBytes limits how much of a response body is read.
 const maxBodyBytes = 64 << 20
 
-// ticketBody is the part of an answer to a request for a ticket that is used.
-type ticketBody struct {
+// ticketResponse is the part of a response that holds a ticket.
+type ticketResponse struct {
 	Ticket string `json:"ticket"`
 }
 
-// errorBody is the part of an error that is used.
-type errorBody struct {
+// errorResponse is the part of an error response that holds its code.
+type errorResponse struct {
 	Error errorCode `json:"error"`
 }
 
@@ -45,9 +45,9 @@
 	Code result.Code `json:"code"`
 }
 
-// send makes one call and reads its whole answer.
-func (r *Replay) send(ctx context.Context, step Step, vm string, clock shift) Outcome {
-	request, err := r.request(ctx, step, vm, clock)
+// send makes one call and reads the complete response.
+func (r *Replay) send(ctx context.Context, step Step, vm string, times timeMap) Outcome {
+	request, err := r.newCallRequest(ctx, step, vm, times)
 	if err != nil {
 		return Outcome{
 			Err: err,
@@ -63,29 +63,29 @@
 	body, err := io.ReadAll(io.LimitReader(response.Body, maxBodyBytes))
 	if err != nil {
 		return Outcome{
-			Err: merry.Prepend(err, "the answer broke off"),
+			Err: merry.Prepend(err, "reading response body"),
 		}
 	}
-	return outcomeOf(response, body)
+	return parseOutcome(response, body)
 }
 
-func (r *Replay) request(ctx context.Context, step Step, vm string, clock shift) (*http.Request, error) {
+func (r *Replay) newCallRequest(ctx context.Context, step Step, vm string, times timeMap) (*http.Request, error) {
 	c := step.Call
 	request, err := r.newRequest(ctx, c.Method, vm, c.Path, c.Workspace, c.Body)
 	if err != nil {
 		return nil, err
 	}
-	setHeader(request, headerPriority, c.Priority)
-	setHeader(request, headerKey, c.IdempotencyKey)
+	setOptionalHeader(request, headerPriority, c.Priority)
+	setOptionalHeader(request, headerIdempotencyKey, c.IdempotencyKey)
 	if !c.Deadline.IsZero() {
-		setHeader(request, headerDeadline, clock.deadline(step).Format(time.RFC3339Nano))
+		setOptionalHeader(request, headerDeadline, times.replayDeadline(step).Format(time.RFC3339Nano))
 	}
 	if c.Ticket != "" {
-		ticket, err := r.tickets.take(c.Workspace+"."+c.Ticket, func() (string, error) { return r.askTicket(ctx, vm, c.Workspace) })
+		ticket, err := r.tickets.get(c.Workspace+"."+c.Ticket, func() (string, error) { return r.requestTicket(ctx, vm, c.Workspace) })
 		if err != nil {
 			return nil, err
 		}
-		setHeader(request, headerTicket, ticket)
+		setOptionalHeader(request, headerTicket, ticket)
 	}
 	return request, nil
 }
@@ -97,7 +97,7 @@
 	}
 	i := slices.IndexFunc(r.options.Keys, func(k Key) bool { return k.Workspace == workspace })
 	if i < 0 {
-		return nil, merry.Errorf("no key of workspace %s is given", workspace)
+		return nil, merry.Errorf("no key is configured for workspace %s", workspace)
 	}
 	request.Header.Set("Authorization", "Bearer "+workspace+"."+r.options.Keys[i].Secret)
 	if len(body) > 0 {
@@ -106,13 +106,13 @@
 	return request, nil
 }
 
-func setHeader(request *http.Request, name, value string) {
+func setOptionalHeader(request *http.Request, name, value string) {
 	if value != "" {
 		request.Header.Set(name, value)
 	}
 }
 
-func (r *Replay) askTicket(ctx context.Context, vm, workspace string) (string, error) {
+func (r *Replay) requestTicket(ctx context.Context, vm, workspace string) (string, error) {
 	request, err := r.newRequest(ctx, http.MethodPost, vm, pathTickets, workspace, nil)
 	if err != nil {
 		return "", err
@@ -123,20 +123,20 @@
 	}
 	defer func() { _ = response.Body.Close() }()
 	if response.StatusCode != http.StatusOK {
-		return "", merry.Errorf("no ticket: %s", response.Status)
+		return "", merry.Errorf("requesting a ticket: unexpected status %s", response.Status)
 	}
-	var body ticketBody
+	var body ticketResponse
 	err = json.NewDecoder(response.Body).Decode(&body)
 	return body.Ticket, merry.Wrap(err)
 }
 
-// outcomeOf reads the code from the header. A stream that ends with an error
-// event has the event's code, and one without an end is cut.
-func outcomeOf(response *http.Response, body []byte) Outcome {
+// parseOutcome reads the result code from the header. For a stream that ends with an
+// error event it is the event's code, and for a truncated one it is EndpointCut.
+func parseOutcome(response *http.Response, body []byte) Outcome {
 	code, err := strconv.Atoi(response.Header.Get(headerResult))
 	if err != nil {
 		return Outcome{
-			Err: merry.Errorf("no %s header in an answer of %s", headerResult, response.Status),
+			Err: merry.Errorf("response %s has no %s header", response.Status, headerResult),
 		}
 	}
 	o := Outcome{
@@ -153,7 +153,7 @@
 	_, data, found := bytes.Cut(body, []byte("event: error\ndata: "))
 	if found {
 		line, _, _ := bytes.Cut(data, []byte("\n"))
-		var e errorBody
+		var e errorResponse
 		if json.Unmarshal(line, &e) == nil {
 			return e.Error.Code
 		}
@@ -168,20 +168,20 @@
 	return bytes.Contains(body, []byte(text))
 }
 
-// tickets holds the tickets of a trace by name. Each is asked for once; calls
-// that name it meanwhile wait.
-type tickets struct {
+// ticketCache holds the tickets of a trace by name. Each is requested once, and calls
+// that need it meanwhile wait for the response.
+type ticketCache struct {
 	mu     sync.Mutex
 	byName map[string]func() (string, error)
 }
 
-func (t *tickets) take(name string, ask func() (string, error)) (string, error) {
+func (t *ticketCache) get(name string, fetch func() (string, error)) (string, error) {
 	t.mu.Lock()
 	if t.byName == nil {
 		t.byName = map[string]func() (string, error){}
 	}
 	if t.byName[name] == nil {
-		t.byName[name] = sync.OnceValues(ask)
+		t.byName[name] = sync.OnceValues(fetch)
 	}
 	once := t.byName[name]
 	t.mu.Unlock()
--- a/replay/trace.go
+++ b/replay/trace.go
@@ -1,9 +1,9 @@
 // Package replay sends a recorded trace of calls to entry VMs and compares each
-// outcome with the one that the trace states.
+// outcome with the expected one.
 //
-// A trace is a file of JSON lines, one Step a line; empty lines and lines that
-// begin with // are skipped. Its times are those of the recording; a replay
-// moves all of them by the same amount, so that the first step is sent at once.
+// A trace is a file of JSON lines, one Step per line; empty lines and lines that
+// begin with // are skipped. Times in a trace are those of the recording; a replay
+// shifts them so that the first step is sent at once.
 package replay
 
 import (
@@ -18,9 +18,9 @@
 	"github.com/fuchsianotch/fuchsianotch/result"
 )
 
-// Step is one call with its stated outcome.
+// Step is one call and its expected outcome.
 type Step struct {
-	// Line is where the step stands in its file.
+	// Line is the step's line in the trace, from 1.
 	Line int `json:"-"`
 	// At is when the call arrived in the recording.
 	At     time.Time `json:"at"`
@@ -28,38 +28,38 @@
 	Expect Expect    `json:"expect"`
 }
 
-// Call is one request of a caller.
+// Call is a caller's request.
 type Call struct {
 	Workspace string `json:"workspace"`
-	// VM counts the VMs that the replay was given from 1; zero takes them in turn.
+	// VM is the number of a VM in Options.VMs, from 1; zero selects them in turn.
 	VM     int    `json:"vm,omitempty"`
 	Method string `json:"method"`
-	// Path is that of the caller front, such as "/v1/services/tee-sheet/confirm".
+	// Path is a path of the caller API, such as "/v1/services/tee-sheet/confirm".
 	Path string          `json:"path"`
 	Body json.RawMessage `json:"body,omitempty"`
-	// Ticket names a ticket. The first call with a name asks for the ticket, and
-	// later ones use the same.
+	// Ticket is the trace's name for a ticket, which is requested for the first call
+	// that has the name and reused by the others.
 	Ticket string `json:"ticket,omitempty"`
-	// IdempotencyKey is passed on to the endpoint, and counts its runs.
+	// IdempotencyKey is forwarded to the endpoint, which counts runs by it.
 	IdempotencyKey string `json:"idempotency_key,omitempty"`
 	Priority       string `json:"priority,omitempty"`
-	// Deadline is a time of the recording and moves with At.
+	// Deadline is a time of the recording and shifts with At.
 	Deadline time.Time `json:"deadline,omitzero"`
 }
 
-// Expect states an outcome. Code or Class is set; Contains and Runs are optional.
+// Expect is an expected outcome. Either Code or Class is set; Contains and Runs are
+// optional.
 type Expect struct {
 	Code  result.Code  `json:"code,omitempty"`
 	Class result.Class `json:"class,omitempty"`
-	// Contains is text that the answer's body must hold.
+	// Contains is text that the response body must contain.
 	Contains string `json:"contains,omitempty"`
-	// Runs states how often endpoints ran the calls with the step's idempotency
-	// key, counted after the last step. Zero states that nothing ran, and an
-	// absent one states nothing.
+	// Runs is how often endpoints ran calls with the step's idempotency key, counted
+	// after the last step. Zero expects no run; an absent value is not checked.
 	Runs json.Number `json:"runs,omitempty"`
 }
 
-// Read reads a trace. The name is used in problems only.
+// Read parses a trace. The name is used in problems only.
 func Read(name string, data []byte) ([]Step, *jsonc.Problem) {
 	var steps []Step
 	for i, line := range bytes.Split(data, []byte("\n")) {
@@ -67,7 +67,7 @@
 		if len(line) == 0 || bytes.HasPrefix(line, []byte("//")) {
 			continue
 		}
-		step, problem := readStep(name, line)
+		step, problem := parseStep(name, line)
 		if problem != nil {
 			problem.Line = i + 1
 			return nil, problem
@@ -81,12 +81,12 @@
 	return steps, nil
 }
 
-func readStep(name string, line []byte) (*Step, *jsonc.Problem) {
+func parseStep(name string, line []byte) (*Step, *jsonc.Problem) {
 	step, problem := jsonc.Decode[Step](name, line)
 	if problem != nil {
 		return nil, problem
 	}
-	v := &verifier{
+	v := &stepVerifier{
 		Verifier: jsonc.Verifier{
 			File: name,
 			Data: line,
@@ -96,23 +96,23 @@
 	return step, v.Problem()
 }
 
-type verifier struct {
+type stepVerifier struct {
 	jsonc.Verifier
 }
 
-// maxVMs and maxRuns only catch slips.
+// Upper limits that reject typing errors.
 const (
 	maxVMs  = 1 << 16
 	maxRuns = 1 << 30
 )
 
-func (v *verifier) step(s *Step) {
+func (v *stepVerifier) step(s *Step) {
 	v.That(!s.At.IsZero(), "/at", `a time such as "2030-12-31T06:00:00Z"`)
 	v.call(&s.Call)
 	v.expect(s)
 }
 
-func (v *verifier) call(c *Call) {
+func (v *stepVerifier) call(c *Call) {
 	v.Name("/call/workspace", c.Workspace)
 	v.Whole("/call/vm", c.VM, 0, maxVMs)
 	v.OneOf("/call/method", c.Method, []string{http.MethodDelete, http.MethodGet, http.MethodHead, http.MethodPatch, http.MethodPost, http.MethodPut})
@@ -123,7 +123,7 @@
 	}
 }
 
-func (v *verifier) expect(s *Step) {
+func (v *stepVerifier) expect(s *Step) {
 	e := s.Expect
 	v.That((e.Code != 0) != (e.Class != ""), "/expect", "either code or class")
 	if e.Code != 0 {
@@ -138,5 +138,5 @@
 	}
 	runs, err := e.Runs.Int64()
 	v.That(err == nil && runs >= 0 && runs <= maxRuns, "/expect/runs", "a whole number from 0")
-	v.That(s.Call.IdempotencyKey != "", "/call/idempotency_key", "a key, since runs are stated")
+	v.That(s.Call.IdempotencyKey != "", "/call/idempotency_key", "a key, as expect.runs is set")
 }
