--- a/gateway/main.go
+++ b/gateway/main.go
@@ -1,4 +1,4 @@
-// Command gateway is the process that runs on every entry VM.
+// Command gateway serves calls on an entry VM.
 package main
 
 import (
@@ -19,10 +19,12 @@
 
 // Exit codes.
 const (
-	exitOK      = 0
-	exitFailed  = 1
-	exitUsage   = 2
-	logFormJSON = "json"
+	exitOK     = 0
+	exitFailed = 1
+	exitUsage  = 2
+
+	// logFormatJSON is the value of the setting LogFormat for JSON logs.
+	logFormatJSON = "json"
 )
 
 func main() {
@@ -57,10 +59,10 @@
 		_, _ = fmt.Fprintf(stdout, "%s: ok\n", *file)
 		return exitOK
 	}
-	return serveUntilStopped(loaded, stderr)
+	return serveContracts(loaded, stderr)
 }
 
-func serveUntilStopped(s *settings.Settings, stderr io.Writer) int {
+func serveContracts(s *settings.Settings, stderr io.Writer) int {
 	logger := newLogger(s, stderr)
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
@@ -81,16 +83,16 @@
 
 func newLogger(s *settings.Settings, to io.Writer) *slog.Logger {
 	options := &slog.HandlerOptions{
-		Level: levelOf(s.LogLevel),
+		Level: parseLevel(s.LogLevel),
 	}
-	if s.LogFormat == logFormJSON {
+	if s.LogFormat == logFormatJSON {
 		return slog.New(slog.NewJSONHandler(to, options))
 	}
 	return slog.New(slog.NewTextHandler(to, options))
 }
 
-// levelOf reads a log level of settings that were checked, so its name is known.
-func levelOf(name string) slog.Level {
+// parseLevel parses a log level, which is valid because the settings were checked.
+func parseLevel(name string) slog.Level {
 	var level slog.Level
 	_ = level.UnmarshalText([]byte(name))
 	return level
--- a/gateway/platform.go
+++ b/gateway/platform.go
@@ -17,28 +17,28 @@
 	"github.com/fuchsianotch/fuchsianotch/site"
 )
 
-// settingsEvery is how often the settings file is looked at: it may change
-// without a signal. One look reads about a kilobyte.
-const settingsEvery = 2 * time.Second
+// settingsPollInterval is how often the settings file is read, as it may change without
+// a SIGHUP.
+const settingsPollInterval = 2 * time.Second
 
-// logsWithin bounds the writing of the last lines.
-const logsWithin = 200 * time.Millisecond
+// logFlushTimeout limits the time for writing buffered lines at exit.
+const logFlushTimeout = 200 * time.Millisecond
 
-func closeLogs(lines *logs.Writer) {
-	ctx, cancel := context.WithTimeout(context.Background(), logsWithin)
+func closeLogs(logWriter *logs.Writer) {
+	ctx, cancel := context.WithTimeout(context.Background(), logFlushTimeout)
 	defer cancel()
-	lines.Close(ctx)
+	logWriter.Close(ctx)
 }
 
-// servePlatform serves the routes that the platform publishes, until it is
-// stopped. SIGHUP makes it read its settings again at once.
+// servePlatform serves the routes published by the platform until SIGTERM or SIGINT.
+// SIGHUP reloads the platform's settings.
 func servePlatform(file string, check bool, stdout, stderr io.Writer) int {
 	deployment, refusal := platform.LoadDeployment()
 	if refusal != nil {
 		_, _ = fmt.Fprintf(stderr, "gateway: %v\n", refusal)
 		return exitUsage
 	}
-	own, refusal := settings.LoadPlatform(file)
+	gatewaySettings, refusal := settings.LoadPlatform(file)
 	if refusal != nil {
 		_, _ = fmt.Fprintf(stderr, "gateway: %v\n", refusal)
 		return exitUsage
@@ -47,25 +47,25 @@
 		_, _ = fmt.Fprintln(stdout, "ok")
 		return exitOK
 	}
-	// Taken first, so that an early signal does not end the process.
-	hangUps := make(chan os.Signal, 1)
-	signal.Notify(hangUps, syscall.SIGHUP)
-	lines := logs.New(logs.Options{
+	// Registered before the start, as an unhandled SIGHUP ends the process.
+	reloadSignals := make(chan os.Signal, 1)
+	signal.Notify(reloadSignals, syscall.SIGHUP)
+	logWriter := logs.New(logs.Options{
 		To:    stdout,
-		Lines: own.LogLines,
-		Level: levelOf(own.LogLevel),
+		Lines: gatewaySettings.LogLines,
+		Level: parseLevel(gatewaySettings.LogLevel),
 	})
-	defer closeLogs(lines)
-	logger := lines.Logger()
+	defer closeLogs(logWriter)
+	logger := logWriter.Logger()
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
 	n := site.New(site.Options{
 		Deployment: deployment,
 		Logger:     logger,
-		Settings:   own,
-		Dropped:    lines.Dropped,
+		Settings:   gatewaySettings,
+		Dropped:    logWriter.Dropped,
 	})
-	go followSettings(ctx, n, deployment, hangUps, logger)
+	go watchSettings(ctx, n, deployment, reloadSignals, logger)
 	if err := n.Run(ctx); err != nil && !errors.Is(err, context.Canceled) {
 		logger.Error("failed", "error", err.Error())
 		return exitFailed
@@ -73,16 +73,16 @@
 	return exitOK
 }
 
-// followSettings reloads the settings when they change, and keeps the last
-// good ones when they cannot be read.
-func followSettings(ctx context.Context, n *site.Node, held *platform.Deployment, hangUps <-chan os.Signal, logger *slog.Logger) {
-	ticker := time.NewTicker(settingsEvery)
+// watchSettings reloads the settings when they change. If they are invalid it keeps the
+// last valid ones.
+func watchSettings(ctx context.Context, n *site.Node, current *platform.Deployment, reloadSignals <-chan os.Signal, logger *slog.Logger) {
+	ticker := time.NewTicker(settingsPollInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-hangUps:
+		case <-reloadSignals:
 		case <-ticker.C:
 		}
 		loaded, refusal := platform.LoadDeployment()
@@ -90,10 +90,10 @@
 			logger.Error("reload_refused", "code", int(refusal.Code), "reason", refusal.Message)
 			continue
 		}
-		if loaded.Digest == held.Digest {
+		if loaded.Digest == current.Digest {
 			continue
 		}
-		held = loaded
+		current = loaded
 		n.Reload(ctx, loaded)
 	}
 }
