--- a/notchctl/command_codes.go
+++ b/notchctl/command_codes.go
@@ -13,7 +13,7 @@
 // codesCommand adds "notchctl codes".
 func codesCommand(app *kingpin.Application, stdout io.Writer) {
 	command := app.Command("codes", "Show the result codes with their classes, meanings and advice.")
-	output := command.Flag("output", "Form of the output; docs/result-codes.md is the markdown one.").
+	output := command.Flag("output", "Output format; docs/result-codes.md is the markdown output.").
 		Default(outputTable).Enum(outputTable, outputJSON, outputMarkdown)
 	command.Action(func(*kingpin.ParseContext) error {
 		switch *output {
--- a/notchctl/command_entries.go
+++ b/notchctl/command_entries.go
@@ -12,7 +12,7 @@
 // entriesCommand adds "notchctl entries".
 func entriesCommand(app *kingpin.Application, stdout io.Writer) {
 	command := app.Command("entries", "Show which VMs the callers of a workspace are told to use.")
-	flags := askingFlags(command, "caller")
+	flags := addQueryFlags(command, "caller")
 	key := command.Flag("key", "A caller's key, WORKSPACE.SECRET.").Envar("NOTCHCTL_KEY").Required().String()
 	command.Action(func(*kingpin.ParseContext) error {
 		ctx, cancel := flags.context()
@@ -25,10 +25,10 @@
 				return flags.write(stdout, entries)
 			}
 		}
-		var answered *console.AnswerError
-		if errors.As(err, &answered) {
-			return exit(exitFailed, "%v", err)
+		var answerErr *console.AnswerError
+		if errors.As(err, &answerErr) {
+			return exitErrorf(exitFailed, "%v", err)
 		}
-		return exit(exitUnreached, "%v", err)
+		return exitErrorf(exitUnreached, "%v", err)
 	})
 }
--- a/notchctl/command_explain.go
+++ b/notchctl/command_explain.go
@@ -11,15 +11,14 @@
 	"github.com/fuchsianotch/fuchsianotch/explain"
 )
 
-// explainTime shows the time of a line to the millisecond.
-const explainTime = "15:04:05.000"
+const explainTimeLayout = "15:04:05.000"
 
 // explainCommand adds "notchctl explain".
 func explainCommand(app *kingpin.Application, stdout io.Writer) {
-	command := app.Command("explain", "Show what became of a request, from the logs of several processes: "+
-		"its own lines, and what the VMs that had it came to believe shortly before and meanwhile.")
-	id := command.Arg("request", "The request's id.").Required().String()
-	files := command.Arg("log", "Log files, one JSON line each; - is standard input.").Required().Strings()
+	command := app.Command("explain", "Show how a request was handled, from the logs of several processes: "+
+		"its own lines, and what the VMs that handled it learned shortly before and meanwhile.")
+	id := command.Arg("request", "Request id.").Required().String()
+	files := command.Arg("log", "Log files of JSON lines; - is standard input.").Required().Strings()
 	command.Action(func(*kingpin.ParseContext) error {
 		lines, err := readLogs(*files)
 		if err != nil {
@@ -27,9 +26,9 @@
 		}
 		found := explain.Request(lines, *id)
 		if len(found) == 0 {
-			return exit(exitFailed, "no line names request %s; one that went well is logged only if it is in the sample", *id)
+			return exitErrorf(exitFailed, "no log line has request id %s; successful requests are logged only if sampled", *id)
 		}
-		writeExplained(stdout, found)
+		writeExplainLines(stdout, found)
 		return nil
 	})
 }
@@ -41,28 +40,28 @@
 		if name != "-" {
 			file, err := os.Open(name)
 			if err != nil {
-				return nil, exit(exitUsage, "%s: want a file that can be read: %v", name, err)
+				return nil, exitErrorf(exitUsage, "cannot read log file %s: %v", name, err)
 			}
 			in = file
 		}
 		read, err := explain.Read(in)
 		_ = in.Close()
 		if err != nil {
-			return nil, exit(exitUsage, "%s: %v", name, err)
+			return nil, exitErrorf(exitUsage, "%s: %v", name, err)
 		}
 		lines = append(lines, read...)
 	}
 	return lines, nil
 }
 
-// writeExplained writes a line each; what the VMs believe is marked by a bar.
-func writeExplained(w io.Writer, lines []explain.Line) {
+// writeExplainLines prints log lines; a bar marks those that are not the request's own.
+func writeExplainLines(w io.Writer, lines []explain.Line) {
 	for _, l := range lines {
 		mark := " "
 		if l.IsBelief {
 			mark = "|"
 		}
-		_, _ = fmt.Fprintf(w, "%s %s %s %s", l.At.In(time.UTC).Format(explainTime), mark, l.VM, l.Event)
+		_, _ = fmt.Fprintf(w, "%s %s %s %s", l.At.In(time.UTC).Format(explainTimeLayout), mark, l.VM, l.Event)
 		for _, f := range l.Fields {
 			if f.Name != "request" {
 				_, _ = fmt.Fprintf(w, " %s=%s", f.Name, f.Value)
--- a/notchctl/command_replay.go
+++ b/notchctl/command_replay.go
@@ -27,7 +27,7 @@
 
 // replayCommand adds "notchctl replay".
 func replayCommand(app *kingpin.Application, stdout io.Writer) {
-	command := app.Command("replay", "Send a recorded trace to VMs and print each outcome that is not the stated one.")
+	command := app.Command("replay", "Send a recorded trace to VMs and print each outcome that is not as expected.")
 	f := replayFlags{
 		file:      command.Arg("file", "The trace, JSON lines.").Required().String(),
 		vms:       command.Flag("vm", "Address of a VM's caller front, IP number and port; may be repeated.").Required().Strings(),
@@ -35,7 +35,7 @@
 		keys:      command.Flag("key", "Key of a workspace of the trace, WORKSPACE.SECRET; may be repeated.").Envar("NOTCHCTL_KEYS").Required().Strings(),
 		speed:     command.Flag("speed", "How many times faster than recorded the steps follow each other.").Default("1").Float64(),
 		timeout:   command.Flag("timeout", "Bound of the whole replay.").Default("10m").Duration(),
-		output:    command.Flag("output", "Form of the output.").Default(outputTable).Enum(outputTable, outputJSON),
+		output:    command.Flag("output", "Output format.").Default(outputTable).Enum(outputTable, outputJSON),
 	}
 	command.Action(func(*kingpin.ParseContext) error {
 		return f.run(stdout)
@@ -63,24 +63,24 @@
 func (f replayFlags) steps() ([]replay.Step, error) {
 	data, err := os.ReadFile(*f.file)
 	if err != nil {
-		return nil, exit(exitUsage, "%v", err)
+		return nil, exitErrorf(exitUsage, "%v", err)
 	}
 	steps, problem := replay.Read(*f.file, data)
 	if problem != nil {
-		return nil, exit(exitUsage, "%v", problem)
+		return nil, exitErrorf(exitUsage, "%v", problem)
 	}
 	return steps, nil
 }
 
 func (f replayFlags) options() (replay.Options, error) {
 	if *f.speed <= 0 {
-		return replay.Options{}, exit(exitUsage, "--speed: want a number above 0")
+		return replay.Options{}, exitErrorf(exitUsage, "--speed: want a number above 0")
 	}
 	keys := make([]replay.Key, 0, len(*f.keys))
 	for _, text := range *f.keys {
 		workspace, secret, found := strings.Cut(text, ".")
 		if !found {
-			return replay.Options{}, exit(exitUsage, "--key: want WORKSPACE.SECRET")
+			return replay.Options{}, exitErrorf(exitUsage, "--key: want WORKSPACE.SECRET")
 		}
 		keys = append(keys, replay.Key{
 			Workspace: workspace,
@@ -119,9 +119,9 @@
 func replayError(report replay.Report) error {
 	switch {
 	case report.Unanswered > 0:
-		return exit(exitUnreached, "%d steps were not answered", report.Unanswered)
+		return exitErrorf(exitUnreached, "%d steps had no valid response", report.Unanswered)
 	case len(report.Mismatches) > 0:
-		return exit(exitFailed, "%d outcomes were not the stated ones", len(report.Mismatches))
+		return exitErrorf(exitFailed, "%d outcomes were not as expected", len(report.Mismatches))
 	}
 	return nil
 }
--- a/notchctl/command_status.go
+++ b/notchctl/command_status.go
@@ -17,32 +17,32 @@
 	outputJSON  = "json"
 )
 
-// asking are the flags of commands that ask VMs.
-type asking struct {
+// queryFlags are the flags of commands that query VMs.
+type queryFlags struct {
 	vms     *[]string
 	timeout *time.Duration
 	output  *string
 }
 
-func askingFlags(command *kingpin.CmdClause, front string) asking {
-	return asking{
+func addQueryFlags(command *kingpin.CmdClause, front string) queryFlags {
+	return queryFlags{
 		vms:     command.Flag("vm", "Address of a VM's "+front+" front, IP number and port; may be repeated.").Required().Strings(),
 		timeout: command.Flag("timeout", "Bound of the whole question.").Default("5s").Duration(),
-		output:  command.Flag("output", "Form of the output.").Default(outputTable).Enum(outputTable, outputJSON),
+		output:  command.Flag("output", "Output format.").Default(outputTable).Enum(outputTable, outputJSON),
 	}
 }
 
-func (a asking) context() (context.Context, context.CancelFunc) {
-	return context.WithTimeout(context.Background(), *a.timeout)
+func (f queryFlags) context() (context.Context, context.CancelFunc) {
+	return context.WithTimeout(context.Background(), *f.timeout)
 }
 
-// tableWriter is what can be shown as a table.
-type tableWriter interface {
+// tableFormatter is output that can be written as a table.
+type tableFormatter interface {
 	WriteTable(w io.Writer) error
 }
 
-func (a asking) write(stdout io.Writer, value tableWriter) error {
-	if *a.output == outputTable {
+func (f queryFlags) write(stdout io.Writer, value tableFormatter) error {
+	if *f.output == outputTable {
 		return value.WriteTable(stdout)
 	}
 	return writeJSON(stdout, value)
@@ -62,8 +62,8 @@
 
 // statusCommand adds "notchctl status".
 func statusCommand(app *kingpin.Application, stdout io.Writer) {
-	command := app.Command("status", "Show for every VM the revision in force of each document, what was refused and why, its view and its load.")
-	flags := askingFlags(command, "operator")
+	command := app.Command("status", "Show for every VM the revision in force of each document, refused documents with the reason, its view and its load.")
+	flags := addQueryFlags(command, "operator")
 	command.Action(func(*kingpin.ParseContext) error {
 		ctx, cancel := flags.context()
 		defer cancel()
@@ -78,9 +78,9 @@
 func statusError(fleet *console.Fleet) error {
 	switch {
 	case len(fleet.Unreached) > 0:
-		return exit(exitUnreached, "%d VMs were not reached", len(fleet.Unreached))
+		return exitErrorf(exitUnreached, "%d VMs were not reached", len(fleet.Unreached))
 	case !fleet.Agreed():
-		return exit(exitFailed, "the VMs do not all hold the same documents, or one refuses a document")
+		return exitErrorf(exitFailed, "the VMs do not all hold the same documents, or one refuses a document")
 	}
 	return nil
 }
--- a/notchctl/command_timeline.go
+++ b/notchctl/command_timeline.go
@@ -12,8 +12,8 @@
 // timelineCommand adds "notchctl timeline".
 func timelineCommand(app *kingpin.Application, stdout io.Writer) {
 	command := app.Command("timeline", "Show the events of all processes in causal order. "+
-		"The first VM that answers merges them; what it cannot reach is asked for directly.")
-	flags := askingFlags(command, "operator")
+		"The first VM that responds merges them; VMs that it cannot reach are queried directly.")
+	flags := addQueryFlags(command, "operator")
 	request := command.Flag("request", "Only events of this request id.").String()
 	workspace := command.Flag("workspace", "Only events of this workspace.").String()
 	from := command.Flag("from", "Only events from this time on, such as 2030-12-31T06:00:00Z.").String()
@@ -24,10 +24,10 @@
 			Workspace: *workspace,
 		}
 		var err error
-		if query.From, err = timeOf("--from", *from); err != nil {
+		if query.From, err = parseTimeFlag("--from", *from); err != nil {
 			return err
 		}
-		if query.To, err = timeOf("--to", *to); err != nil {
+		if query.To, err = parseTimeFlag("--to", *to); err != nil {
 			return err
 		}
 		ctx, cancel := flags.context()
@@ -37,19 +37,19 @@
 			return err
 		}
 		if len(merged.Unreached) > 0 {
-			return exit(exitUnreached, "events of %d VMs are missing", len(merged.Unreached))
+			return exitErrorf(exitUnreached, "events of %d VMs are missing", len(merged.Unreached))
 		}
 		return nil
 	})
 }
 
-func timeOf(flag, text string) (time.Time, error) {
+func parseTimeFlag(flag, text string) (time.Time, error) {
 	if text == "" {
 		return time.Time{}, nil
 	}
 	at, err := time.Parse(time.RFC3339Nano, text)
 	if err != nil {
-		return time.Time{}, exit(exitUsage, "%s: want a time such as 2030-12-31T06:00:00Z", flag)
+		return time.Time{}, exitErrorf(exitUsage, "%s: want a time such as 2030-12-31T06:00:00Z", flag)
 	}
 	return at, nil
 }
--- a/notchctl/main.go
+++ b/notchctl/main.go
@@ -1,5 +1,5 @@
-// Command notchctl is the operators' tool: it checks documents and settings
-// before they are published, shows what every VM does, and replays traces.
+// Command notchctl is the command line for operators. It validates documents and
+// settings, shows the state of every VM, and replays traces.
 package main
 
 import (
@@ -16,19 +16,19 @@
 // Exit codes. They are the same for every command.
 const (
 	exitOK = 0
-	// exitFailed: a document was refused, VMs disagree or a replay found a mismatch.
+	// exitFailed: a document was refused, VMs disagree or a replay has a mismatch.
 	exitFailed = 1
 	// exitUsage: the command line is wrong or a file cannot be read.
 	exitUsage = 2
-	// exitUnreached: a VM gave no answer.
+	// exitUnreached: a VM did not respond.
 	exitUnreached = 3
 )
 
-const help = `The operators' tool of fuchsianotch.
+const help = `Command line for operators of fuchsianotch.
 
 Exit codes: 0 all is well; 1 a document was refused, VMs disagree or a replay found a mismatch; 2 the command line or a file is wrong; 3 a VM was not reached.`
 
-// exitError ends the program with an exit code. The message may be empty.
+// exitError is an error with an exit code. The message may be empty.
 type exitError struct {
 	code    int
 	message string
@@ -38,7 +38,7 @@
 	return e.message
 }
 
-func exit(code int, format string, args ...any) error {
+func exitErrorf(code int, format string, args ...any) error {
 	return &exitError{
 		code:    code,
 		message: fmt.Sprintf(format, args...),
@@ -54,7 +54,7 @@
 	app.UsageWriter(stdout)
 	app.ErrorWriter(stderr)
 	_, err := app.Parse(args)
-	return report(err, stderr)
+	return reportError(err, stderr)
 }
 
 func newApp(stdout io.Writer) *kingpin.Application {
@@ -70,25 +70,25 @@
 	return app
 }
 
-// report writes the error and gives the exit code. Errors without an exit code
-// come from the parser of the command line.
-func report(err error, stderr io.Writer) int {
+// reportError prints an error and returns its exit code. Errors without an exit code
+// come from the command-line parser.
+func reportError(err error, stderr io.Writer) int {
 	if err == nil {
 		return exitOK
 	}
-	var ended *exitError
-	if !errors.As(err, &ended) {
+	var exitErr *exitError
+	if !errors.As(err, &exitErr) {
 		_, _ = fmt.Fprintf(stderr, "notchctl: %v; see notchctl --help\n", err)
 		return exitUsage
 	}
-	if ended.message != "" {
-		_, _ = fmt.Fprintf(stderr, "notchctl: %s\n", ended.message)
+	if exitErr.message != "" {
+		_, _ = fmt.Fprintf(stderr, "notchctl: %s\n", exitErr.message)
 	}
-	return ended.code
+	return exitErr.code
 }
 
-// refused says which exit code a refused file gives.
-func refused(r *result.Refusal) int {
+// refusalExitCode returns the exit code for a refused file.
+func refusalExitCode(r *result.Refusal) int {
 	if r.Code == result.SettingFile {
 		return exitUsage
 	}
--- a/notchctl/main_test.go
+++ b/notchctl/main_test.go
@@ -19,9 +19,9 @@
 	})
 }
 
-// TestScripts runs the real binary. A script may use the command
-// "serve NAME DIR", which answers each GET and POST with the file of its path
-// in DIR and puts the address into the variable NAME.
+// TestScripts runs the binary. The script command "serve NAME DIR" starts a server that
+// responds with the file of the request's path in DIR, and sets the variable NAME to its
+// address.
 func TestScripts(t *testing.T) {
 	examples, err := filepath.Abs("../examples")
 	assert.NilError(t, err)
@@ -45,15 +45,15 @@
 	}
 	dir := ts.MkAbs(args[1])
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		answer(w, r, dir)
+		serveFile(w, r, dir)
 	}))
 	ts.Defer(server.Close)
 	ts.Setenv(args[0], server.Listener.Addr().String())
 }
 
-// answer sends a file. Leading lines of the form "Fuchsianotch-..." are headers.
-// A question for a merged time line has a file of its own.
-func answer(w http.ResponseWriter, r *http.Request, dir string) {
+// serveFile responds with a file. Leading lines that start with "Fuchsianotch-" are sent
+// as headers. A request for a merged timeline reads the file with the suffix .merge.
+func serveFile(w http.ResponseWriter, r *http.Request, dir string) {
 	path := filepath.Join(dir, filepath.FromSlash(r.URL.Path))
 	if r.URL.Query().Get("merge") == "true" {
 		path += ".merge"
@@ -72,8 +72,7 @@
 	_, _ = w.Write(body)
 }
 
-// TestDocs checks that each command has its page, and that the page names each
-// of its flags.
+// TestDocs guards against flags and exit codes that are missing from a command's page.
 func TestDocs(t *testing.T) {
 	for _, command := range []string{"check", "status", "timeline", "entries", "replay", "codes"} {
 		page, err := os.ReadFile(filepath.Join("..", "docs", "commands", "notchctl_"+command+".md"))
