--- a/common/tcp/tcp.go
+++ b/common/tcp/tcp.go
@@ -1,7 +1,7 @@
 // Package tcp opens TCP connections that fail soon after the peer becomes
 // unreachable. In a network partition a connection is not reset: without these
-// timeouts the kernel retransmits, and a request may reach the peer long after its
-// deadline.
+// timeouts the kernel keeps retransmitting, and a request may reach the peer long after
+// its deadline.
 package tcp
 
 import (
@@ -20,8 +20,8 @@
 	keepAliveProbes   = 2
 )
 
-// Dialer returns a dialer whose connections fail after 2 s without a response from
-// the peer.
+// Dialer returns a dialer whose connections fail within about 2 s of the peer becoming
+// unreachable.
 func Dialer(dialTimeout time.Duration) *net.Dialer {
 	return &net.Dialer{
 		Timeout:         dialTimeout,
--- a/notchctl/command_entries.go
+++ b/notchctl/command_entries.go
@@ -11,7 +11,7 @@
 
 // entriesCommand adds "notchctl entries".
 func entriesCommand(app *kingpin.Application, stdout io.Writer) {
-	command := app.Command("entries", "Show which VMs the callers of a workspace are told to use.")
+	command := app.Command("entries", "Show which VMs the callers of a workspace should use.")
 	flags := addQueryFlags(command, "caller")
 	key := command.Flag("key", "A caller's key, WORKSPACE.SECRET.").Envar("NOTCHCTL_KEY").Required().String()
 	command.Action(func(*kingpin.ParseContext) error {
--- a/replay/replay_test.go
+++ b/replay/replay_test.go
@@ -111,7 +111,7 @@
 // replay times and deadlines, and miscounted runs.
 func TestTicketReuseAndTimeShift(t *testing.T) {
 	var mu sync.Mutex
-	var asked int
+	var ticketRequests int
 	var tickets, deadlines []string
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		mu.Lock()
@@ -120,8 +120,8 @@
 		w.Header().Set("Fuchsianotch-Result", "1000")
 		switch r.URL.Path {
 		case "/v1/tickets":
-			asked++
-			_, _ = fmt.Fprintf(w, `{"ticket": "t%d"}`, asked)
+			ticketRequests++
+			_, _ = fmt.Fprintf(w, `{"ticket": "t%d"}`, ticketRequests)
 		case "/admin/runs":
 			_, _ = fmt.Fprint(w, `{"runs": {"k": 3}}`)
 		default:
@@ -140,7 +140,7 @@
 		defer mu.Unlock()
 		waits = append(waits, until)
 	}).Run(t.Context(), steps)
-	assert.Equal(t, asked, 1)
+	assert.Equal(t, ticketRequests, 1)
 	assert.DeepEqual(t, tickets, []string{"t1", "t1"})
 	start := time.Unix(1000, 0)
 	for _, at := range []time.Time{start, start.Add(100 * time.Millisecond)} {
