--- a/testscripts/ablate/ablate_test.go
+++ b/testscripts/ablate/ablate_test.go
@@ -11,7 +11,7 @@
 	"github.com/fuchsianotch/fuchsianotch/settings"
 )
 
-const played = `score on the standard days: 0.647
+const benchOutput = `score on the standard days: 0.647
 day                  own/srv  score  worth served refused failed  weakest part
 quiet-1                 6/13   0.53  0.880  0.961   0.000  0.011  worst windows 0.87
 scale-1                 6/13   0.74 -0.100  0.524   0.264  0.046  worst windows 0.14
@@ -21,13 +21,13 @@
 `
 
 func TestTable(t *testing.T) {
-	days := parseDays(played)
-	assert.Equal(t, len(days), 3)
-	less := []day{{name: calmDay, worth: 0.8}, {name: "scale-1", worth: 0.2}}
+	results := parseResults(benchOutput)
+	assert.Equal(t, len(results), 3)
+	without := []dayResult{{name: quietDay, worth: 0.8}, {name: "scale-1", worth: 0.2}}
 	var out strings.Builder
-	printTable(&out, []string{"sites/one.toml"}, []row{
-		{name: allOn, sites: []figures{sumUp(days)}},
-		{name: settings.Borrowing, sites: []figures{sumUp(less)}},
+	printTable(&out, []string{"sites/one.toml"}, []variant{
+		{name: baseline, sites: []siteSummary{summarize(results)}},
+		{name: settings.Borrowing, sites: []siteSummary{summarize(without)}},
 	})
 	assert.Equal(t, out.String(), `| Without | one, trouble | calm | days with a broken rule |
 | --- | --- | --- | --- |
@@ -36,13 +36,13 @@
 `)
 }
 
-// TestSwitchOff holds that the file that is played has the mechanism off.
-func TestSwitchOff(t *testing.T) {
+// TestDisableMechanism checks that the copied settings disable only the given mechanism.
+func TestDisableMechanism(t *testing.T) {
 	data, err := os.ReadFile("../../deploy/gateway.json")
 	assert.NilError(t, err)
 	file := filepath.Join(t.TempDir(), "gateway.json")
 	assert.NilError(t, os.WriteFile(file, data, 0o600))
-	assert.NilError(t, switchOff(file, settings.Fetches))
+	assert.NilError(t, disableMechanism(file, settings.Fetches))
 	s, refusal := settings.LoadPlatform(file)
 	assert.Assert(t, refusal == nil)
 	assert.Assert(t, !s.Has(settings.Fetches))
--- a/testscripts/ablate/main.go
+++ b/testscripts/ablate/main.go
@@ -1,7 +1,6 @@
-// Command ablate switches the mechanisms of the platform's decisions off, one by
-// one, has the users' program play the standard days, and prints a table of
-// what each mechanism is worth. It plays copies of the working tree, of which
-// only the setting "without" differs.
+// Command ablate measures what each mechanism of the platform contributes. It disables
+// the mechanisms one at a time with the setting "without", in copies of the working
+// tree, runs the benchmark program on the standard days and prints a table.
 package main
 
 import (
@@ -18,22 +17,22 @@
 )
 
 func main() {
-	app := kingpin.New("ablate", "Measure what each mechanism is worth.")
+	app := kingpin.New("ablate", "Measure what each mechanism contributes.")
 	o := options{}
-	app.Flag("bench", "The users' program that plays days.").Required().ExistingFileVar(&o.bench)
-	app.Flag("site", "A users' file of a deployment; may be repeated.").Required().ExistingFilesVar(&o.sites)
-	app.Flag("plays", "How often each deployment is played.").Default("3").IntVar(&o.plays)
-	app.Flag("at-once", "How many variants are played side by side.").Default("2").IntVar(&o.atOnce)
-	app.Flag("jobs", "Processors for each of them.").Default("4").IntVar(&o.jobs)
-	app.Flag("work", "A directory for the copies; their journals stay there.").Required().ExistingDirVar(&o.work)
-	app.Arg("mechanism", "Mechanisms; all by default.").EnumsVar(&o.mechanisms, settings.Mechanisms...)
+	app.Flag("bench", "The benchmark program that runs the days.").Required().ExistingFileVar(&o.bench)
+	app.Flag("site", "A deployment file; may be repeated.").Required().ExistingFilesVar(&o.sites)
+	app.Flag("plays", "The number of runs of each deployment.").Default("3").IntVar(&o.runs)
+	app.Flag("at-once", "The number of variants that run in parallel.").Default("2").IntVar(&o.parallel)
+	app.Flag("jobs", "The number of processors for each variant.").Default("4").IntVar(&o.jobs)
+	app.Flag("work", "The directory for the copies of the working tree, which are kept.").Required().ExistingDirVar(&o.workDir)
+	app.Arg("mechanism", "Mechanisms to disable; all by default.").EnumsVar(&o.mechanisms, settings.Mechanisms...)
 	kingpin.MustParse(app.Parse(os.Args[1:]))
 	if len(o.mechanisms) == 0 {
 		o.mechanisms = settings.Mechanisms
 	}
-	rows, err := o.measure(context.Background())
+	variants, err := o.runAll(context.Background())
 	var out strings.Builder
-	printTable(&out, o.sites, rows)
+	printTable(&out, o.sites, variants)
 	fmt.Print(out.String())
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "ablate:", err)
@@ -41,34 +40,34 @@
 	}
 }
 
-// options are what is measured and how.
+// options are the command's parameters.
 type options struct {
 	bench      string
 	sites      []string
-	plays      int
-	atOnce     int
+	runs       int
+	parallel   int
 	jobs       int
-	work       string
+	workDir    string
 	mechanisms []string
 }
 
-// allOn names the row without anything switched off.
-const allOn = "(all on)"
+// baseline is the row in which every mechanism is enabled.
+const baseline = "(all on)"
 
-// measure plays all variants, so many at once.
-func (o options) measure(ctx context.Context) ([]row, error) {
-	names := append([]string{allOn}, o.mechanisms...)
-	rows := make([]row, len(names))
+// runAll runs all variants, at most o.parallel at a time.
+func (o options) runAll(ctx context.Context) ([]variant, error) {
+	names := append([]string{baseline}, o.mechanisms...)
+	variants := make([]variant, len(names))
 	errs := make([]error, len(names))
-	places := make(chan struct{}, max(o.atOnce, 1))
-	var all sync.WaitGroup
+	slots := make(chan struct{}, max(o.parallel, 1))
+	var workers sync.WaitGroup
 	for i, name := range names {
-		all.Go(func() {
-			places <- struct{}{}
-			defer func() { <-places }()
-			rows[i], errs[i] = o.playVariant(ctx, name)
+		workers.Go(func() {
+			slots <- struct{}{}
+			defer func() { <-slots }()
+			variants[i], errs[i] = o.runVariant(ctx, name)
 		})
 	}
-	all.Wait()
-	return rows, errors.Join(errs...)
+	workers.Wait()
+	return variants, errors.Join(errs...)
 }
--- a/testscripts/ablate/table.go
+++ b/testscripts/ablate/table.go
@@ -6,64 +6,63 @@
 	"strings"
 )
 
-// calmDay is the name of the day without trouble.
-const calmDay = "quiet-1"
+// quietDay is the day without faults.
+const quietDay = "quiet-1"
 
-// row is one variant's figures, one for each deployment.
-type row struct {
+// variant holds the results of one variant, one for each deployment.
+type variant struct {
 	name  string
-	sites []figures
+	sites []siteSummary
 }
 
-// figures are means over plays and days: of the days with trouble, and of the
-// calm day. broken counts the plays that broke a rule.
-type figures struct {
-	trouble float64
-	calm    float64
-	broken  int
+// siteSummary holds the mean worth of the days with faults and of the quiet day, and
+// how many days broke a rule.
+type siteSummary struct {
+	faultWorth float64
+	quietWorth float64
+	violations int
 }
 
-func sumUp(days []day) figures {
-	var f figures
-	troubled, calm := 0, 0
-	for _, d := range days {
-		if d.broken {
-			f.broken++
+func summarize(results []dayResult) siteSummary {
+	var f siteSummary
+	faultDays, quietDays := 0, 0
+	for _, d := range results {
+		if d.ruleBroken {
+			f.violations++
 		}
-		if d.name == calmDay {
-			calm++
-			f.calm += d.worth
+		if d.name == quietDay {
+			quietDays++
+			f.quietWorth += d.worth
 			continue
 		}
-		troubled++
-		f.trouble += d.worth
+		faultDays++
+		f.faultWorth += d.worth
 	}
-	f.trouble /= float64(max(troubled, 1))
-	f.calm /= float64(max(calm, 1))
+	f.faultWorth /= float64(max(faultDays, 1))
+	f.quietWorth /= float64(max(quietDays, 1))
 	return f
 }
 
-// printTable prints the row with everything on first, and what each mechanism is
-// worth: how much less is earned without it.
-func printTable(w *strings.Builder, sites []string, rows []row) {
+// printTable prints the baseline first, then each variant's difference from it.
+func printTable(w *strings.Builder, sites []string, variants []variant) {
 	fmt.Fprint(w, "| Without |")
 	for _, site := range sites {
 		name := strings.TrimSuffix(filepath.Base(site), filepath.Ext(site))
 		fmt.Fprintf(w, " %s, trouble | calm |", name)
 	}
 	fmt.Fprintf(w, " days with a broken rule |\n| --- |%s --- |\n", strings.Repeat(" --- | --- |", len(sites)))
-	for i, r := range rows {
-		broken := 0
+	for i, r := range variants {
+		violations := 0
 		fmt.Fprintf(w, "| %s |", r.name)
 		for j, f := range r.sites {
-			broken += f.broken
+			violations += f.violations
 			if i == 0 {
-				fmt.Fprintf(w, " %.3f | %.3f |", f.trouble, f.calm)
+				fmt.Fprintf(w, " %.3f | %.3f |", f.faultWorth, f.quietWorth)
 				continue
 			}
-			all := rows[0].sites[j]
-			fmt.Fprintf(w, " %+.3f | %+.3f |", f.trouble-all.trouble, f.calm-all.calm)
+			base := variants[0].sites[j]
+			fmt.Fprintf(w, " %+.3f | %+.3f |", f.faultWorth-base.faultWorth, f.quietWorth-base.quietWorth)
 		}
-		fmt.Fprintf(w, " %d |\n", broken)
+		fmt.Fprintf(w, " %d |\n", violations)
 	}
 }
