--- a/testscripts/losses/main.go
+++ b/testscripts/losses/main.go
@@ -1,11 +1,9 @@
-// Command losses says where the worth of a played day went: it reads the lines
-// that all processes wrote, and the users' file with the kinds of calls, and
-// adds up what was lost by kind, reason and moment. A line is as the users'
-// tools print it: seconds, the VM, and the JSON object that the VM wrote.
+// Command losses reports where a simulated day lost worth. It reads the logs of all
+// processes and the deployment file, and sums the losses by class of calls, reason and
+// time window. A log line holds the seconds, the VM and the JSON record.
 //
-// It needs plays with log_sample_every at 1. It sees attempts and not what a
-// caller made of several of them: an attempt that was refused counts as lost,
-// also where the caller came back and was served.
+// The logs need log_sample_every set to 1. Attempts are counted separately: a refused
+// attempt counts as lost even if the caller retried successfully.
 package main
 
 import (
@@ -18,10 +16,10 @@
 )
 
 func main() {
-	app := kingpin.New("losses", "Add up what a played day lost, by kind of call, reason and moment.")
-	site := app.Flag("site", "The users' file of the deployment, for the kinds of calls.").Required().ExistingFile()
-	window := app.Flag("window", "The length of a moment.").Default("2s").Duration()
-	files := app.Arg("log", "Files of lines; the losses are added up over all.").Required().ExistingFiles()
+	app := kingpin.New("losses", "Sum the losses of a simulated day by class of calls, reason and time window.")
+	site := app.Flag("site", "The deployment file with the classes of calls.").Required().ExistingFile()
+	window := app.Flag("window", "The length of a time window.").Default("2s").Duration()
+	files := app.Arg("log", "Log files; losses are summed over all of them.").Required().ExistingFiles()
 	kingpin.MustParse(app.Parse(os.Args[1:]))
 	if err := run(*site, *window, *files); err != nil {
 		fmt.Fprintln(os.Stderr, "losses:", err)
@@ -30,7 +28,7 @@
 }
 
 func run(site string, window time.Duration, files []string) error {
-	kinds, err := readKinds(site)
+	classes, err := readClasses(site)
 	if err != nil {
 		return err
 	}
@@ -43,7 +41,7 @@
 		all = append(all, attempts...)
 	}
 	var out strings.Builder
-	addUp(all, kinds, window).print(&out)
+	summarize(all, classes, window).print(&out)
 	_, err = os.Stdout.WriteString(out.String())
 	return err
 }
