--- a/testscripts/emulate/main.go
+++ b/testscripts/emulate/main.go
@@ -1,5 +1,5 @@
-// Command emulate plays random schedules of the packages that decide in virtual
-// time, and prints what must not happen.
+// Command emulate simulates a fleet under random faults in virtual time and prints
+// the invariants that were violated.
 package main
 
 import (
@@ -12,29 +12,29 @@
 	"github.com/fuchsianotch/fuchsianotch/testscripts/emulator"
 )
 
-// shownMost bounds the seeds that are printed.
-const shownMost = 20
+// maxShown bounds the seeds that are printed.
+const maxShown = 20
 
 func main() {
-	app := kingpin.New("emulate", "Play random schedules of the decision packages in virtual time.")
+	app := kingpin.New("emulate", "Simulate a fleet under random faults in virtual time.")
 	seed := app.Flag("seed", "The first seed.").Default("1").Uint64()
-	count := app.Flag("count", "How many seeds.").Default("10000").Uint64()
-	long := app.Flag("for", "Virtual time in which requests come and faults are injected.").Default("25s").Duration()
-	fault := app.Flag("fault", "A deliberate mistake of the fleet, to see that it is found.").String()
+	count := app.Flag("count", "The number of seeds.").Default("10000").Uint64()
+	duration := app.Flag("for", "Virtual time during which requests are sent and faults are injected.").Default("25s").Duration()
+	defect := app.Flag("fault", "A defect to build into the simulated fleet, to show that a check detects it.").String()
 	kingpin.MustParse(app.Parse(os.Args[1:]))
 
-	began := time.Now()
-	sum := emulator.PlayAll(emulator.Options{
-		Seed:  *seed,
-		Fault: emulator.Fault(*fault),
-		For:   *long,
+	startedAt := time.Now()
+	sum := emulator.RunAll(emulator.Options{
+		Seed:     *seed,
+		Defect:   emulator.Defect(*defect),
+		Duration: *duration,
 	}, *count)
-	for _, r := range sum.Bad[:min(len(sum.Bad), shownMost)] {
+	for _, r := range sum.Failed[:min(len(sum.Failed), maxShown)] {
 		fmt.Printf("seed %d: %s (and %d more)\n", r.Seed, r.Violations[0], len(r.Violations)-1)
 	}
-	fmt.Printf("%d seeds: %d requests, %d answered, %d runs, %d faults, %d steps, %d seeds with a violation, in %s\n",
-		*count, sum.Requests, sum.Answered, sum.Runs, sum.Faults, sum.Steps, len(sum.Bad), time.Since(began).Round(time.Second))
-	if len(sum.Bad) > 0 {
+	fmt.Printf("%d seeds: %d requests, %d answered, %d runs, %d faults, %d events, %d seeds with a violation, in %s\n",
+		*count, sum.Requests, sum.Answered, sum.Runs, sum.Faults, sum.Events, len(sum.Failed), time.Since(startedAt).Round(time.Second))
+	if len(sum.Failed) > 0 {
 		os.Exit(1)
 	}
 }
--- a/testscripts/emulator/caller.go
+++ b/testscripts/emulator/caller.go
@@ -7,85 +7,86 @@
 )
 
 const (
-	// idempotentPart of the requests may run more than once, and homePart of them
-	// are bound to a home where the deployment has any.
-	idempotentPart = 0.5
-	homePart       = 0.4
-	// directoryFor is how long a caller goes by one answer of the directory.
-	directoryFor = 5 * time.Second
-	mostRuns     = 2
-	// burstEvery and burstFor shape the load: more comes in bursts.
-	burstEvery = 7 * time.Second
-	burstFor   = time.Second
-	burstTimes = 2
+	// idempotentFraction of the requests are idempotent, and homeRegionFraction are
+	// restricted to one region if the deployment has home regions.
+	idempotentFraction = 0.5
+	homeRegionFraction = 0.4
+	// directoryTTL is how long a caller caches the directory.
+	directoryTTL   = 5 * time.Second
+	defaultMaxRuns = 2
+	// Load rises by burstFactor for burstDuration in every burstInterval.
+	burstInterval = 7 * time.Second
+	burstDuration = time.Second
+	burstFactor   = 2
 )
 
-// caller asks the VMs that a directory named for its region.
+// caller sends requests to the VMs that the directory lists for its region.
 type caller struct {
-	region  string
-	known   []*vm
-	askedAt time.Time
+	region     string
+	vms        []*vm
+	lookedUpAt time.Time
 }
 
-// sendRequests lets requests come until the end.
-func (w *world) sendRequests() {
-	for r := range w.shape.regions {
+// scheduleRequests schedules the requests of all regions for the whole run.
+func (w *world) scheduleRequests() {
+	for r := range w.topology.regions {
 		c := &caller{
 			region: regionName(r),
 		}
-		at := w.clock.now.Add(quietStart)
+		at := w.clock.now.Add(warmup)
 		for at.Before(w.end) {
-			w.clock.at(at, func() { c.ask(w) })
-			rate := w.shape.perSecond / float64(w.shape.regions)
-			if at.Sub(w.clock.begin)%burstEvery < burstFor {
-				rate *= burstTimes
+			w.clock.at(at, func() { c.sendRequest(w) })
+			rate := w.topology.requestsPerSecond / float64(w.topology.regions)
+			if at.Sub(w.clock.begin)%burstInterval < burstDuration {
+				rate *= burstFactor
 			}
 			at = at.Add(time.Duration(w.rand.ExpFloat64() / rate * float64(time.Second)))
 		}
 	}
 }
 
-func (c *caller) ask(w *world) {
-	c.lookUp(w)
-	if len(c.known) == 0 {
+func (c *caller) sendRequest(w *world) {
+	c.refreshDirectory(w)
+	if len(c.vms) == 0 {
 		return
 	}
-	to := c.known[w.rand.IntN(len(c.known))]
+	to := c.vms[w.rand.IntN(len(c.vms))]
 	c.send(w, to, w.newRequest(c.region))
 }
 
-// send has a VM take a request.
+// send delivers a request to a VM.
 func (c *caller) send(w *world, to *vm, r *request) {
-	w.network.send(c.region, to.vm.Region, func() {
+	w.network.send(c.region, to.member.Region, func() {
 		if to.up {
-			to.do(to.life, func() { to.take(r) })
+			to.run(to.incarnation, func() { to.handleRequest(r) })
 		}
 	})
 }
 
-// lookUp asks any running VM of the region for the directory, now and then.
-func (c *caller) lookUp(w *world) {
-	if len(c.known) > 0 && w.clock.now.Sub(c.askedAt) < directoryFor {
+// refreshDirectory fetches the directory from a VM of the region once the cached copy
+// has expired.
+func (c *caller) refreshDirectory(w *world) {
+	if len(c.vms) > 0 && w.clock.now.Sub(c.lookedUpAt) < directoryTTL {
 		return
 	}
 	for _, v := range w.vms {
-		if v.vm.Region != c.region || !v.running(v.life) || v.discovery.Table() == nil {
+		if v.member.Region != c.region || !v.running(v.incarnation) || v.discovery.Table() == nil {
 			continue
 		}
-		c.known = v.directory()
-		c.askedAt = w.clock.now
-		w.ledger.named(v, c.known)
+		c.vms = v.directory()
+		c.lookedUpAt = w.clock.now
+		w.ledger.checkDirectory(v, c.vms)
 		return
 	}
 }
 
-func (w *world) nextSerial() int {
-	w.serial++
-	return w.serial
+func (w *world) nextID() int {
+	w.lastID++
+	return w.lastID
 }
 
-// asCall is the request as the decisions see it.
-func (r *request) asCall(content uint64) *call.Call {
+// newCall returns the request in the form that the tested packages take.
+func (r *request) newCall(content uint64) *call.Call {
 	return &call.Call{
 		Content:    content,
 		Idempotent: r.idempotent,
@@ -98,17 +99,17 @@
 
 func (w *world) newRequest(region string) *request {
 	r := &request{
-		id:         w.nextSerial(),
+		id:         w.nextID(),
 		region:     region,
-		idempotent: w.rand.Float64() < idempotentPart,
-		most:       mostRuns,
+		idempotent: w.rand.Float64() < idempotentFraction,
+		maxRuns:    defaultMaxRuns,
 		sentAt:     w.clock.now,
-		deadline:   w.clock.now.Add(callWithin),
+		deadline:   w.clock.now.Add(callTimeout),
 	}
-	if w.shape.homes && w.rand.Float64() < homePart {
-		r.homes = []string{regionName(w.rand.IntN(w.shape.regions))}
+	if w.topology.homeRegions && w.rand.Float64() < homeRegionFraction {
+		r.homes = []string{regionName(w.rand.IntN(w.topology.regions))}
 	}
-	r.call = r.asCall(uint64(r.id))
+	r.call = r.newCall(uint64(r.id))
 	w.ledger.requests = append(w.ledger.requests, r)
 	return r
 }
--- a/testscripts/emulator/clock.go
+++ b/testscripts/emulator/clock.go
@@ -5,19 +5,19 @@
 	"time"
 )
 
-// clock is virtual time with what happens in it, in order.
+// clock is virtual time with a queue of scheduled events.
 type clock struct {
-	now    time.Time
-	begin  time.Time
-	steps  int
-	serial int
-	queue  events
+	now       time.Time
+	begin     time.Time
+	events    int
+	lastOrder int
+	queue     eventQueue
 }
 
 type event struct {
-	at     time.Time
-	serial int
-	do     func()
+	at    time.Time
+	order int
+	do    func()
 }
 
 func newClock(begin time.Time) *clock {
@@ -28,20 +28,20 @@
 }
 
 func (c *clock) at(at time.Time, do func()) {
-	c.serial++
+	c.lastOrder++
 	heap.Push(&c.queue, event{
-		at:     at,
-		serial: c.serial,
-		do:     do,
+		at:    at,
+		order: c.lastOrder,
+		do:    do,
 	})
 }
 
-// run handles all events up to a moment.
+// run processes all events up to the given time.
 func (c *clock) run(until time.Time) {
 	for len(c.queue) > 0 && !c.queue[0].at.After(until) {
 		next, _ := heap.Pop(&c.queue).(event)
 		c.now = next.at
-		c.steps++
+		c.events++
 		next.do()
 	}
 	c.now = until
@@ -51,26 +51,26 @@
 	return c.now.Sub(c.begin)
 }
 
-// events is a heap by time; those of one moment keep their order.
-type events []event
+// eventQueue is a heap ordered by time, then by insertion.
+type eventQueue []event
 
-func (e events) Len() int { return len(e) }
+func (e eventQueue) Len() int { return len(e) }
 
-func (e events) Less(i, j int) bool {
+func (e eventQueue) Less(i, j int) bool {
 	if e[i].at.Equal(e[j].at) {
-		return e[i].serial < e[j].serial
+		return e[i].order < e[j].order
 	}
 	return e[i].at.Before(e[j].at)
 }
 
-func (e events) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
+func (e eventQueue) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
 
-func (e *events) Push(x any) {
+func (e *eventQueue) Push(x any) {
 	next, _ := x.(event)
 	*e = append(*e, next)
 }
 
-func (e *events) Pop() any {
+func (e *eventQueue) Pop() any {
 	old := *e
 	last := old[len(old)-1]
 	*e = old[:len(old)-1]
--- a/testscripts/emulator/emulator.go
+++ b/testscripts/emulator/emulator.go
@@ -1,7 +1,6 @@
-// Package emulator runs the packages that decide (roster, discovery, routing,
-// retry) on a small fleet in virtual time, through random faults drawn from a
-// seed, and checks what must hold from what callers and endpoints see. The
-// same seed always gives the same run.
+// Package emulator is a deterministic simulation of a small fleet. It runs roster,
+// discovery, routing and retry in virtual time, injects random faults and checks
+// invariants on what callers and endpoints observe. Equal seeds give equal runs.
 package emulator
 
 import (
@@ -10,170 +9,170 @@
 	"time"
 )
 
-// Fault names a deliberate mistake in the fleet's use of its decisions. Each
-// shows that a check can fail.
-type Fault string
+// Defect selects a bug that is built into the simulated fleet, to show that a check
+// detects it.
+type Defect string
 
-// The deliberate mistakes; NoFault is none.
+// The available defects. NoDefect is the zero value.
 const (
-	NoFault          Fault = ""
-	RepeatUnsafe     Fault = "repeat_unsafe"
-	ForgetUncertain  Fault = "forget_uncertain"
-	ServeCold        Fault = "serve_cold"
-	WholeBudget      Fault = "whole_budget"
-	TakeOlder        Fault = "take_older"
-	NameDead         Fault = "name_dead"
-	IgnoreHomes      Fault = "ignore_homes"
-	UnboundedRuns    Fault = "unbounded_runs"
-	IgnoreEvacuation Fault = "ignore_evacuation"
-	IgnoreLeaving    Fault = "ignore_leaving"
-	TrustOld         Fault = "trust_old"
-	// SteadyClock decides by a clock that stands still while the VM does.
-	SteadyClock   Fault = "steady_clock"
-	ForgetCrashes Fault = "forget_crashes"
-	TellNoCrashes Fault = "tell_no_crashes"
-	IgnoreLimits  Fault = "ignore_limits"
-	// LimitsAlone has each VM keep to limits by itself.
-	LimitsAlone Fault = "limits_alone"
+	NoDefect             Defect = ""
+	RetryNonIdempotent   Defect = "repeat_unsafe"
+	ForgetUnknownOutcome Defect = "forget_uncertain"
+	RouteToCold          Defect = "serve_cold"
+	UnsharedRetryBudget  Defect = "whole_budget"
+	UsePeerTable         Defect = "take_older"
+	ListDeadVMs          Defect = "name_dead"
+	IgnoreHomeRegions    Defect = "ignore_homes"
+	UnboundedRuns        Defect = "unbounded_runs"
+	IgnoreEvacuation     Defect = "ignore_evacuation"
+	IgnoreDraining       Defect = "ignore_leaving"
+	TrustStaleState      Defect = "trust_old"
+	// ClockStopsWhileFrozen uses a clock that stops while the VM is frozen.
+	ClockStopsWhileFrozen Defect = "steady_clock"
+	IgnoreQuarantine      Defect = "forget_crashes"
+	SkipCrashReports      Defect = "tell_no_crashes"
+	IgnoreLimits          Defect = "ignore_limits"
+	// EnforceLimitsLocally makes each VM enforce limits without the others.
+	EnforceLimitsLocally Defect = "limits_alone"
 )
 
-// Options are one run.
+// Options configures one run.
 type Options struct {
-	Seed  uint64
-	Fault Fault
-	// For is the virtual time in which requests come and faults are injected.
-	For time.Duration
-	// Crashing are calls that crash the endpoints which run them; they change nothing
-	// that a seed draws otherwise.
-	Crashing Crashing
-	// Limiting are engines that name limits; they change nothing that a seed draws
-	// otherwise.
-	Limiting Limiting
+	Seed   uint64
+	Defect Defect
+	// Duration is the virtual time during which requests are sent and faults are injected.
+	Duration time.Duration
+	// CrashingCalls adds calls that crash endpoints, without changing the other random
+	// choices of a seed.
+	CrashingCalls CrashingCalls
+	// EngineLimits adds engines with rate limits, without changing the other random
+	// choices of a seed.
+	EngineLimits EngineLimits
 }
 
-// Report is what became of a run.
+// Report is the result of one run.
 type Report struct {
 	Seed     uint64
 	Requests int
 	Answered int
 	Runs     int
 	Faults   int
-	// Crashed counts the endpoints that calls have crashed.
-	Crashed int
-	// Repeated counts requests that were sent again as they broke off, Wronged those that
-	// were held although they crash nothing.
-	Repeated int
-	Wronged  int
-	// Limited counts what reached engines while they named limits, and Allowed what these
-	// allowed.
-	Limited int
-	Allowed float64
-	// Steps are the events that were handled.
-	Steps      int
+	// EndpointCrashes counts the endpoints that were crashed by calls.
+	EndpointCrashes int
+	// CallerRetries counts the interrupted requests that their callers sent again, and
+	// FalseQuarantines the harmless requests that were quarantined.
+	CallerRetries    int
+	FalseQuarantines int
+	// LimitedRequests counts the requests that reached engines with a limit, and
+	// AllowedRequests those that the limits allowed.
+	LimitedRequests int
+	AllowedRequests float64
+	// Events is the number of events that were processed.
+	Events     int
 	Violations []Violation
 }
 
-// Violation is something that must not happen.
+// Violation is a failed check.
 type Violation struct {
-	Check Check
-	At    time.Duration
-	Text  string
+	Check   Check
+	At      time.Duration
+	Message string
 }
 
 func (v Violation) String() string {
-	return fmt.Sprintf("%s at %.3f s: %s", v.Check, v.At.Seconds(), v.Text)
+	return fmt.Sprintf("%s at %.3f s: %s", v.Check, v.At.Seconds(), v.Message)
 }
 
-// settleFor is how long a run goes on after the last request: the longest
-// deadline and the time that a region takes to recover.
-const settleFor = 12 * time.Second
+// settleDuration extends a run beyond the last request by the longest deadline plus
+// the time that a region needs to recover.
+const settleDuration = 12 * time.Second
 
-// Run plays one seed.
+// Run simulates one seed.
 func Run(o Options) Report {
 	w := newWorld(o)
 	w.start()
-	if !o.Crashing.Calm && !o.Limiting.Calm {
+	if !o.CrashingCalls.NoOtherFaults && !o.EngineLimits.NoFaults {
 		w.injectFaults()
 	}
-	w.sendRequests()
-	w.sendCrashing(o.Crashing)
-	w.nameLimits(o.Limiting)
-	w.clock.run(w.end.Add(settleFor))
+	w.scheduleRequests()
+	w.scheduleCrashingCalls(o.CrashingCalls)
+	w.scheduleLimits(o.EngineLimits)
+	w.clock.run(w.end.Add(settleDuration))
 	return Report{
-		Seed:       o.Seed,
-		Requests:   len(w.ledger.requests),
-		Answered:   w.ledger.answered,
-		Runs:       w.ledger.runs,
-		Faults:     w.faults,
-		Steps:      w.clock.steps,
-		Crashed:    w.ledger.crashedInAll(),
-		Repeated:   w.ledger.repeated,
-		Wronged:    w.ledger.heldWrongly,
-		Limited:    w.ledger.limited,
-		Allowed:    w.allowed,
-		Violations: w.ledger.violations,
+		Seed:             o.Seed,
+		Requests:         len(w.ledger.requests),
+		Answered:         w.ledger.answered,
+		Runs:             w.ledger.runs,
+		Faults:           w.injectedFaults,
+		Events:           w.clock.events,
+		EndpointCrashes:  w.ledger.totalCrashes(),
+		CallerRetries:    w.ledger.callerRetries,
+		FalseQuarantines: w.ledger.falseQuarantines,
+		LimitedRequests:  w.ledger.limitedRequests,
+		AllowedRequests:  w.allowedRequests,
+		Violations:       w.ledger.violations,
 	}
 }
 
-// world is one fleet with its callers, store and endpoints.
+// world holds one simulated fleet with its callers, store and endpoints.
 type world struct {
-	fault   Fault
-	rand    *rand.Rand
-	clock   *clock
-	network *network
-	store   *store
-	engines []*engine
-	vms     []*vm
-	ledger  *ledger
-	shape   shape
-	end     time.Time
-	faults  int
-	lives   uint64
-	serial  int
-	// crashDraws are the draws of the crashing calls.
-	crashDraws *rand.Rand
-	// allowed is how many requests the limits that engines named have allowed.
-	allowed float64
-	// repeats is how often a caller sends a request again that broke off.
-	repeats int
+	defect          Defect
+	rand            *rand.Rand
+	clock           *clock
+	network         *network
+	store           *store
+	engines         []*engine
+	vms             []*vm
+	ledger          *ledger
+	topology        topology
+	end             time.Time
+	injectedFaults  int
+	lastIncarnation uint64
+	lastID          int
+	// crashRand is the source of randomness for crashing calls.
+	crashRand *rand.Rand
+	// allowedRequests is how many requests the engines' limits allowed so far.
+	allowedRequests float64
+	// maxCallerRetries is how often a caller retries an interrupted request.
+	maxCallerRetries int
 }
 
-// shape is what the seed draws for the deployment.
-type shape struct {
-	regions   int
-	perRegion int
-	engines   int
-	perSecond float64
-	homes     bool
+// topology is the size and load of the deployment, chosen by the seed.
+type topology struct {
+	regions           int
+	vmsPerRegion      int
+	enginesPerRegion  int
+	requestsPerSecond float64
+	homeRegions       bool
 }
 
 func newWorld(o Options) *world {
 	begin := time.Unix(1e9, 0)
 	w := &world{
-		fault:      o.Fault,
-		rand:       rand.New(rand.NewPCG(o.Seed, seedStream)),
-		crashDraws: rand.New(rand.NewPCG(o.Seed, crashStream)),
-		clock:      newClock(begin),
-		end:        begin.Add(o.For),
+		defect:    o.Defect,
+		rand:      rand.New(rand.NewPCG(o.Seed, randStream)),
+		crashRand: rand.New(rand.NewPCG(o.Seed, crashRandStream)),
+		clock:     newClock(begin),
+		end:       begin.Add(o.Duration),
 	}
-	w.shape = shape{
-		regions:   2 + w.rand.IntN(2),
-		perRegion: 1 + w.rand.IntN(3),
-		engines:   2 + w.rand.IntN(2),
-		perSecond: leastRequests + w.rand.Float64()*(mostRequests-leastRequests),
-		homes:     w.rand.IntN(2) == 0,
+	w.topology = topology{
+		regions:           2 + w.rand.IntN(2),
+		vmsPerRegion:      1 + w.rand.IntN(3),
+		enginesPerRegion:  2 + w.rand.IntN(2),
+		requestsPerSecond: minRequestsPerSecond + w.rand.Float64()*(maxRequestsPerSecond-minRequestsPerSecond),
+		homeRegions:       w.rand.IntN(2) == 0,
 	}
-	o.Crashing.shape(&w.shape)
-	o.Limiting.shape(&w.shape)
-	w.repeats = o.Crashing.Repeats
+	o.CrashingCalls.override(&w.topology)
+	o.EngineLimits.override(&w.topology)
+	w.maxCallerRetries = o.CrashingCalls.CallerRetries
 	w.network = newNetwork(w)
 	w.ledger = newLedger(w)
 	w.store = newStore(w)
-	for r := range w.shape.regions {
-		for range w.shape.engines {
+	for r := range w.topology.regions {
+		for range w.topology.enginesPerRegion {
 			w.addEngine(regionName(r))
 		}
-		for i := range w.shape.perRegion {
+		for i := range w.topology.vmsPerRegion {
 			w.vms = append(w.vms, newVM(w, r, i))
 		}
 	}
@@ -181,23 +180,23 @@
 }
 
 const (
-	// seedStream separates these draws from those of other users of a seed.
-	seedStream  = 7
-	crashStream = 11
-	// leastRequests and mostRequests a second over all regions keep a cold
-	// endpoint's part of them, until it is known to be cold, below its bound.
-	leastRequests = 4
-	mostRequests  = 10
-	// startWithin is the time within which the processes start.
-	startWithin = 300 * time.Millisecond
-	// quietStart is the time without requests and faults at the beginning.
-	quietStart = 5 * time.Second
+	// randStream and crashRandStream separate the random streams of one seed.
+	randStream      = 7
+	crashRandStream = 11
+	// The request rate, over all regions, is low enough that a cold endpoint stays below
+	// maxColdRequests until the fleet knows that it is cold.
+	minRequestsPerSecond = 4
+	maxRequestsPerSecond = 10
+	// maxStartDelay is the time within which the processes start.
+	maxStartDelay = 300 * time.Millisecond
+	// warmup precedes the first request and the first fault.
+	warmup = 5 * time.Second
 )
 
 func (w *world) start() {
-	w.store.publish()
+	w.store.publishConfig()
 	for _, v := range w.vms {
-		w.after(w.between(0, startWithin), v.start)
+		w.after(w.randomDuration(0, maxStartDelay), v.start)
 	}
 }
 
@@ -205,8 +204,8 @@
 	w.clock.at(w.clock.now.Add(d), do)
 }
 
-func (w *world) between(least, most time.Duration) time.Duration {
-	return least + time.Duration(w.rand.Int64N(int64(most-least)+1))
+func (w *world) randomDuration(shortest, longest time.Duration) time.Duration {
+	return shortest + time.Duration(w.rand.Int64N(int64(longest-shortest)+1))
 }
 
 func regionName(i int) string {
--- a/testscripts/emulator/engine.go
+++ b/testscripts/emulator/engine.go
@@ -10,71 +10,71 @@
 )
 
 const (
-	// serviceName is the one service, which has cold endpoints.
+	// serviceName is the only service. Its endpoints start cold.
 	serviceName = "s"
-	// coldFor is how long an endpoint is cold after its start.
+	// coldFor is how long an endpoint is cold after it starts.
 	coldFor = 3 * time.Second
-	// leastWork and mostWork bound the time of one run.
-	leastWork = 5 * time.Millisecond
-	mostWork  = 300 * time.Millisecond
-	// lingerFor is how long a leaving endpoint still serves beyond its bound.
-	lingerFor = time.Second
+	// minRunTime and maxRunTime bound the duration of one run.
+	minRunTime = 5 * time.Millisecond
+	maxRunTime = 300 * time.Millisecond
+	// drainGrace is how long a draining endpoint serves after drainTimeout.
+	drainGrace = time.Second
 )
 
-// engine is an endpoint.
+// engine is a simulated endpoint.
 type engine struct {
-	world     *world
-	endpoint  fleet.Endpoint
-	up        bool
-	listed    bool
-	coldUntil time.Time
-	// lostPart of the runs end without their answer arriving, refusedPart of the
-	// requests are refused, and failedPart of the runs fail.
-	lostPart, refusedPart, failedPart float64
-	// arrivals are the requests that it got lately.
-	arrivals []arrival
-	// limit is what its answers name.
+	world      *world
+	endpoint   fleet.Endpoint
+	up         bool
+	registered bool
+	coldUntil  time.Time
+	// The fractions of runs whose answer is lost, of requests that are refused, and of
+	// runs that fail.
+	lostFraction, refusedFraction, failedFraction float64
+	// coldArrivals are the requests that arrived while the endpoint was cold.
+	coldArrivals []arrival
+	// limit is the rate limit that its answers carry.
 	limit engineLimit
 }
 
 type arrival struct {
-	sent, arrived time.Time
+	sentAt, arrivedAt time.Time
 }
 
-// attempt is one send of a request.
+// attempt is one transmission of a request to an endpoint.
 type attempt struct {
 	request *request
-	// instance is the endpoint that is meant.
-	instance string
-	from     *vm
-	sentAt   time.Time
-	// rated takes what the answer says of the engine's rate, before done takes the rest.
-	rated func(fleet.Rate)
-	done  func(result.Code, bool)
+	// endpointID is the endpoint that the VM chose.
+	endpointID string
+	from       *vm
+	sentAt     time.Time
+	// onRate receives the rate limit of an answer, before onAnswer receives the result.
+	onRate   func(fleet.Rate)
+	onAnswer func(result.Code, bool)
 }
 
 func (w *world) addEngine(region string) *engine {
-	w.serial++
+	w.lastID++
 	e := &engine{
 		world: w,
 		endpoint: fleet.Endpoint{
-			ID:         fmt.Sprintf("e%d", w.serial),
+			ID:         fmt.Sprintf("e%d", w.lastID),
 			Region:     region,
 			DataCentre: region,
-			Addr:       fmt.Sprintf("addr-%d", w.serial),
+			Addr:       fmt.Sprintf("addr-%d", w.lastID),
 			Service:    serviceName,
 			Slots:      64,
 			State:      fleet.StateLive,
 		},
-		up:     true,
-		listed: true,
+		up:         true,
+		registered: true,
 	}
 	w.engines = append(w.engines, e)
 	w.store.put(e)
 	return e
 }
 
-func (w *world) engineAt(id string) *engine {
+func (w *world) engineByID(id string) *engine {
 	for _, e := range w.engines {
 		if e.endpoint.ID == id {
 			return e
@@ -83,15 +83,15 @@
 	return nil
 }
 
-// takeAddress gives an endpoint the address of one that is gone.
-func (e *engine) takeAddress(gone *engine) {
+// reuseAddress gives the endpoint the address of one that has stopped.
+func (e *engine) reuseAddress(gone *engine) {
 	e.endpoint.Addr = gone.endpoint.Addr
 }
 
-// becomeCold makes the endpoint cold, which its entry tells.
+// becomeCold makes the endpoint cold and updates its entry in the store.
 func (e *engine) becomeCold() {
 	e.coldUntil = e.world.clock.now.Add(coldFor)
-	e.arrivals = nil
+	e.coldArrivals = nil
 	e.world.store.put(e)
 }
 
@@ -99,97 +99,97 @@
 	return e.world.clock.now.Before(e.coldUntil)
 }
 
-// crash ends the endpoint; its entry lapses later.
+// crash stops the endpoint at once; its entry expires later.
 func (e *engine) crash() {
 	e.up = false
-	e.world.after(lapseAfter, func() { e.world.store.remove(e) })
+	e.world.after(leaseTTL, func() { e.world.store.remove(e) })
 }
 
-// leave announces that the endpoint stops, and stops it.
-func (e *engine) leave() {
+// drain marks the endpoint as leaving and stops it after the drain time.
+func (e *engine) drain() {
 	e.endpoint.State = fleet.StateLeaving
 	e.world.store.put(e)
-	e.world.after(drainWithin+lingerFor, func() {
+	e.world.after(drainTimeout+drainGrace, func() {
 		e.up = false
 		e.world.store.remove(e)
 	})
 }
 
-// withdraw takes the entry away, and stops the endpoint later.
-func (e *engine) withdraw() {
+// deregister removes the entry at once and stops the endpoint later.
+func (e *engine) deregister() {
 	e.endpoint.State = fleet.StateLeaving
 	e.world.store.remove(e)
-	e.world.store.acknowledge(acknowledgement{leaving: e.endpoint.ID})
-	e.world.after(2*drainWithin+lingerFor, func() { e.up = false })
+	e.world.store.acknowledge(acknowledgement{draining: e.endpoint.ID})
+	e.world.after(2*drainTimeout+drainGrace, func() { e.up = false })
 }
 
-// get takes a request that has arrived at its address.
-func (e *engine) get(a attempt) {
+// receive handles a request that reached the endpoint's address.
+func (e *engine) receive(a attempt) {
 	if !e.up {
-		a.answer(e, result.EndpointFailed, false)
+		a.reply(e, result.EndpointFailed, false)
 		return
 	}
-	if e.endpoint.ID != a.instance {
-		a.answer(e, result.EndpointRefused, true)
+	if e.endpoint.ID != a.endpointID {
+		a.reply(e, result.EndpointRefused, true)
 		return
 	}
-	e.world.ledger.arrived(e, a)
-	if e.world.rand.Float64() < e.refusedPart {
-		a.answer(e, result.EndpointRefused, true)
+	e.world.ledger.recordArrival(e, a)
+	if e.world.rand.Float64() < e.refusedFraction {
+		a.reply(e, result.EndpointRefused, true)
 		return
 	}
-	e.world.ledger.ran(e, a)
-	if a.request.crashes {
-		e.world.after(crashAfter, func() { e.crashUnder(a) })
+	e.world.ledger.recordRun(e, a)
+	if a.request.crashesEndpoint {
+		e.world.after(crashDelay, func() { e.crashDuring(a) })
 		return
 	}
-	e.world.after(e.world.between(leastWork, mostWork), func() { e.finish(a) })
+	e.world.after(e.world.randomDuration(minRunTime, maxRunTime), func() { e.finish(a) })
 }
 
 func (e *engine) finish(a attempt) {
 	draw := e.world.rand.Float64()
 	switch {
-	case !e.up || draw < e.lostPart:
-		a.answer(e, result.EndpointCut, true)
-	case draw < e.lostPart+e.failedPart:
-		a.answer(e, result.EndpointFailed, true)
+	case !e.up || draw < e.lostFraction:
+		a.reply(e, result.EndpointCut, true)
+	case draw < e.lostFraction+e.failedFraction:
+		a.reply(e, result.EndpointFailed, true)
 	default:
-		a.answer(e, result.Done, true)
+		a.reply(e, result.Done, true)
 	}
 }
 
-func (a attempt) answer(e *engine, code result.Code, sent bool) {
-	rate, says := e.limit.rate, e.endpoint.ID == a.instance && sent && code != result.EndpointCut
-	e.world.network.send(e.endpoint.Region, a.from.vm.Region, func() {
-		if says {
-			a.rated(rate)
+func (a attempt) reply(e *engine, code result.Code, sent bool) {
+	rate, includesRate := e.limit.rate, e.endpoint.ID == a.endpointID && sent && code != result.EndpointCut
+	e.world.network.send(e.endpoint.Region, a.from.member.Region, func() {
+		if includesRate {
+			a.onRate(rate)
 		}
-		a.done(code, sent)
+		a.onAnswer(code, sent)
 	})
 }
 
-// request is what one caller asked once.
+// request is one request of a caller.
 type request struct {
 	id         int
 	region     string
 	idempotent bool
-	most       int
+	maxRuns    int
 	homes      []string
 	deadline   time.Time
 	sentAt     time.Time
 	call       *call.Call
-	// crashes says that the endpoint which runs the request crashes.
-	crashes bool
-	// tries is how often its caller has sent it before.
-	tries int
-	run   runs
+	// crashesEndpoint is set if running the request crashes the endpoint.
+	crashesEndpoint bool
+	// callerRetries is how often the caller has already retried it.
+	callerRetries int
+	outcome       outcome
 }
 
-// runs is what endpoints and the caller saw of a request.
-type runs struct {
+// outcome is what endpoints and the caller observed of a request.
+type outcome struct {
 	arrivals int
-	count    int
+	runs     int
 	engines  []*engine
 	answer   result.Code
-	ended    bool
+	answered bool
 }
--- a/testscripts/emulator/gossip.go
+++ b/testscripts/emulator/gossip.go
@@ -8,170 +8,170 @@
 	"github.com/fuchsianotch/fuchsianotch/throttle"
 )
 
-// pullAfter is how long a reader waits for its own read before it asks a peer.
-const pullAfter = 300 * time.Millisecond
+// pullDelay gives a store reader time to see a change itself before it asks a peer.
+const pullDelay = 300 * time.Millisecond
 
-// gossip is one VM's side of an exchange.
-type gossip struct {
-	from     roster.Rumor
-	digest   roster.Digest
-	rumors   []roster.Rumor
-	revision uint64
-	cold     []coldWord
-	limits   []throttle.Limit
-	// limitsDigest shows whether two VMs hold the same limits of engines.
+// gossipMessage is what one VM sends in an exchange.
+type gossipMessage struct {
+	sender        roster.Rumor
+	digest        roster.Digest
+	rumors        []roster.Rumor
+	revision      uint64
+	coldEndpoints []coldEndpoint
+	limits        []throttle.Limit
+	// limitsDigest differs if two VMs know different engine limits.
 	limitsDigest uint64
 	table        *route.Table
-	// sender and life say whom to pull from.
-	sender *vm
-	life   uint64
+	// senderVM and senderIncarnation identify the process to pull from.
+	senderVM          *vm
+	senderIncarnation uint64
 }
 
-type coldWord struct {
-	endpoint string
-	number   uint64
-	left     time.Duration
+type coldEndpoint struct {
+	id          string
+	startNumber uint64
+	remaining   time.Duration
 }
 
-func (v *vm) message(rumors []roster.Rumor) gossip {
-	m := gossip{
-		from:     v.roster.Self(),
-		digest:   v.roster.Digest(),
-		rumors:   rumors,
-		revision: v.mirror.Revision(),
-		table:    v.discovery.Table(),
-		sender:   v,
-		life:     v.life,
+func (v *vm) newGossipMessage(rumors []roster.Rumor) gossipMessage {
+	m := gossipMessage{
+		sender:            v.roster.Self(),
+		digest:            v.roster.Digest(),
+		rumors:            rumors,
+		revision:          v.mirror.Revision(),
+		table:             v.discovery.Table(),
+		senderVM:          v,
+		senderIncarnation: v.incarnation,
 	}
 	now := v.now()
 	m.limits = v.throttle.Recent(now)
 	m.limitsDigest = v.throttle.Digest()
 	for _, e := range v.discovery.Endpoints(now) {
-		if e.Region == v.vm.Region && !e.ColdUntil.IsZero() {
-			m.cold = append(m.cold, coldWord{
-				endpoint: e.ID,
-				number:   e.ColdNumber,
-				left:     e.ColdUntil.Sub(now),
+		if e.Region == v.member.Region && !e.ColdUntil.IsZero() {
+			m.coldEndpoints = append(m.coldEndpoints, coldEndpoint{
+				id:          e.ID,
+				startNumber: e.ColdNumber,
+				remaining:   e.ColdUntil.Sub(now),
 			})
 		}
 	}
 	return m
 }
 
-func (v *vm) exchange(targets []roster.Target) {
+func (v *vm) gossipTo(targets []roster.Target) {
 	for _, t := range targets {
-		v.exchangeWith(t)
+		v.gossipToOne(t)
 	}
 }
 
-// exchangeWith sends a message and takes the answer, or that there was none.
-func (v *vm) exchangeWith(t roster.Target) {
-	w, life := v.world, v.life
-	var to *vm
+// gossipToOne exchanges messages with one peer and records a timeout if it does not answer.
+func (v *vm) gossipToOne(t roster.Target) {
+	w, incarnation := v.world, v.incarnation
+	var peer *vm
 	for _, other := range w.vms {
-		if other.vm.PeerAddr == t.VM.PeerAddr {
-			to = other
+		if other.member.PeerAddr == t.VM.PeerAddr {
+			peer = other
 		}
 	}
-	m := v.message(v.roster.Recent(v.now()))
+	m := v.newGossipMessage(v.roster.Recent(v.now()))
 	answered := false
-	w.after(dialWithin, func() {
+	w.after(dialTimeout, func() {
 		if !answered {
-			v.do(life, func() { v.missed(t) })
+			v.run(incarnation, func() { v.gossipTimedOut(t) })
 		}
 	})
-	w.network.send(v.vm.Region, to.vm.Region, func() {
-		if !to.up {
-			w.network.send(to.vm.Region, v.vm.Region, func() {
+	w.network.send(v.member.Region, peer.member.Region, func() {
+		if !peer.up {
+			w.network.send(peer.member.Region, v.member.Region, func() {
 				answered = true
-				v.do(life, func() { v.roster.Refused(t.VM.ID, v.now()) })
+				v.run(incarnation, func() { v.roster.Refused(t.VM.ID, v.now()) })
 			})
 			return
 		}
-		to.do(to.life, func() {
-			to.heard(m)
-			reply := to.message(to.roster.Differing(m.digest))
+		peer.run(peer.incarnation, func() {
+			peer.applyGossip(m)
+			reply := peer.newGossipMessage(peer.roster.Differing(m.digest))
 			if reply.limitsDigest != m.limitsDigest {
-				reply.limits = to.throttle.Limits()
+				reply.limits = peer.throttle.Limits()
 			}
-			w.network.send(to.vm.Region, v.vm.Region, func() {
+			w.network.send(peer.member.Region, v.member.Region, func() {
 				if answered {
 					return
 				}
 				answered = true
-				v.do(life, func() { v.heard(reply) })
+				v.run(incarnation, func() { v.applyGossip(reply) })
 			})
 		})
 	})
 }
 
-func (v *vm) missed(t roster.Target) {
+func (v *vm) gossipTimedOut(t roster.Target) {
 	if t.VM.ID != "" {
 		v.roster.Missed(t.VM.ID, v.now())
 	}
 }
 
-func (v *vm) heard(m gossip) {
+func (v *vm) applyGossip(m gossipMessage) {
 	now := v.now()
-	v.roster.Heard(m.from, m.rumors, now)
-	v.pictured = nil
+	v.roster.Heard(m.sender, m.rumors, now)
+	v.cachedPicture = nil
 	if m.table != nil {
-		v.heardTable = m.table
+		v.peerTable = m.table
 	}
-	news := false
-	for _, c := range m.cold {
-		if v.discovery.HeardCold(c.endpoint, c.number, now.Add(c.left), now) {
-			news = true
+	changed := false
+	for _, c := range m.coldEndpoints {
+		if v.discovery.HeardCold(c.id, c.startNumber, now.Add(c.remaining), now) {
+			changed = true
 		}
 	}
-	if news {
-		v.changed = true
-		v.publish()
-		v.exchange(v.roster.Spread(coldTellTo))
+	if changed {
+		v.endpointsChanged = true
+		v.applyState()
+		v.gossipTo(v.roster.Spread(coldFanout))
 	}
-	if m.sender.vm.Region == v.vm.Region {
+	if m.senderVM.member.Region == v.member.Region {
 		for _, w := range m.limits {
 			v.throttle.Learn(w, now)
 		}
 	}
 	if m.revision > v.mirror.Revision() {
-		v.pullSoon(m)
+		v.schedulePull(m)
 	}
 }
 
-// pullSoon asks a peer for what it holds of the store.
-func (v *vm) pullSoon(m gossip) {
-	w, life := v.world, v.life
+// schedulePull pulls the store's contents from a peer that has a newer revision.
+func (v *vm) schedulePull(m gossipMessage) {
+	w, incarnation := v.world, v.incarnation
 	wait := time.Duration(0)
-	if v.picture().Reads(readers) {
-		wait = pullAfter
+	if v.picture().Reads(storeReaders) {
+		wait = pullDelay
 	}
 	w.after(wait, func() {
-		v.do(life, func() {
+		v.run(incarnation, func() {
 			if v.mirror.Revision() < m.revision {
-				v.pull(m.sender, m.life)
+				v.pullFrom(m.senderVM, m.senderIncarnation)
 			}
 		})
 	})
 }
 
-func (v *vm) pull(from *vm, fromLife uint64) {
-	w, life := v.world, v.life
-	after := v.mirror.Revision()
-	w.network.send(v.vm.Region, from.vm.Region, func() {
-		from.do(fromLife, func() {
-			var got reading
-			got.items, got.whole = from.mirror.Since(after)
-			got.revision = from.mirror.Revision()
+func (v *vm) pullFrom(from *vm, fromIncarnation uint64) {
+	w, incarnation := v.world, v.incarnation
+	knownRevision := v.mirror.Revision()
+	w.network.send(v.member.Region, from.member.Region, func() {
+		from.run(fromIncarnation, func() {
+			var result readResult
+			result.items, result.full = from.mirror.Since(knownRevision)
+			result.revision = from.mirror.Revision()
 			settling := from.discovery.Settling(from.now())
-			w.network.send(from.vm.Region, v.vm.Region, func() {
-				v.do(life, func() { v.tookPull(got, settling) })
+			w.network.send(from.member.Region, v.member.Region, func() {
+				v.run(incarnation, func() { v.applyPull(result, settling) })
 			})
 		})
 	})
 }
 
-func (v *vm) tookPull(got reading, settling time.Duration) {
-	v.discovery.SettleUntil(v.now().Add(settling))
-	v.takeNew(v.merge(got))
+func (v *vm) applyPull(pulled readResult, settleFor time.Duration) {
+	v.discovery.SettleUntil(v.now().Add(settleFor))
+	v.applyItems(v.merge(pulled))
 }
--- /dev/null
+++ b/testscripts/emulator/health_probe.go
@@ -0,0 +1,85 @@
+package emulator
+
+import (
+	"time"
+
+	"github.com/fuchsianotch/fuchsianotch/entry"
+	"github.com/fuchsianotch/fuchsianotch/fleet"
+	"github.com/fuchsianotch/fuchsianotch/throttle"
+)
+
+// probeHealth periodically probes the endpoints that rendezvous hashing assigns to this
+// VM, to learn whether they are cold.
+func (v *vm) probeHealth(incarnation uint64) {
+	v.run(incarnation, func() {
+		vmIDs := v.reachableLocalVMs()
+		for _, e := range v.endpoints() {
+			if entry.Owner(e.ID, vmIDs) == v.member.ID && v.throttle.QuestionDue(e, 1, v.now()) {
+				v.probeWithPermit(incarnation, e)
+			}
+		}
+		interval := probeInterval
+		if v.picture().StoreAway() {
+			interval = fastProbeInterval
+		}
+		v.world.after(interval, func() { v.probeHealth(incarnation) })
+	})
+}
+
+// probeAfterPause probes all endpoints of the region once after each pause of the process.
+func (v *vm) probeAfterPause(incarnation uint64) {
+	resuming := v.roster.Waking()
+	if resuming && !v.resuming {
+		probedAt := v.now()
+		for _, e := range v.endpoints() {
+			v.probeWithPermit(incarnation, e)
+		}
+		v.world.after(probeAllDuration, func() {
+			v.run(incarnation, func() {
+				v.roster.News(probedAt)
+				v.cachedPicture = nil
+			})
+		})
+	}
+	v.resuming = resuming
+}
+
+// reachableLocalVMs returns the IDs of the reachable VMs of the own region.
+func (v *vm) reachableLocalVMs() []string {
+	var out []string
+	for _, vm := range v.picture().Reached(v.member.Region) {
+		out = append(out, vm.ID)
+	}
+	return out
+}
+
+// probeWithPermit probes an endpoint if its rate limit allows a request now.
+func (v *vm) probeWithPermit(incarnation uint64, e fleet.Endpoint) {
+	v.requestPermit(incarnation, e, func(p *throttle.Permit, _ time.Time) {
+		if p != nil && v.mayUse(e, p) {
+			v.probe(incarnation, e)
+		}
+	})
+}
+
+func (v *vm) probe(incarnation uint64, e fleet.Endpoint) {
+	w := v.world
+	w.after(2*localLatency, func() {
+		found := w.engineByID(e.ID)
+		if found == nil || !found.up {
+			return
+		}
+		w.ledger.checkLimit(found, v)
+		if !found.cold() {
+			return
+		}
+		until := found.coldUntil
+		v.run(incarnation, func() {
+			if v.discovery.Cold(e.ID, until, v.now()) {
+				v.endpointsChanged = true
+				v.applyState()
+				v.gossipTo(v.roster.Spread(coldFanout))
+			}
+		})
+	})
+}
--- a/testscripts/emulator/network.go
+++ b/testscripts/emulator/network.go
@@ -3,66 +3,66 @@
 import "time"
 
 const (
-	// nearWay is the time between two places of one region, one way.
-	nearWay = time.Millisecond
-	// leastWay and mostWay bound it between regions.
-	leastWay = 5 * time.Millisecond
-	mostWay  = 90 * time.Millisecond
-	// dialWithin is how long a connection that nobody answers is waited for.
-	dialWithin = time.Second
+	// localLatency is the one-way latency within a region.
+	localLatency = time.Millisecond
+	// minRegionLatency and maxRegionLatency bound the one-way latency between regions.
+	minRegionLatency = 5 * time.Millisecond
+	maxRegionLatency = 90 * time.Millisecond
+	// dialTimeout is how long an unanswered connection attempt takes to fail.
+	dialTimeout = time.Second
 )
 
-// network carries messages between regions, unless it is cut.
+// network delivers messages between regions unless they are partitioned.
 type network struct {
-	world *world
-	ways  map[link]time.Duration
-	cuts  map[link]int
+	world      *world
+	latencies  map[link]time.Duration
+	partitions map[link]int
 }
 
-// link is the way from one region to another.
+// link is one direction between two regions.
 type link struct {
 	from, to string
 }
 
 func newNetwork(w *world) *network {
 	n := &network{
-		world: w,
-		ways:  make(map[link]time.Duration),
-		cuts:  make(map[link]int),
+		world:      w,
+		latencies:  make(map[link]time.Duration),
+		partitions: make(map[link]int),
 	}
-	for a := range w.shape.regions {
+	for a := range w.topology.regions {
 		for b := range a {
-			way := w.between(leastWay, mostWay)
-			n.ways[link{from: regionName(a), to: regionName(b)}] = way
-			n.ways[link{from: regionName(b), to: regionName(a)}] = way
+			latency := w.randomDuration(minRegionLatency, maxRegionLatency)
+			n.latencies[link{from: regionName(a), to: regionName(b)}] = latency
+			n.latencies[link{from: regionName(b), to: regionName(a)}] = latency
 		}
 	}
 	return n
 }
 
-func (n *network) way(from, to string) time.Duration {
+func (n *network) latency(from, to string) time.Duration {
 	if from == to {
-		return nearWay
+		return localLatency
 	}
-	return n.ways[link{from: from, to: to}]
+	return n.latencies[link{from: from, to: to}]
 }
 
-// send delivers a message after its way; it is lost while the way is cut.
+// send delivers a message after the latency of its link, unless the link is then partitioned.
 func (n *network) send(from, to string, do func()) {
-	n.world.after(n.way(from, to), func() {
-		if n.cuts[link{from: from, to: to}] == 0 {
+	n.world.after(n.latency(from, to), func() {
+		if n.partitions[link{from: from, to: to}] == 0 {
 			do()
 		}
 	})
 }
 
-// cut loses what goes either way between two regions for some time.
-func (n *network) cut(a, b string, lasts time.Duration) {
-	there, back := link{from: a, to: b}, link{from: b, to: a}
-	n.cuts[there]++
-	n.cuts[back]++
-	n.world.after(lasts, func() {
-		n.cuts[there]--
-		n.cuts[back]--
+// partition drops messages between two regions in both directions for the duration.
+func (n *network) partition(a, b string, duration time.Duration) {
+	forward, backward := link{from: a, to: b}, link{from: b, to: a}
+	n.partitions[forward]++
+	n.partitions[backward]++
+	n.world.after(duration, func() {
+		n.partitions[forward]--
+		n.partitions[backward]--
 	})
 }
--- a/testscripts/emulator/norace_test.go
+++ b/testscripts/emulator/norace_test.go
@@ -2,8 +2,8 @@
 
 package emulator
 
-// slower divides the schedules of a run with the race detector only.
-const slower = 1
+// raceDivisor divides the number of seeds.
+const raceDivisor = 1
 
-// mostVMs bounds the fleets that are played.
-const mostVMs = 300
+// maxVMs bounds the simulated fleets.
+const maxVMs = 300
--- a/testscripts/emulator/race_test.go
+++ b/testscripts/emulator/race_test.go
@@ -2,9 +2,9 @@
 
 package emulator
 
-// slower divides the schedules of a run with the race detector, which takes some
-// ten times as long on a machine that does other work too.
-const slower = 20
+// raceDivisor divides the number of seeds, as the race detector slows runs down about
+// tenfold.
+const raceDivisor = 20
 
-// mostVMs bounds the fleets that are played: 300 VMs would take minutes.
-const mostVMs = 90
+// maxVMs bounds the simulated fleets; larger ones take minutes with the race detector.
+const maxVMs = 90
--- a/testscripts/emulator/store.go
+++ b/testscripts/emulator/store.go
@@ -9,84 +9,84 @@
 )
 
 const (
-	// drainWithin is the time by which a leaving endpoint gets nothing more, and
-	// evacuateWithin the same for a data centre that is emptied.
-	drainWithin    = 4 * time.Second
-	evacuateWithin = 5 * time.Second
-	// configWithin is the time by which a version is in force.
-	configWithin = 4 * time.Second
-	// lapseAfter is when the entry of a lost endpoint goes.
-	lapseAfter = 3 * time.Second
-	// returnWithin is when entries that lapsed in an outage are back.
-	returnWithin = 2 * time.Second
-	// storeRegion is where the store stands.
+	// drainTimeout and evacuationTimeout bound the time until a draining endpoint, or an
+	// evacuated data centre, gets no more requests.
+	drainTimeout      = 4 * time.Second
+	evacuationTimeout = 5 * time.Second
+	// configPropagation bounds the time until every VM uses a new configuration.
+	configPropagation = 4 * time.Second
+	// leaseTTL is when the entry of a lost endpoint expires.
+	leaseTTL = 3 * time.Second
+	// reregistrationTime bounds the time until expired entries return after an outage.
+	reregistrationTime = 2 * time.Second
+	// storeRegion is the region that hosts the store.
 	storeRegion = "r0"
 	configKey   = "config"
-	hostName    = "h"
-	pathPrefix  = "/a/"
-	// retryRatio, retrySlack and retryWindow bound the repeats over all VMs.
-	retryRatio  = 0.2
-	retrySlack  = 4
-	retryWindow = 10 * time.Second
-	routeWithin = 3 * time.Second
-	// callWithin is the time that callers wait.
-	callWithin = 4 * time.Second
+	routeHost   = "h"
+	routePrefix = "/a/"
+	// The retry budget over all VMs: retryBurst plus retryRatio of the requests per retryWindow.
+	retryRatio   = 0.2
+	retryBurst   = 4
+	retryWindow  = 10 * time.Second
+	routeTimeout = 3 * time.Second
+	// callTimeout is how long callers wait.
+	callTimeout = 4 * time.Second
 )
 
-// store is the store that VMs only read.
+// store simulates the central store, which VMs only read.
 type store struct {
 	world    *world
 	revision uint64
-	items    map[string]discovery.Item
-	// changes are those since forgotten, by revision.
-	changes   []discovery.Item
-	forgotten uint64
-	decoded   map[uint64]discovery.Change
-	version   uint64
-	// down and silent say how it fails; turnsAway are regions that it does not serve.
-	down, silent int
-	turnsAway    map[string]int
-	unstableAt   time.Time
-	acknowledged []acknowledgement
+	entries  map[string]discovery.Item
+	// history holds the changes after compactedRevision.
+	history           []discovery.Item
+	compactedRevision uint64
+	changes           map[uint64]discovery.Change
+	configVersion     uint64
+	// outages and silentOutages count the outages in progress, and denied those of single regions.
+	outages, silentOutages int
+	denied                 map[string]int
+	lastFaultAt            time.Time
+	acknowledged           []acknowledgement
 }
 
-// acknowledgement is when the store took something that VMs must heed.
+// acknowledgement records a write that VMs must respect from then on.
 type acknowledgement struct {
 	at        time.Time
 	version   uint64
 	evacuated string
-	takenBack bool
-	leaving   string
+	canceled  bool
+	draining  string
 }
 
 func newStore(w *world) *store {
 	return &store{
-		world:     w,
-		items:     make(map[string]discovery.Item),
-		decoded:   make(map[uint64]discovery.Change),
-		turnsAway: make(map[string]int),
+		world:   w,
+		entries: make(map[string]discovery.Item),
+		changes: make(map[uint64]discovery.Change),
+		denied:  make(map[string]int),
 	}
 }
 
-// publish writes the next configuration.
-func (s *store) publish() {
-	s.version++
+// publishConfig writes the next configuration version.
+func (s *store) publishConfig() {
+	s.configVersion++
 	s.write(configKey, discovery.Change{
 		Key:   configKey,
 		Table: s.table(),
 	})
-	s.acknowledge(acknowledgement{version: s.version})
+	s.acknowledge(acknowledgement{version: s.configVersion})
 }
 
 func (s *store) table() *route.Table {
 	return route.New(route.Options{
-		Version: s.version,
+		Version: s.configVersion,
 		Routes: []route.Route{{
 			Name:        "a",
-			Host:        hostName,
-			Prefix:      pathPrefix,
+			Host:        routeHost,
+			Prefix:      routePrefix,
 			Kind:        route.KindIdempotent,
-			Timeout:     routeWithin,
+			Timeout:     routeTimeout,
 			MaxAttempts: 2,
 			Shares:      []route.Share{{Service: serviceName, Weight: 1}},
 		}},
@@ -102,9 +102,9 @@
 	return "engines/" + e.endpoint.ID
 }
 
-// put writes an endpoint's entry; while the store is down nothing is written.
+// put writes an endpoint's entry, unless the store is down.
 func (s *store) put(e *engine) {
-	if s.down > 0 {
+	if s.outages > 0 {
 		return
 	}
 	change := discovery.Endpoint{
@@ -118,36 +118,36 @@
 		Endpoint: &change,
 	})
 	if e.endpoint.State != fleet.StateLive {
-		s.acknowledge(acknowledgement{leaving: e.endpoint.ID})
+		s.acknowledge(acknowledgement{draining: e.endpoint.ID})
 	}
 }
 
 func (s *store) remove(e *engine) {
-	if s.items[engineKey(e)].Revision == 0 {
+	if s.entries[engineKey(e)].Revision == 0 {
 		return
 	}
-	s.erase(engineKey(e), discovery.Change{
+	s.deleteKey(engineKey(e), discovery.Change{
 		Key:      engineKey(e),
 		Removed:  true,
 		Endpoint: &discovery.Endpoint{Endpoint: e.endpoint},
 	})
 }
 
-// evacuate asks that nothing more goes to a region's data centre, for a while.
-func (s *store) evacuate(region string, lasts time.Duration) {
+// evacuate evacuates a region's data centre for the duration.
+func (s *store) evacuate(region string, duration time.Duration) {
 	key := "evacuate/" + region
 	s.write(key, discovery.Change{
 		Key:       key,
 		Evacuated: region,
 	})
 	s.acknowledge(acknowledgement{evacuated: region})
-	s.world.after(lasts, func() {
-		s.erase(key, discovery.Change{
+	s.world.after(duration, func() {
+		s.deleteKey(key, discovery.Change{
 			Key:       key,
 			Removed:   true,
 			Evacuated: region,
 		})
-		s.acknowledge(acknowledgement{evacuated: region, takenBack: true})
+		s.acknowledge(acknowledgement{evacuated: region, canceled: true})
 	})
 }
 
@@ -158,34 +158,34 @@
 
 func (s *store) write(key string, c discovery.Change) {
 	s.revision++
-	s.decoded[s.revision] = c
+	s.changes[s.revision] = c
 	item := discovery.Item{
 		Key:      key,
 		Revision: s.revision,
 	}
-	s.items[key] = item
-	s.changes = append(s.changes, item)
+	s.entries[key] = item
+	s.history = append(s.history, item)
 }
 
-func (s *store) erase(key string, c discovery.Change) {
+func (s *store) deleteKey(key string, c discovery.Change) {
 	s.revision++
-	s.decoded[s.revision] = c
-	delete(s.items, key)
-	s.changes = append(s.changes, discovery.Item{
+	s.changes[s.revision] = c
+	delete(s.entries, key)
+	s.history = append(s.history, discovery.Item{
 		Key:      key,
 		Revision: s.revision,
 		Removed:  true,
 	})
 }
 
-// decode returns what an item says. A removal that a mirror concluded from a whole
-// read has no change of its own.
+// decode returns the change behind an item. A removal inferred from a full read has
+// no change of its own.
 func (s *store) decode(i discovery.Item) discovery.Change {
-	c, ok := s.decoded[i.Revision]
+	c, ok := s.changes[i.Revision]
 	if ok && c.Key == i.Key && c.Removed == i.Removed {
 		return c
 	}
-	for _, known := range s.decoded {
+	for _, known := range s.changes {
 		if known.Key == i.Key {
 			known.Removed = true
 			known.Table = nil
@@ -195,28 +195,28 @@
 	return discovery.Change{}
 }
 
-// reading is what one read of the store brings.
-type reading struct {
+// readResult is the answer to one read of the store.
+type readResult struct {
 	items    []discovery.Item
 	revision uint64
-	whole    bool
+	full     bool
 }
 
-// read answers a VM that holds the changes up to a revision.
-func (s *store) read(after uint64, whole bool) (r reading, historyLost bool) {
+// read returns the changes after a revision, or all entries.
+func (s *store) read(after uint64, full bool) (r readResult, historyLost bool) {
 	r.revision = s.revision
-	if whole {
-		r.whole = true
-		for _, item := range s.items {
+	if full {
+		r.full = true
+		for _, item := range s.entries {
 			r.items = append(r.items, item)
 		}
 		sortItems(r.items)
 		return r, false
 	}
-	if after < s.forgotten {
+	if after < s.compactedRevision {
 		return r, true
 	}
-	for _, item := range s.changes {
+	for _, item := range s.history {
 		if item.Revision > after {
 			r.items = append(r.items, item)
 		}
@@ -224,46 +224,46 @@
 	return r, false
 }
 
-// forget drops the history.
-func (s *store) forget() {
-	s.changes = nil
-	s.forgotten = s.revision
+// compact drops the history.
+func (s *store) compact() {
+	s.history = nil
+	s.compactedRevision = s.revision
 }
 
-// outage takes the store away for some time. Entries lapse meanwhile, and those
-// of endpoints that live are back soon after.
-func (s *store) outage(lasts time.Duration, silent bool) {
-	s.down++
+// outage makes the store unavailable for the duration. Leases expire meanwhile, and live
+// endpoints register again afterwards.
+func (s *store) outage(duration time.Duration, silent bool) {
+	s.outages++
 	if silent {
-		s.silent++
+		s.silentOutages++
 	}
-	s.unstableAt = s.world.clock.now
-	if lasts > lapseAfter {
-		s.world.after(lapseAfter, s.lapse)
+	s.lastFaultAt = s.world.clock.now
+	if duration > leaseTTL {
+		s.world.after(leaseTTL, s.expireEntries)
 	}
-	s.world.after(lasts, func() {
-		s.down--
+	s.world.after(duration, func() {
+		s.outages--
 		if silent {
-			s.silent--
+			s.silentOutages--
 		}
-		s.unstableAt = s.world.clock.now
-		s.renew()
+		s.lastFaultAt = s.world.clock.now
+		s.reregister()
 	})
 }
 
-// lapse removes the entries of some endpoints that could not renew them.
-func (s *store) lapse() {
+// expireEntries removes the entries of random endpoints that could not renew their leases.
+func (s *store) expireEntries() {
 	for _, e := range s.world.engines {
-		if e.listed && e.up && s.world.rand.IntN(2) == 0 {
+		if e.registered && e.up && s.world.rand.IntN(2) == 0 {
 			s.remove(e)
 		}
 	}
 }
 
-func (s *store) renew() {
+func (s *store) reregister() {
 	for _, e := range s.world.engines {
-		if e.up && e.endpoint.State == fleet.StateLive && s.items[engineKey(e)].Revision == 0 {
-			s.world.after(s.world.between(0, returnWithin), func() {
+		if e.up && e.endpoint.State == fleet.StateLive && s.entries[engineKey(e)].Revision == 0 {
+			s.world.after(s.world.randomDuration(0, reregistrationTime), func() {
 				if e.up && e.endpoint.State == fleet.StateLive {
 					s.put(e)
 				}
@@ -272,12 +272,12 @@
 	}
 }
 
-// refuse turns a region's VMs away for some time.
-func (s *store) refuse(region string, lasts time.Duration) {
-	s.turnsAway[region]++
-	s.unstableAt = s.world.clock.now
-	s.world.after(lasts, func() {
-		s.turnsAway[region]--
-		s.unstableAt = s.world.clock.now
+// deny rejects the reads of a region's VMs for the duration.
+func (s *store) deny(region string, duration time.Duration) {
+	s.denied[region]++
+	s.lastFaultAt = s.world.clock.now
+	s.world.after(duration, func() {
+		s.denied[region]--
+		s.lastFaultAt = s.world.clock.now
 	})
 }
--- /dev/null
+++ b/testscripts/emulator/store_reader.go
@@ -0,0 +1,104 @@
+package emulator
+
+import (
+	"cmp"
+	"slices"
+
+	"github.com/fuchsianotch/fuchsianotch/discovery"
+	"github.com/fuchsianotch/fuchsianotch/fleet"
+)
+
+// readStore reads from the store if this VM is a store reader and no read is in flight.
+func (v *vm) readStore() {
+	now := v.now()
+	if v.readInFlight || now.Before(v.nextReadCheck) {
+		return
+	}
+	if v.discovery.Table() != nil && !v.picture().Reads(storeReaders) {
+		v.nextReadCheck = now.Add(readerCheckInterval)
+		return
+	}
+	v.readInFlight = true
+	incarnation, w := v.incarnation, v.world
+	answered := false
+	w.after(readTimeout, func() {
+		if !answered {
+			v.run(incarnation, func() { v.readTimedOut() })
+		}
+	})
+	w.network.send(v.member.Region, storeRegion, func() {
+		if w.store.silentOutages > 0 {
+			return
+		}
+		failed := w.store.outages > 0 || w.store.denied[v.member.Region] > 0
+		result, historyLost := w.store.read(v.mirror.Revision(), v.needsFullRead)
+		w.after(storeLatency, func() {
+			w.network.send(storeRegion, v.member.Region, func() {
+				answered = true
+				v.run(incarnation, func() { v.applyRead(result, failed, historyLost) })
+			})
+		})
+	})
+}
+
+func (v *vm) readTimedOut() {
+	v.readInFlight = false
+	v.roster.SetTurnedAway(true)
+	v.discovery.StoreLost()
+}
+
+func (v *vm) applyRead(result readResult, failed, historyLost bool) {
+	switch {
+	case failed:
+		v.discovery.StoreLost()
+		v.roster.SetTurnedAway(true)
+	case historyLost:
+		v.needsFullRead = true
+	default:
+		v.needsFullRead = false
+		v.discovery.StoreBack(v.now())
+		v.roster.SetTurnedAway(false)
+		v.applyItems(v.merge(result))
+	}
+	incarnation := v.incarnation
+	v.world.after(readInterval, func() {
+		v.run(incarnation, func() { v.readInFlight = false })
+	})
+}
+
+func (v *vm) merge(result readResult) []discovery.Item {
+	if result.full {
+		return v.mirror.Replace(result.items, result.revision)
+	}
+	return v.mirror.Apply(result.items, result.revision)
+}
+
+// applyItems applies changes and gossips to some VMs.
+func (v *vm) applyItems(items []discovery.Item) {
+	if len(items) == 0 {
+		return
+	}
+	sortItems(items)
+	for _, item := range items {
+		v.applyChange(v.world.store.decode(item))
+	}
+	v.applyState()
+	v.gossipTo(v.roster.Spread(configFanout))
+}
+
+func (v *vm) applyChange(c discovery.Change) {
+	switch {
+	case c.Key == "":
+	case c.Evacuated != "" && v.world.defect == IgnoreEvacuation:
+	case c.Endpoint != nil && !c.Removed && c.Endpoint.State != fleet.StateLive && v.world.defect == IgnoreDraining:
+	default:
+		v.discovery.Take(c, v.now())
+		v.endpointsChanged = true
+	}
+}
+
+func sortItems(items []discovery.Item) {
+	slices.SortFunc(items, func(a, b discovery.Item) int {
+		return cmp.Or(cmp.Compare(a.Revision, b.Revision), cmp.Compare(a.Key, b.Key))
+	})
+}
--- a/testscripts/emulator/vm.go
+++ b/testscripts/emulator/vm.go
@@ -14,68 +14,68 @@
 )
 
 const (
-	// The intervals and bounds below are those of the gateway.
-	gossipEvery = 500 * time.Millisecond
-	stepEvery   = 100 * time.Millisecond
-	dutyEvery   = 250 * time.Millisecond
-	healthEvery = 500 * time.Millisecond
-	coldEvery   = 150 * time.Millisecond
-	readers     = 2
-	spreadTo    = 2
-	coldTellTo  = 8
-	// watchFor is how long a silent store goes unnoticed; readEvery stands in for
-	// the answers of a watch.
-	watchFor   = 2500 * time.Millisecond
-	readEvery  = 100 * time.Millisecond
-	storeTakes = 4 * time.Millisecond
-	// askAllTakes is how long it takes to ask all endpoints of a region.
-	askAllTakes = 5 * time.Millisecond
+	// These values equal those of the gateway.
+	gossipInterval      = 500 * time.Millisecond
+	stepInterval        = 100 * time.Millisecond
+	readerCheckInterval = 250 * time.Millisecond
+	probeInterval       = 500 * time.Millisecond
+	fastProbeInterval   = 150 * time.Millisecond
+	storeReaders        = 2
+	configFanout        = 2
+	coldFanout          = 8
+	// readTimeout is when a read of a silent store fails. readInterval approximates the
+	// gateway's watch by polling.
+	readTimeout  = 2500 * time.Millisecond
+	readInterval = 100 * time.Millisecond
+	storeLatency = 4 * time.Millisecond
+	// probeAllDuration is how long it takes to probe all endpoints of a region.
+	probeAllDuration = 5 * time.Millisecond
 )
 
-// vm is one gateway, put together from the packages that decide.
+// vm simulates a gateway process, built from the tested packages.
 type vm struct {
-	world     *world
-	vm        fleet.VM
-	up        bool
-	frozen    bool
-	life      uint64
-	startedAt time.Time
-	// suspended is how long the VM stood still since it started.
-	suspended time.Duration
-	// waiting is what a frozen VM takes when it wakes.
-	waiting []func()
-	// disturbedAt is when the VM was last harmed.
+	world       *world
+	member      fleet.VM
+	up          bool
+	frozen      bool
+	incarnation uint64
+	startedAt   time.Time
+	// totalFrozen is how long the VM was frozen since it started.
+	totalFrozen time.Duration
+	// pending holds the tasks to run when a frozen VM resumes.
+	pending []func()
+	// disturbedAt is when a fault last affected the VM.
 	disturbedAt time.Time
 
 	roster    *roster.Roster
 	mirror    *discovery.Mirror
 	discovery *discovery.State
-	// pictured is the roster's picture, nil after what may have changed it.
-	pictured *roster.Picture
-	pool     *routing.Pool
-	window   *retry.Window
-	crashes  *crashes
-	throttle *throttle.Throttle
-	whole    bool
-	// reading is set while a read is under way.
-	reading bool
-	// readsAt is when this VM looks next whether it is to read.
-	readsAt time.Time
-	// endpointsAt is when the endpoints change by themselves, changed is set when
-	// something else has changed them.
-	endpointsAt time.Time
-	changed     bool
-	// waking is what the roster said of a pause at the last step.
-	waking bool
-	// heardTable is the table that a peer told last.
-	heardTable *route.Table
+	// cachedPicture caches the roster's picture; nil if it may be outdated.
+	cachedPicture *roster.Picture
+	pool          *routing.Pool
+	window        *retry.Window
+	crashTracker  *crashTracker
+	throttle      *throttle.Throttle
+	needsFullRead bool
+	// readInFlight is set while a read of the store is in flight.
+	readInFlight bool
+	// nextReadCheck is when the VM next checks whether it is a store reader.
+	nextReadCheck time.Time
+	// endpointsDueAt is when the endpoints change by timeout; endpointsChanged is set if
+	// they have changed otherwise.
+	endpointsDueAt   time.Time
+	endpointsChanged bool
+	// resuming is whether the roster was recovering from a pause at the last step.
+	resuming bool
+	// peerTable is the last route table received from a peer.
+	peerTable *route.Table
 }
 
 func newVM(w *world, region, number int) *vm {
 	id := fmt.Sprintf("r%d-%d", region, number)
 	return &vm{
 		world: w,
-		vm: fleet.VM{
+		member: fleet.VM{
 			ID:       id,
 			Region:   regionName(region),
 			PeerAddr: "peer-" + id,
@@ -89,56 +89,56 @@
 		return
 	}
 	w := v.world
-	w.lives++
-	v.life = w.lives
+	w.lastIncarnation++
+	v.incarnation = w.lastIncarnation
 	v.up = true
 	v.frozen = false
-	v.waiting = nil
-	v.whole = true
-	v.reading = false
-	v.heardTable = nil
+	v.pending = nil
+	v.needsFullRead = true
+	v.readInFlight = false
+	v.peerTable = nil
 	v.startedAt = w.clock.now
-	v.suspended = 0
-	v.disturbed()
+	v.totalFrozen = 0
+	v.markDisturbed()
 	v.roster = roster.New(roster.Options{
-		Self:        v.vm,
-		Incarnation: v.life,
+		Self:        v.member,
+		Incarnation: v.incarnation,
 		Seeds:       w.seeds(),
-		Every:       gossipEvery,
+		Every:       gossipInterval,
 		Rand:        w.rand.Uint64,
 	})
 	v.mirror = discovery.NewMirror()
 	v.discovery = discovery.New(discovery.Options{
-		Grace: returnWithin,
+		Grace: reregistrationTime,
 	})
 	v.pool = routing.New(routing.Options{
 		Rand: w.rand.Uint64,
 	})
-	v.pictured = nil
-	v.readsAt = time.Time{}
-	v.endpointsAt = time.Time{}
-	v.changed = true
-	v.waking = false
+	v.cachedPicture = nil
+	v.nextReadCheck = time.Time{}
+	v.endpointsDueAt = time.Time{}
+	v.endpointsChanged = true
+	v.resuming = false
 	v.window = v.newWindow()
-	v.crashes = newCrashes(v)
+	v.crashTracker = newCrashTracker(v)
 	v.throttle = v.newThrottle()
-	life := v.life
-	w.after(0, func() { v.step(life) })
-	w.after(w.between(0, healthEvery), func() { v.askHealth(life) })
-	w.after(0, v.crashes.run)
+	incarnation := v.incarnation
+	w.after(0, func() { v.step(incarnation) })
+	w.after(w.randomDuration(0, probeInterval), func() { v.probeHealth(incarnation) })
+	w.after(0, v.crashTracker.run)
 }
 
 func (v *vm) newWindow() *retry.Window {
 	slackFrom := v.now().Add(retryWindow)
-	if v.world.fault == WholeBudget {
+	if v.world.defect == UnsharedRetryBudget {
 		slackFrom = time.Time{}
 	}
 	return retry.NewWindow(retry.WindowOptions{
 		Ratio:  retryRatio,
-		Slack:  retrySlack,
+		Slack:  retryBurst,
 		Length: retryWindow,
 		VMs: func() int {
-			if v.world.fault == WholeBudget {
+			if v.world.defect == UnsharedRetryBudget {
 				return 1
 			}
 			return v.picture().Most
@@ -151,145 +151,145 @@
 func (w *world) seeds() []string {
 	var out []string
 	for _, v := range w.vms {
-		if v.vm.ID == v.vm.Region+"-0" {
-			out = append(out, v.vm.PeerAddr)
+		if v.member.ID == v.member.Region+"-0" {
+			out = append(out, v.member.PeerAddr)
 		}
 	}
 	return out
 }
 
-// disturbed notes that the VM was harmed now.
-func (v *vm) disturbed() {
+// markDisturbed records that a fault affects the VM now.
+func (v *vm) markDisturbed() {
 	v.disturbedAt = v.world.clock.now
 }
 
-// now is the time by the VM's own clock.
+// now returns the time of the VM's own clock.
 func (v *vm) now() time.Time {
-	if v.world.fault == SteadyClock {
-		return v.world.clock.now.Add(-v.suspended)
+	if v.world.defect == ClockStopsWhileFrozen {
+		return v.world.clock.now.Add(-v.totalFrozen)
 	}
 	return v.world.clock.now
 }
 
-// running reports whether a life of the VM runs now.
-func (v *vm) running(life uint64) bool {
-	return v.up && v.life == life && !v.frozen
+// running reports whether the given incarnation of the VM is running.
+func (v *vm) running(incarnation uint64) bool {
+	return v.up && v.incarnation == incarnation && !v.frozen
 }
 
-// do has the VM handle something now, or when it wakes, if it still lives.
-func (v *vm) do(life uint64, what func()) {
+// run runs a task now, or when a frozen VM resumes, unless the incarnation has ended.
+func (v *vm) run(incarnation uint64, task func()) {
 	switch {
-	case !v.up || v.life != life:
+	case !v.up || v.incarnation != incarnation:
 	case v.frozen:
-		v.waiting = append(v.waiting, func() { v.do(life, what) })
+		v.pending = append(v.pending, func() { v.run(incarnation, task) })
 	default:
-		what()
+		task()
 	}
 }
 
-func (v *vm) kill(lasts time.Duration) {
+func (v *vm) kill(duration time.Duration) {
 	v.up = false
-	v.disturbed()
-	v.world.after(lasts, v.start)
+	v.markDisturbed()
+	v.world.after(duration, v.start)
 }
 
-func (v *vm) freeze(lasts time.Duration) {
+func (v *vm) freeze(duration time.Duration) {
 	if !v.up || v.frozen {
 		return
 	}
 	v.frozen = true
-	v.disturbed()
-	life := v.life
-	v.world.after(lasts, func() {
-		if !v.up || v.life != life {
+	v.markDisturbed()
+	incarnation := v.incarnation
+	v.world.after(duration, func() {
+		if !v.up || v.incarnation != incarnation {
 			return
 		}
 		v.frozen = false
-		v.suspended += lasts
-		v.disturbed()
-		waiting := v.waiting
-		v.waiting = nil
-		for _, what := range waiting {
-			what()
+		v.totalFrozen += duration
+		v.markDisturbed()
+		pending := v.pending
+		v.pending = nil
+		for _, task := range pending {
+			task()
 		}
 	})
 }
 
-// step is one turn of the control goroutine.
-func (v *vm) step(life uint64) {
-	v.do(life, func() {
+// step is one iteration of the control loop.
+func (v *vm) step(incarnation uint64) {
+	v.run(incarnation, func() {
 		now := v.now()
 		targets := v.roster.Step(now)
-		v.pictured = nil
-		v.askAfterPause(life)
-		v.exchange(targets)
-		v.publish()
-		v.read()
-		v.world.after(stepEvery, func() { v.step(life) })
+		v.cachedPicture = nil
+		v.probeAfterPause(incarnation)
+		v.gossipTo(targets)
+		v.applyState()
+		v.readStore()
+		v.world.after(stepInterval, func() { v.step(incarnation) })
 	})
 }
 
-// publish makes the state visible to traffic.
-func (v *vm) publish() {
+// applyState passes the current state on to request handling.
+func (v *vm) applyState() {
 	now := v.now()
 	v.roster.SetReady(v.discovery.Table() != nil)
-	due := !v.endpointsAt.IsZero() && !now.Before(v.endpointsAt)
-	if !v.changed && !due {
+	due := !v.endpointsDueAt.IsZero() && !now.Before(v.endpointsDueAt)
+	if !v.endpointsChanged && !due {
 		return
 	}
-	v.changed = false
+	v.endpointsChanged = false
 	v.discovery.Step(now)
-	v.endpointsAt = v.discovery.Next(now)
+	v.endpointsDueAt = v.discovery.Next(now)
 	v.pool.SetVMs(len(v.picture().Members))
 	v.pool.SetEndpoints(v.endpoints(), now)
 }
 
-// picture is what the roster shows now.
+// picture returns the roster's current picture.
 func (v *vm) picture() *roster.Picture {
-	if v.pictured == nil {
-		v.pictured = v.roster.Picture()
+	if v.cachedPicture == nil {
+		v.cachedPicture = v.roster.Picture()
 	}
-	return v.pictured
+	return v.cachedPicture
 }
 
-// endpoints are those of the own region that take work.
+// endpoints returns the endpoints of the own region that accept requests.
 func (v *vm) endpoints() []fleet.Endpoint {
 	var out []fleet.Endpoint
 	for _, e := range v.discovery.Endpoints(v.now()) {
-		cold := !e.ColdUntil.IsZero() && v.world.fault != ServeCold
-		if e.Region == v.vm.Region && !cold {
+		cold := !e.ColdUntil.IsZero() && v.world.defect != RouteToCold
+		if e.Region == v.member.Region && !cold {
 			out = append(out, e.Endpoint)
 		}
 	}
 	return out
 }
 
-// directory returns the VMs that callers of the own region are told.
+// directory returns the VMs that callers of the own region may use.
 func (v *vm) directory() []*vm {
 	var out []*vm
 	for _, other := range v.world.vms {
-		if v.names(other) {
+		if v.lists(other) {
 			out = append(out, other)
 		}
 	}
 	return out
 }
 
-// table is the one that requests are handled by.
+// table returns the route table that requests are handled with.
 func (v *vm) table() *route.Table {
-	if v.world.fault == TakeOlder && v.heardTable != nil {
-		return v.heardTable
+	if v.world.defect == UsePeerTable && v.peerTable != nil {
+		return v.peerTable
 	}
 	return v.discovery.Table()
 }
 
-func (v *vm) names(other *vm) bool {
-	if v.world.fault == NameDead {
-		return other.vm.Region == v.vm.Region
+func (v *vm) lists(other *vm) bool {
+	if v.world.defect == ListDeadVMs {
+		return other.member.Region == v.member.Region
 	}
 	for _, m := range v.picture().Members {
-		if m.VM.ID == other.vm.ID {
-			return m.Reachable && m.Ready && m.VM.Region == v.vm.Region
+		if m.VM.ID == other.member.ID {
+			return m.Reachable && m.Ready && m.VM.Region == v.member.Region
 		}
 	}
 	return false
