--- a/standin/load/arrival.go
+++ b/standin/load/arrival.go
@@ -10,51 +10,53 @@
 )
 
 const (
-	// streamOfSchedule separates this generator's stream from others of one seed.
-	streamOfSchedule = 0x6c6f6164
-	// zipfExponent and zipfOffset skew the choice of prefixes and workspaces.
+	// scheduleStream keeps this generator independent of others with the same seed.
+	scheduleStream = 0x6c6f6164
+	// zipfExponent and zipfOffset skew the popularity of prefixes and workspaces.
 	zipfExponent = 1.2
 	zipfOffset   = 4
 )
 
-// Arrival is one scheduled call.
+// Arrival is a call at a scheduled time.
 type Arrival struct {
-	// Number is unique in a run, from zero.
+	// Number counts the arrivals of a run from zero.
 	Number int
-	// After is the time from the start of the run.
-	After time.Duration
-	// Region and Workspace are indexes into Targets; Kind is of the mix.
+	// Offset is the scheduled time, counted from the start of the run.
+	Offset time.Duration
+	// Region is an index into Targets.Regions, Workspace one into the region's
+	// workspaces.
 	Region    int
 	Workspace int
 	Kind      *Kind
 	Prefix    int
 	MaxTokens int
-	// Marker names the call in its prompt and in its answer.
+	// Marker is a unique token that the prompt carries and the answer repeats.
 	Marker string
 }
 
-// Schedule draws the arrivals of a run: a Poisson process for each region
-// whose rate follows the hour of the region's day, merged in order of time.
+// Schedule generates the arrivals of a run in order of time. Each region is a
+// Poisson process whose rate follows the region's time of day. The processes
+// are sampled together by thinning.
 func Schedule(o Options) ([]Arrival, error) {
-	d := newDraw(o)
+	s := newSampler(o)
 	end := o.Duration.Seconds()
 	highest := o.Rate * (1 + o.Peak)
 	var out []Arrival
-	for at := d.wait(highest); at < end; at += d.wait(highest) {
-		region := d.region()
-		if d.rand.Float64()*(1+o.Peak) >= o.swing(region, at) {
+	for at := s.interarrivalSeconds(highest); at < end; at += s.interarrivalSeconds(highest) {
+		region := s.sampleRegion()
+		if s.rand.Float64()*(1+o.Peak) >= o.relativeRate(region, at) {
 			continue
 		}
 		if len(out) == o.MaxCalls {
 			return nil, fmt.Errorf("the schedule exceeds %d calls", o.MaxCalls)
 		}
-		out = append(out, d.arrival(len(out), at, region))
+		out = append(out, s.sampleArrival(len(out), at, region))
 	}
 	return out, nil
 }
 
-// swing is the rate of a region at a time, relative to its mean.
-func (o *Options) swing(region int, at float64) float64 {
+// relativeRate returns a region's rate at a time, relative to its mean.
+func (o *Options) relativeRate(region int, at float64) float64 {
 	if o.Day <= 0 {
 		return 1
 	}
@@ -62,84 +64,84 @@
 	return 1 + o.Peak*math.Cos(2*math.Pi*hour)
 }
 
-// draw holds the random choices of one schedule.
-type draw struct {
-	options    Options
-	rand       *rand.Rand
-	weights    float64
-	shares     float64
-	prefixes   []*rand.Zipf
-	workspaces []*rand.Zipf
+// sampler draws the random values of one schedule.
+type sampler struct {
+	options                Options
+	rand                   *rand.Rand
+	totalWeight            float64
+	totalShare             float64
+	prefixDistributions    []*rand.Zipf
+	workspaceDistributions []*rand.Zipf
 }
 
-func newDraw(o Options) *draw {
-	d := &draw{
+func newSampler(o Options) *sampler {
+	s := &sampler{
 		options: o,
-		rand:    rand.New(rand.NewPCG(o.Seed, streamOfSchedule)),
+		rand:    rand.New(rand.NewPCG(o.Seed, scheduleStream)),
 	}
 	for _, k := range o.Mix.Kinds {
-		d.weights += k.Weight
-		d.prefixes = append(d.prefixes, d.zipf(k.Prefixes))
+		s.totalWeight += k.Weight
+		s.prefixDistributions = append(s.prefixDistributions, s.newZipf(k.Prefixes))
 	}
 	for _, r := range o.Targets.Regions {
-		d.shares += r.share()
-		d.workspaces = append(d.workspaces, d.zipf(len(r.Workspaces)))
+		s.totalShare += r.relativeShare()
+		s.workspaceDistributions = append(s.workspaceDistributions, s.newZipf(len(r.Workspaces)))
 	}
-	return d
+	return s
 }
 
-func (d *draw) zipf(n int) *rand.Zipf {
-	return rand.NewZipf(d.rand, zipfExponent, zipfOffset, uint64(max(n, 1)-1))
+func (s *sampler) newZipf(n int) *rand.Zipf {
+	return rand.NewZipf(s.rand, zipfExponent, zipfOffset, uint64(max(n, 1)-1))
 }
 
-func (d *draw) wait(rate float64) float64 {
-	return d.rand.ExpFloat64() / rate
+func (s *sampler) interarrivalSeconds(rate float64) float64 {
+	return s.rand.ExpFloat64() / rate
 }
 
-func (d *draw) region() int {
-	left := d.rand.Float64() * d.shares
-	for i, r := range d.options.Targets.Regions {
-		if left -= r.share(); left < 0 {
+func (s *sampler) sampleRegion() int {
+	left := s.rand.Float64() * s.totalShare
+	for i, r := range s.options.Targets.Regions {
+		if left -= r.relativeShare(); left < 0 {
 			return i
 		}
 	}
-	return len(d.options.Targets.Regions) - 1
+	return len(s.options.Targets.Regions) - 1
 }
 
-func (d *draw) kind() int {
-	left := d.rand.Float64() * d.weights
-	for i, k := range d.options.Mix.Kinds {
+func (s *sampler) sampleKind() int {
+	left := s.rand.Float64() * s.totalWeight
+	for i, k := range s.options.Mix.Kinds {
 		if left -= k.Weight; left < 0 {
 			return i
 		}
 	}
-	return len(d.options.Mix.Kinds) - 1
+	return len(s.options.Mix.Kinds) - 1
 }
 
-func (d *draw) arrival(number int, at float64, region int) Arrival {
-	k := d.kind()
-	kind := &d.options.Mix.Kinds[k]
+func (s *sampler) sampleArrival(number int, at float64, region int) Arrival {
+	k := s.sampleKind()
+	kind := &s.options.Mix.Kinds[k]
 	return Arrival{
 		Number:    number,
-		After:     time.Duration(at * float64(time.Second)),
+		Offset:    time.Duration(at * float64(time.Second)),
 		Region:    region,
-		Workspace: int(d.workspaces[region].Uint64()),
+		Workspace: int(s.workspaceDistributions[region].Uint64()),
 		Kind:      kind,
-		Prefix:    int(d.prefixes[k].Uint64()),
-		MaxTokens: d.tokens(kind),
-		Marker:    "s" + strconv.FormatUint(d.options.Seed, 10) + "-" + strconv.Itoa(number),
+		Prefix:    int(s.prefixDistributions[k].Uint64()),
+		MaxTokens: s.sampleMaxTokens(kind),
+		Marker:    "s" + strconv.FormatUint(s.options.Seed, 10) + "-" + strconv.Itoa(number),
 	}
 }
 
-func (d *draw) tokens(k *Kind) int {
+func (s *sampler) sampleMaxTokens(k *Kind) int {
 	if k.MaxTokens == 0 {
 		return 0
 	}
-	return max(k.MaxTokens/2+d.rand.IntN(k.MaxTokens+1), 1)
+	return max(k.MaxTokens/2+s.rand.IntN(k.MaxTokens+1), 1)
 }
 
-// system is the shared prefix of the prompt.
-func (a *Arrival) system() string {
+// systemPrompt returns the prefix that calls of one kind and prefix number share.
+func (a *Arrival) systemPrompt() string {
 	var text strings.Builder
 	for i := range a.Kind.SharedTokens {
 		fmt.Fprintf(&text, "%s-%d-%d ", a.Kind.Name, a.Prefix, i)
@@ -147,20 +149,20 @@
 	return text.String()
 }
 
-// message is the own part of the prompt.
-func (a *Arrival) message() string {
+// userMessage returns the part of the prompt that belongs to this call alone.
+func (a *Arrival) userMessage() string {
 	return "marker=" + a.Marker + strings.Repeat(" word", a.Kind.OwnTokens)
 }
 
-// path is the path of a service call, which the stand-in's answer repeats.
-func (a *Arrival) path() string {
+// servicePath returns the path of a service call, which the answer repeats.
+func (a *Arrival) servicePath() string {
 	return a.Kind.Path + "/" + strconv.Itoa(a.Number)
 }
 
-// isAnswer reports whether a text is the whole own answer.
-func (a *Arrival) isAnswer(text string) bool {
+// isCompleteAnswer reports whether text is the complete answer to this call.
+func (a *Arrival) isCompleteAnswer(text string) bool {
 	if a.Kind.Service {
-		return strings.Contains(text, a.path()+`"`)
+		return strings.Contains(text, a.servicePath()+`"`)
 	}
 	rest := text
 	for i := range a.MaxTokens {
--- a/standin/load/direct.go
+++ b/standin/load/direct.go
@@ -16,41 +16,41 @@
 	"github.com/fuchsianotch/fuchsianotch/standin/caller"
 )
 
-const maxDirectAnswer = 16 << 20
+const maxDirectResponseBytes = 16 << 20
 
-// direct sends calls straight to endpoints in turn, with no gateway between.
-type direct struct {
-	targets  *Targets
-	client   *http.Client
-	models   []string
-	services []string
-	next     atomic.Uint64
+// directSender sends calls to the endpoints in round robin, without a gateway.
+type directSender struct {
+	targets      *Targets
+	client       *http.Client
+	modelAddrs   []string
+	serviceAddrs []string
+	requestCount atomic.Uint64
 }
 
-func (r *Run) newDirect() *direct {
-	d := &direct{
+func (r *Run) newDirectSender() *directSender {
+	d := &directSender{
 		targets: &r.options.Targets,
 		client:  r.options.Client,
 	}
 	for _, e := range r.options.Targets.Endpoints {
 		if e.Service {
-			d.services = append(d.services, e.Addr)
+			d.serviceAddrs = append(d.serviceAddrs, e.Addr)
 			continue
 		}
-		d.models = append(d.models, e.Addr)
+		d.modelAddrs = append(d.modelAddrs, e.Addr)
 	}
 	return d
 }
 
-func (d *direct) send(ctx context.Context, a *Arrival, _ time.Time) caller.Result {
+func (d *directSender) send(ctx context.Context, a *Arrival, _ time.Time) caller.Result {
 	out := caller.Result{
 		StartedAt: time.Now(),
 		Tries:     1,
 		Class:     result.ClassUnknown,
 	}
-	req, err := d.request(ctx, a)
+	req, err := d.newRequest(ctx, a)
 	if err == nil {
-		err = d.do(req, a, &out)
+		err = d.roundTrip(req, a, &out)
 	}
 	out.DoneAt = time.Now()
 	if err != nil {
@@ -62,15 +62,15 @@
 	return out
 }
 
-func (d *direct) request(ctx context.Context, a *Arrival) (*http.Request, error) {
+func (d *directSender) newRequest(ctx context.Context, a *Arrival) (*http.Request, error) {
 	if a.Kind.Service {
-		return d.serviceRequest(ctx, a)
+		return d.newServiceRequest(ctx, a)
 	}
-	body, err := json.Marshal(newDirectChat(d.targets.Model, a))
+	body, err := json.Marshal(newChatRequest(d.targets.Model, a))
 	if err != nil {
 		return nil, err
 	}
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, d.url(d.models, "/v1/chat/completions"), bytes.NewReader(body))
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, d.nextURL(d.modelAddrs, "/v1/chat/completions"), bytes.NewReader(body))
 	if err != nil {
 		return nil, err
 	}
@@ -79,9 +79,9 @@
 	return req, nil
 }
 
-func (d *direct) serviceRequest(ctx context.Context, a *Arrival) (*http.Request, error) {
-	s := a.service(d.targets, caller.Terms{})
-	req, err := http.NewRequestWithContext(ctx, s.Method, d.url(d.services, s.Path), bytes.NewReader(s.Body))
+func (d *directSender) newServiceRequest(ctx context.Context, a *Arrival) (*http.Request, error) {
+	s := a.newService(d.targets, caller.Terms{})
+	req, err := http.NewRequestWithContext(ctx, s.Method, d.nextURL(d.serviceAddrs, s.Path), bytes.NewReader(s.Body))
 	if err != nil {
 		return nil, err
 	}
@@ -89,11 +89,11 @@
 	return req, nil
 }
 
-func (d *direct) url(addrs []string, path string) string {
-	return "http://" + addrs[d.next.Add(1)%uint64(len(addrs))] + path
+func (d *directSender) nextURL(addrs []string, path string) string {
+	return "http://" + addrs[d.requestCount.Add(1)%uint64(len(addrs))] + path
 }
 
-func (d *direct) do(req *http.Request, a *Arrival, out *caller.Result) error {
+func (d *directSender) roundTrip(req *http.Request, a *Arrival, out *caller.Result) error {
 	resp, err := d.client.Do(req)
 	if err != nil {
 		return err
@@ -104,47 +104,47 @@
 		return fmt.Errorf("status %d", resp.StatusCode)
 	}
 	if !a.Kind.Service {
-		return readDirectStream(resp.Body, out)
+		return readChatStream(resp.Body, out)
 	}
 	out.FirstAt = time.Now()
-	data, err := io.ReadAll(io.LimitReader(resp.Body, maxDirectAnswer))
+	data, err := io.ReadAll(io.LimitReader(resp.Body, maxDirectResponseBytes))
 	out.Text = string(data)
 	return err
 }
 
-// directChat is the body of a chat completion request.
-type directChat struct {
-	Model     string          `json:"model"`
-	Messages  []directMessage `json:"messages"`
-	MaxTokens int             `json:"max_tokens"`
-	Stream    bool            `json:"stream"`
+// chatRequest is the body of a chat completion request.
+type chatRequest struct {
+	Model     string        `json:"model"`
+	Messages  []chatMessage `json:"messages"`
+	MaxTokens int           `json:"max_tokens"`
+	Stream    bool          `json:"stream"`
 }
 
-type directMessage struct {
+type chatMessage struct {
 	Role    string `json:"role"`
 	Content string `json:"content"`
 }
 
-func newDirectChat(model string, a *Arrival) directChat {
-	return directChat{
+func newChatRequest(model string, a *Arrival) chatRequest {
+	return chatRequest{
 		Model:     model,
 		MaxTokens: a.MaxTokens,
 		Stream:    true,
-		Messages: []directMessage{
+		Messages: []chatMessage{
 			{
 				Role:    "system",
-				Content: a.system(),
+				Content: a.systemPrompt(),
 			},
 			{
 				Role:    "user",
-				Content: a.message(),
+				Content: a.userMessage(),
 			},
 		},
 	}
 }
 
-// directChunk is the part of a chunk that holds its text.
-type directChunk struct {
+// chatChunk decodes the text of a streamed chunk.
+type chatChunk struct {
 	Choices []struct {
 		Delta struct {
 			Content string `json:"content"`
@@ -152,7 +152,7 @@
 	} `json:"choices"`
 }
 
-func readDirectStream(r io.Reader, out *caller.Result) error {
+func readChatStream(r io.Reader, out *caller.Result) error {
 	var text strings.Builder
 	lines := bufio.NewScanner(r)
 	for lines.Scan() {
@@ -164,7 +164,7 @@
 			out.Text = text.String()
 			return nil
 		}
-		var chunk directChunk
+		var chunk chatChunk
 		if err := json.Unmarshal(data, &chunk); err != nil {
 			return err
 		}
--- a/standin/load/load.go
+++ b/standin/load/load.go
@@ -1,7 +1,7 @@
-// Package load is a stand-in for many callers. It sends calls by an open-loop
-// schedule that is drawn from a seed, and records what became of them. Every
-// time is counted from the scheduled arrival and not from the sending, so the
-// record needs no further correction for coordinated omission.
+// Package load is an open-loop load generator that stands in for many callers.
+// It generates a schedule from a seed, sends the calls, and records their
+// results. Latencies count from the scheduled arrival, which avoids coordinated
+// omission.
 package load
 
 import (
@@ -16,55 +16,56 @@
 )
 
 const (
-	// defaultMaxCalls bounds the schedule of one run.
-	defaultMaxCalls = 200_000
-	// defaultMaxInFlight bounds the calls that wait for answers at once.
+	defaultMaxCalls    = 200_000
 	defaultMaxInFlight = 8_192
-	// graceAfterEnd bounds the wait for answers after the last deadline.
-	graceAfterEnd = 5 * time.Second
+	// answerGracePeriod is added to a call's time limit, so that a late answer
+	// is recorded as late.
+	answerGracePeriod = 5 * time.Second
 )
 
-// Options describe one run.
+// Options configure a run.
 type Options struct {
-	// Seed draws the schedule; the same seed gives the same calls.
+	// Seed determines the schedule.
 	Seed uint64
-	// Rate is the mean number of calls a second over all regions.
+	// Rate is the mean number of calls per second over all regions.
 	Rate float64
-	// Duration is the length of the schedule, with the warm-up.
+	// Duration is the length of the schedule, including the warm-up.
 	Duration time.Duration
-	// WarmUp is the part at the start whose calls are sent and not counted.
+	// WarmUp is the initial period whose calls are sent but not recorded.
 	WarmUp time.Duration
-	// Day is the length of the compressed day; zero means no peaks.
+	// Day is the length of a simulated day; zero keeps the rate constant.
 	Day time.Duration
-	// Peak is how far the rate swings around its mean, from 0 to 1. Each
-	// region's peak falls at another hour.
-	Peak float64
-	Mix  Mix
-	// Targets say whom to call.
+	// Peak is the amplitude of the daily cycle relative to the mean rate, from
+	// 0 to 1. The regions' peaks are spread over the day.
+	Peak    float64
+	Mix     Mix
 	Targets Targets
-	// Direct sends every call straight to an endpoint, for comparison.
+	// Direct sends every call to an endpoint without a gateway, as a baseline.
 	Direct bool
-	// MaxTries bounds the tries of one call; zero leaves it to the caller.
-	MaxTries    int
-	MaxCalls    int
+	// MaxTries bounds the attempts of one call; zero means the caller's default.
+	MaxTries int
+	// MaxCalls bounds the schedule; zero means 200,000.
+	MaxCalls int
+	// MaxInFlight bounds concurrent calls, and calls over it are shed; zero
+	// means 8,192.
 	MaxInFlight int
-	// Client is shared by all callers; nil makes one.
+	// Client is shared by all callers; nil creates one.
 	Client *http.Client
 }
 
-// Run is one schedule being sent.
+// Run sends one schedule and records the results.
 type Run struct {
-	options  Options
-	arrivals []Arrival
-	senders  []sender
-	tally    *tally
-	inFlight chan struct{}
+	options   Options
+	arrivals  []Arrival
+	senders   []sendFunc
+	collector *collector
+	inFlight  chan struct{}
 }
 
-// sender sends one arrival's call.
-type sender func(ctx context.Context, a *Arrival, due time.Time) caller.Result
+// sendFunc sends the call of an arrival that is due at the given time.
+type sendFunc func(ctx context.Context, a *Arrival, due time.Time) caller.Result
 
-// New draws the schedule. It fails when that is longer than MaxCalls.
+// New generates the schedule. It fails if the schedule exceeds MaxCalls.
 func New(o Options) (*Run, error) {
 	if o.MaxCalls == 0 {
 		o.MaxCalls = defaultMaxCalls
@@ -75,7 +76,7 @@
 	if o.Client == nil {
 		o.Client = caller.NewClient()
 	}
-	if err := o.check(); err != nil {
+	if err := o.validate(); err != nil {
 		return nil, err
 	}
 	arrivals, err := Schedule(o)
@@ -83,44 +84,44 @@
 		return nil, err
 	}
 	r := &Run{
-		options:  o,
-		arrivals: arrivals,
-		tally:    newTally(),
-		inFlight: make(chan struct{}, o.MaxInFlight),
+		options:   o,
+		arrivals:  arrivals,
+		collector: newCollector(),
+		inFlight:  make(chan struct{}, o.MaxInFlight),
 	}
 	r.senders = r.newSenders()
 	return r, nil
 }
 
-func (o *Options) check() error {
+func (o *Options) validate() error {
 	switch {
 	case o.Rate <= 0 || o.Duration <= 0:
 		return fmt.Errorf("rate and duration must be above 0")
 	case o.WarmUp < 0 || o.WarmUp >= o.Duration:
-		return fmt.Errorf("the warm-up must be shorter than the duration")
+		return fmt.Errorf("warm-up must not be negative and must be shorter than the duration")
 	case o.Peak < 0 || o.Peak > 1:
-		return fmt.Errorf("the peak must lie between 0 and 1")
+		return fmt.Errorf("peak must be between 0 and 1")
 	case len(o.Mix.Kinds) == 0 || len(o.Targets.Regions) == 0:
-		return fmt.Errorf("the mix and the regions must not be empty")
+		return fmt.Errorf("mix and regions must not be empty")
 	}
-	return o.Targets.check(o.Direct)
+	return o.Targets.validate(o.Direct)
 }
 
-// Send sends the schedule and waits for the answers. Its record has no counts
-// of the endpoints and VMs; Measure adds them.
+// Send sends the schedule and waits for the answers. The record lacks the
+// counters of endpoints and VMs, which Measure adds.
 func (r *Run) Send(ctx context.Context) *Record {
 	startedAt := time.Now()
 	var group sync.WaitGroup
 	for i := range r.arrivals {
 		a := &r.arrivals[i]
-		due := startedAt.Add(a.After)
+		due := startedAt.Add(a.Offset)
 		if !sleepUntil(ctx, due) {
 			break
 		}
 		select {
 		case r.inFlight <- struct{}{}:
 		default:
-			r.tally.shed(r.counts(a))
+			r.collector.addShed(r.isMeasured(a))
 			continue
 		}
 		group.Go(func() {
@@ -129,20 +130,20 @@
 		})
 	}
 	group.Wait()
-	return r.tally.record(r.options, startedAt)
+	return r.collector.record(r.options, startedAt)
 }
 
 func (r *Run) send(ctx context.Context, a *Arrival, due time.Time) {
-	ctx, cancel := context.WithDeadline(ctx, due.Add(a.Kind.Within+graceAfterEnd))
+	ctx, cancel := context.WithDeadline(ctx, due.Add(a.Kind.Within+answerGracePeriod))
 	defer cancel()
 	res := r.senders[a.Region](ctx, a, due)
-	if r.counts(a) {
-		r.tally.take(newCall(a, due, res), r.options.Targets.Regions[a.Region].Region)
+	if r.isMeasured(a) {
+		r.collector.addCall(newCall(a, due, res), r.options.Targets.Regions[a.Region].Region)
 	}
 }
 
-func (r *Run) counts(a *Arrival) bool {
-	return a.After >= r.options.WarmUp
+func (r *Run) isMeasured(a *Arrival) bool {
+	return a.Offset >= r.options.WarmUp
 }
 
 func sleepUntil(ctx context.Context, at time.Time) bool {
@@ -160,27 +161,28 @@
 	}
 }
 
-// Call is one counted call with its times from the scheduled arrival.
+// Call is the result of a call, with latencies from the scheduled arrival.
 type Call struct {
-	Arrival *Arrival
-	Result  caller.Result
-	First   time.Duration
-	Whole   time.Duration
-	// Right is set when the whole own answer came.
-	Right  bool
+	Arrival      *Arrival
+	Result       caller.Result
+	FirstLatency time.Duration
+	TotalLatency time.Duration
+	// Correct is set if the complete answer to this call was received.
+	Correct bool
+	// InTime is set if the answer is also within the kind's latency limits.
 	InTime bool
 }
 
 func newCall(a *Arrival, due time.Time, r caller.Result) Call {
 	c := Call{
-		Arrival: a,
-		Result:  r,
-		Whole:   r.DoneAt.Sub(due),
+		Arrival:      a,
+		Result:       r,
+		TotalLatency: r.DoneAt.Sub(due),
 	}
 	if !r.FirstAt.IsZero() {
-		c.First = r.FirstAt.Sub(due)
+		c.FirstLatency = r.FirstAt.Sub(due)
 	}
-	c.Right = r.Class == result.ClassDone && a.isAnswer(r.Text)
-	c.InTime = c.Right && c.Whole <= a.Kind.Within && c.First <= a.Kind.firstWithin()
+	c.Correct = r.Class == result.ClassDone && a.isCompleteAnswer(r.Text)
+	c.InTime = c.Correct && c.TotalLatency <= a.Kind.Within && c.FirstLatency <= a.Kind.firstWithin()
 	return c
 }
--- a/standin/load/load_test.go
+++ b/standin/load/load_test.go
@@ -32,8 +32,9 @@
 	Day      jsonc.Duration `json:"day"`
 	MaxCalls int            `json:"max_calls"`
 	Error    string         `json:"error"`
-	// Calls, Share of the first region, FirstHalf of the calls, and PeakShare
-	// of the first region's calls in the quarters around its peak are from-to.
+	// The rest are inclusive ranges. Share is the fraction of calls from the
+	// first region, FirstHalf that of calls in the first half of the run, and
+	// PeakShare that of the first region's calls within a quarter day of its peak.
 	Calls     [2]int     `json:"calls"`
 	Share     [2]float64 `json:"share"`
 	FirstHalf [2]float64 `json:"first_half"`
@@ -77,42 +78,42 @@
 			again, err := New(row.options())
 			assert.NilError(t, err)
 			assert.Equal(t, len(r.arrivals), len(again.arrivals))
-			row.check(t, r.arrivals)
+			row.assertArrivals(t, r.arrivals)
 			for i := range r.arrivals {
 				assert.Equal(t, r.arrivals[i].Marker, again.arrivals[i].Marker)
-				assert.Equal(t, r.arrivals[i].After, again.arrivals[i].After)
+				assert.Equal(t, r.arrivals[i].Offset, again.arrivals[i].Offset)
 			}
 		})
 	}
 }
 
-func (row scheduleRow) check(t *testing.T, arrivals []Arrival) {
+func (row scheduleRow) assertArrivals(t *testing.T, arrivals []Arrival) {
 	t.Helper()
 	o := row.options()
 	var first, early, peak float64
 	for i, a := range arrivals {
-		assert.Assert(t, i == 0 || a.After >= arrivals[i-1].After)
-		if a.After < o.Duration/2 {
+		assert.Assert(t, i == 0 || a.Offset >= arrivals[i-1].Offset)
+		if a.Offset < o.Duration/2 {
 			early++
 		}
 		if a.Region != 0 {
 			continue
 		}
 		first++
-		if a.After < o.Duration/4 || a.After > 3*o.Duration/4 {
+		if a.Offset < o.Duration/4 || a.Offset > 3*o.Duration/4 {
 			peak++
 		}
 	}
 	n := float64(len(arrivals))
-	within(t, "calls", n, [2]float64{float64(row.Calls[0]), float64(row.Calls[1])})
-	within(t, "share of the first region", first/n, row.Share)
-	within(t, "first half", early/n, row.FirstHalf)
+	assertInRange(t, "calls", n, [2]float64{float64(row.Calls[0]), float64(row.Calls[1])})
+	assertInRange(t, "share of the first region", first/n, row.Share)
+	assertInRange(t, "first half", early/n, row.FirstHalf)
 	if row.PeakShare[1] > 0 {
-		within(t, "peak of the first region", peak/first, row.PeakShare)
+		assertInRange(t, "peak of the first region", peak/first, row.PeakShare)
 	}
 }
 
-func within(t *testing.T, what string, got float64, want [2]float64) {
+func assertInRange(t *testing.T, what string, got float64, want [2]float64) {
 	t.Helper()
 	assert.Assert(t, got >= want[0] && got <= want[1], "%s: %v is not in %v", what, got, want)
 }
@@ -128,7 +129,7 @@
 	InTime bool           `json:"in_time"`
 }
 
-// TestCalls checks that times count from the scheduled arrival, not the sending.
+// TestCalls checks that latencies count from the scheduled arrival.
 func TestCalls(t *testing.T) {
 	due := time.Unix(1000, 0)
 	for _, row := range readTable[callRow](t, "testdata/calls.json") {
@@ -151,15 +152,15 @@
 				r.FirstAt = due.Add(row.First.Duration)
 			}
 			c := newCall(a, due, r)
-			assert.Equal(t, c.Right, row.Right)
+			assert.Equal(t, c.Correct, row.Right)
 			assert.Equal(t, c.InTime, row.InTime)
-			assert.Equal(t, c.Whole, row.Whole.Duration)
+			assert.Equal(t, c.TotalLatency, row.Whole.Duration)
 		})
 	}
 }
 
-// TestDirect sends both mixes straight to stand-in endpoints: all answers are
-// whole, and the endpoints' counts agree with the record.
+// TestDirect sends every mix directly to endpoints, and checks that all answers
+// are correct and that the endpoints' counters match the record.
 func TestDirect(t *testing.T) {
 	targets := Targets{
 		Model:   "m",
@@ -202,7 +203,7 @@
 		assert.Equal(t, record.Done, len(r.arrivals), "%v", record.Codes)
 		assert.Equal(t, record.Wrong+record.Unknown+record.Shed, 0)
 		assert.Equal(t, record.Endpoints[0].Runs+record.serviceCalls(r), len(r.arrivals))
-		assert.Equal(t, record.Runs.Operations, r.booked())
+		assert.Equal(t, record.Runs.Operations, r.nonIdempotentCalls())
 		var table strings.Builder
 		assert.NilError(t, WriteTable(&table, record))
 		assert.Assert(t, strings.Contains(table.String(), mix.Kinds[0].Name))
@@ -219,7 +220,7 @@
 	return n
 }
 
-func (r *Run) booked() int {
+func (r *Run) nonIdempotentCalls() int {
 	n := 0
 	for _, a := range r.arrivals {
 		if a.Kind.Ticket {
--- a/standin/load/measure.go
+++ b/standin/load/measure.go
@@ -17,9 +17,9 @@
 	"github.com/fuchsianotch/fuchsianotch/standin/fault"
 )
 
-const askWithin = 10 * time.Second
+const counterReadTimeout = 10 * time.Second
 
-// Names of the VMs' counters.
+// Counters that a VM exports.
 const (
 	counterSentAway     = "fuchsianotch_sent_away_total"
 	counterForwards     = "fuchsianotch_forwards_total"
@@ -27,38 +27,38 @@
 	counterControlBytes = "fuchsianotch_control_bytes_total"
 )
 
-// Measure sends the run between two counts of the endpoints and VMs, and adds
-// what they counted in between. A VM or endpoint that does not answer counts
-// nothing, so a process that ends in the run is missing.
+// Measure reads the counters of endpoints and VMs before and after Send, and
+// adds the differences to the record. An endpoint or VM that cannot be read
+// counts as zero, so a process that ends during the run is missing.
 func (r *Run) Measure(ctx context.Context) *Record {
-	before := r.ask(ctx)
+	before := r.readCounters(ctx)
 	record := r.Send(ctx)
-	after := r.ask(ctx)
-	r.addEndpoints(record, before, after)
-	r.addVMs(record, before, after)
-	r.addRuns(record, after)
+	after := r.readCounters(ctx)
+	r.addEndpointCounts(record, before, after)
+	r.addVMCounts(record, before, after)
+	r.addOperationRuns(record, after)
 	return record
 }
 
-// counts is what all endpoints and VMs counted up to a moment.
-type counts struct {
+// counterSnapshot holds the counters of all endpoints and VMs at one time.
+type counterSnapshot struct {
 	endpoints []*fault.Report
 	vms       []VMCount
 }
 
-func (r *Run) ask(ctx context.Context) counts {
-	ctx, cancel := context.WithTimeout(ctx, askWithin)
+func (r *Run) readCounters(ctx context.Context) counterSnapshot {
+	ctx, cancel := context.WithTimeout(ctx, counterReadTimeout)
 	defer cancel()
-	var c counts
+	var c counterSnapshot
 	for _, e := range r.options.Targets.Endpoints {
 		report := &fault.Report{}
-		if body, err := get(ctx, e.Addr, "/admin/runs"); err == nil {
+		if body, err := httpGet(ctx, e.Addr, "/admin/runs"); err == nil {
 			_ = json.Unmarshal(body, report)
 		}
 		c.endpoints = append(c.endpoints, report)
 	}
 	for _, addr := range r.options.Targets.Operators {
-		body, err := get(ctx, addr, "/metrics")
+		body, err := httpGet(ctx, addr, "/metrics")
 		if err != nil {
 			body = nil
 		}
@@ -72,7 +72,7 @@
 	return c
 }
 
-func get(ctx context.Context, addr, path string) ([]byte, error) {
+func httpGet(ctx context.Context, addr, path string) ([]byte, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+path, http.NoBody)
 	if err != nil {
 		return nil, err
@@ -88,7 +88,7 @@
 	return io.ReadAll(resp.Body)
 }
 
-// SumCounter sums all series of one counter in the text format of metrics.
+// SumCounter sums all series of a counter in the Prometheus text format.
 func SumCounter(text, name string) float64 {
 	sum := 0.0
 	lines := bufio.NewScanner(strings.NewReader(text))
@@ -105,7 +105,7 @@
 	return sum
 }
 
-func (r *Run) addEndpoints(record *Record, before, after counts) {
+func (r *Run) addEndpointCounts(record *Record, before, after counterSnapshot) {
 	byRegion := make(map[string]*RegionCount)
 	for i, e := range r.options.Targets.Endpoints {
 		if e.Service {
@@ -134,7 +134,7 @@
 	c.GeneratedTokens += max(after.GeneratedTokens-before.GeneratedTokens, 0)
 }
 
-func (r *Run) addVMs(record *Record, before, after counts) {
+func (r *Run) addVMCounts(record *Record, before, after counterSnapshot) {
 	for i := range after.vms {
 		record.VMs.SentAway += max(after.vms[i].SentAway-before.vms[i].SentAway, 0)
 		record.VMs.Forwards += max(after.vms[i].Forwards-before.vms[i].Forwards, 0)
@@ -146,7 +146,7 @@
 	}
 }
 
-func (r *Run) addRuns(record *Record, after counts) {
+func (r *Run) addOperationRuns(record *Record, after counterSnapshot) {
 	runs := make(map[string]int)
 	for i, e := range r.options.Targets.Endpoints {
 		if !e.Service {
@@ -156,12 +156,12 @@
 			runs[operation] += n
 		}
 	}
-	for _, b := range r.tally.booked {
+	for _, b := range r.collector.nonIdempotent {
 		record.Runs.add(b, runs[b.operation])
 	}
 }
 
-func (r *Runs) add(b booked, runs int) {
+func (r *Runs) add(b operationOutcome, runs int) {
 	r.Operations++
 	switch {
 	case runs > 1:
--- a/standin/load/mix.go
+++ b/standin/load/mix.go
@@ -7,34 +7,36 @@
 	"github.com/fuchsianotch/fuchsianotch/call"
 )
 
-// Mix is what a user's callers ask for.
+// Mix is the distribution of calls that a user's callers make.
 type Mix struct {
 	Name  string
 	Kinds []Kind
 }
 
-// Kind is one kind of call.
+// Kind describes one kind of call in a mix.
 type Kind struct {
 	Name string
-	// Weight is this kind's part of all calls, relative to the others'.
+	// Weight is the frequency of this kind, relative to the other kinds.
 	Weight   float64
 	Priority call.Priority
-	// Service is set for a call to the deployment's plain service; the rest
-	// are chats with its model.
+	// Service selects a call to the plain service; otherwise the call is a
+	// chat completion.
 	Service bool
 	Method  string
-	// Path of a service call; the call's number is appended.
+	// Path is the prefix of a service call's path; the call's number is appended.
 	Path string
-	// Ticket asks for a ticket before the call.
+	// Ticket requests a ticket before the call, which is not idempotent.
 	Ticket bool
-	// Prefixes is the number of shared prompt prefixes, each of SharedTokens.
+	// Prefixes is the number of shared prompt prefixes, of SharedTokens each.
+	// OwnTokens follow that no other call has.
 	Prefixes     int
 	SharedTokens int
 	OwnTokens    int
-	// MaxTokens is the mean of the generated tokens, drawn from half to one and a half.
+	// MaxTokens is the mean token limit; each call's is drawn uniformly from
+	// 50% to 150% of it.
 	MaxTokens int
-	// FirstWithin bounds a good call's first token, Within its whole answer,
-	// both from the scheduled arrival. Zero FirstWithin means no bound.
+	// FirstWithin is the latency limit for the first token, Within that for the
+	// complete answer. Zero FirstWithin means no separate limit.
 	FirstWithin time.Duration
 	Within      time.Duration
 }
@@ -46,10 +48,9 @@
 	return k.Within
 }
 
-// The mixes by name.
 var mixes = []Mix{tesfaye(), planhigion()}
 
-// FindMix returns the mix of a user.
+// FindMix returns the mix with the given name.
 func FindMix(name string) (Mix, bool) {
 	for _, m := range mixes {
 		if m.Name == name {
@@ -59,7 +60,7 @@
 	return Mix{}, false
 }
 
-// MixNames lists the mixes.
+// MixNames returns the names of all mixes.
 func MixNames() []string {
 	var names []string
 	for _, m := range mixes {
@@ -68,7 +69,7 @@
 	return names
 }
 
-// tesfaye is the mix of Tesfaye Fairway Bookings. Its sizes are assumptions.
+// tesfaye is the mix of Tesfaye Fairway Bookings.
 func tesfaye() Mix {
 	return Mix{
 		Name: "tesfaye",
@@ -101,14 +102,14 @@
 	}
 }
 
-// planhigion is the mix of Planhigion Balconi. Its sizes are assumptions.
+// planhigion is the mix of Planhigion Balconi.
 func planhigion() Mix {
 	return Mix{
 		Name: "planhigion",
 		Kinds: []Kind{
 			booking("acknowledge", "/acknowledge", 0.10),
 			lookup("readings", "/readings", 0.35),
-			flag(0.10),
+			triageFlag(0.10),
 			{
 				Name:         "quick_answer",
 				Weight:       0.30,
@@ -150,8 +151,8 @@
 	}
 }
 
-// flag is a triage flag: a short urgent chat.
-func flag(weight float64) Kind {
+// triageFlag returns the kind of a short, urgent chat completion.
+func triageFlag(weight float64) Kind {
 	return Kind{
 		Name:         "triage_flag",
 		Weight:       weight,
@@ -165,7 +166,7 @@
 	}
 }
 
-// Report is a long seasonal care report, which tolerates delay.
+// Report returns the kind of a long chat completion that tolerates delay.
 func Report(weight float64) Kind {
 	return Kind{
 		Name:         "report",
@@ -179,17 +180,17 @@
 	}
 }
 
-// Flag is a triage flag alone, for measurements of one priority.
+// Flag returns the kind of a short, urgent chat completion.
 func Flag(weight float64) Kind {
-	return flag(weight)
+	return triageFlag(weight)
 }
 
-// Lookup is a plain read of a service, for measurements of one kind.
+// Lookup returns the kind of an idempotent service call.
 func Lookup(path string, weight float64) Kind {
 	return lookup("lookup", path, weight)
 }
 
-// Booking is a non-idempotent call with a ticket, for measurements of one kind.
+// Booking returns the kind of a non-idempotent service call with a ticket.
 func Booking(path string, weight float64) Kind {
 	return booking("booking", path, weight)
 }
--- a/standin/load/record.go
+++ b/standin/load/record.go
@@ -7,8 +7,8 @@
 	"github.com/fuchsianotch/fuchsianotch/result"
 )
 
-// Record is what became of one run. It holds only calls after the warm-up,
-// but for Endpoints and VMs, which count the whole run.
+// Record holds the results of a run. It covers the calls after the warm-up,
+// except for Endpoints and VMs, which cover the whole run.
 type Record struct {
 	Name      string         `json:"name,omitempty"`
 	StartedAt time.Time      `json:"started_at"`
@@ -17,45 +17,47 @@
 	Duration  jsonc.Duration `json:"duration"`
 	WarmUp    jsonc.Duration `json:"warm_up"`
 	Mix       string         `json:"mix"`
-	// Calls were due; Shed of them were not sent, since too many were in flight.
+	// Calls is the number of calls due. Shed counts those that were not sent
+	// because too many were in flight.
 	Calls   int `json:"calls"`
 	Shed    int `json:"shed"`
 	Done    int `json:"done"`
 	NotRun  int `json:"not_run"`
 	Unknown int `json:"unknown"`
-	// Wrong answers claim to be done and are not the whole own answer.
+	// Wrong counts calls reported as done whose answer is incomplete or belongs
+	// to another call.
 	Wrong int `json:"wrong"`
-	// InTime counts each call once if its whole own answer came in time.
+	// InTime counts correct answers within the latency limits.
 	InTime int `json:"in_time"`
-	// FirstNotDone and LastNotDone bound the scheduled arrivals, from the start
-	// of the run, of the calls that were not done; zero when all were.
+	// FirstNotDone and LastNotDone are the earliest and latest scheduled
+	// arrivals, from the start of the run, of calls that did not succeed.
 	FirstNotDone jsonc.Duration `json:"first_not_done"`
 	LastNotDone  jsonc.Duration `json:"last_not_done"`
-	// Retried calls took more than one try; Tries counts all tries.
+	// Retried counts calls with more than one attempt; Tries counts all attempts.
 	Retried    int         `json:"retried"`
 	Tries      int         `json:"tries"`
 	Codes      []CodeCount `json:"codes"`
 	Priorities []Latency   `json:"priorities"`
 	Kinds      []Latency   `json:"kinds"`
 	Origins    []Latency   `json:"origins"`
-	// Runs compares what callers were told with what the services ran.
-	Runs Runs `json:"runs"`
-	// Endpoints sums the endpoints' own counts by region.
+	Runs       Runs        `json:"runs"`
+	// Endpoints holds the counters of the engines by region.
 	Endpoints []RegionCount `json:"endpoints"`
 	VMs       VMCount       `json:"vms"`
-	// SentAwayShare is the part of all calls that the VMs sent to another region.
+	// SentAwayShare is the fraction of calls that VMs sent to another region.
 	SentAwayShare float64 `json:"sent_away_share"`
 }
 
-// CodeCount counts the calls that ended with a code; zero is no valid answer.
+// CodeCount counts the calls that ended with a result code. Code zero means
+// that there was no valid answer.
 type CodeCount struct {
 	Code  result.Code `json:"code"`
 	Name  string      `json:"name"`
 	Calls int         `json:"calls"`
 }
 
-// Latency is the tails of one group of calls. First and Whole count only whole
-// own answers, from the scheduled arrival.
+// Latency holds the latency quantiles of a group of calls. First and Whole
+// cover correct answers only.
 type Latency struct {
 	Name   string    `json:"name"`
 	Calls  int       `json:"calls"`
@@ -63,11 +65,11 @@
 	InTime int       `json:"in_time"`
 	First  Quantiles `json:"first"`
 	Whole  Quantiles `json:"whole"`
-	// Refusal is the time until a refusal that is certain.
+	// Refusal covers calls that certainly did not run.
 	Refusal Quantiles `json:"refusal"`
 }
 
-// Quantiles of one histogram; zero when it is empty.
+// Quantiles summarizes a histogram. It is zero for an empty one.
 type Quantiles struct {
 	Count int64          `json:"count"`
 	P50   jsonc.Duration `json:"p50"`
@@ -76,18 +78,19 @@
 	Max   jsonc.Duration `json:"max"`
 }
 
-// Runs compares non-idempotent calls with the services' counts.
+// Runs compares the results of non-idempotent calls with the runs that the
+// services counted.
 type Runs struct {
 	Operations int `json:"operations"`
-	// Doubled operations ran more than once.
+	// Doubled counts operations that ran more than once.
 	Doubled int `json:"doubled"`
-	// RanNotRun operations ran, though their callers were told that they did not.
+	// RanNotRun counts operations that ran but were reported as not run.
 	RanNotRun int `json:"ran_not_run"`
-	// Lost operations did not run, though their callers were told that they did.
+	// Lost counts operations that did not run but were reported as done.
 	Lost int `json:"lost"`
 }
 
-// RegionCount sums the counts of one region's endpoints over a run.
+// RegionCount sums the counters of a region's engines over a run.
 type RegionCount struct {
 	Region          string `json:"region"`
 	Runs            int    `json:"runs"`
@@ -105,7 +108,7 @@
 	ControlBytes int `json:"control_bytes"`
 }
 
-// Find returns the latencies of one name, or zeros.
+// Find returns the latencies of the named group, or the zero value.
 func Find(groups []Latency, name string) Latency {
 	for _, l := range groups {
 		if l.Name == name {
@@ -115,7 +118,7 @@
 	return Latency{}
 }
 
-// Cold sums the cold prefills of all regions.
+// Cold returns the number of cold prefills in all regions.
 func (r *Record) Cold() int {
 	n := 0
 	for _, c := range r.Endpoints {
@@ -124,7 +127,7 @@
 	return n
 }
 
-// ComputedTokens sums the prompt tokens that no cache held.
+// ComputedTokens returns the number of prompt tokens that missed the cache.
 func (r *Record) ComputedTokens() int {
 	n := 0
 	for _, c := range r.Endpoints {
@@ -133,7 +136,7 @@
 	return n
 }
 
-// GeneratedTokens sums the generated tokens of all regions.
+// GeneratedTokens returns the number of tokens generated in all regions.
 func (r *Record) GeneratedTokens() int {
 	n := 0
 	for _, c := range r.Endpoints {
--- a/standin/load/send.go
+++ b/standin/load/send.go
@@ -8,26 +8,26 @@
 	"github.com/fuchsianotch/fuchsianotch/standin/caller"
 )
 
-// newSenders makes one sender for each region.
-func (r *Run) newSenders() []sender {
-	var out []sender
+// newSenders returns a send function for each region.
+func (r *Run) newSenders() []sendFunc {
+	var out []sendFunc
 	for i := range r.options.Targets.Regions {
 		if r.options.Direct {
-			out = append(out, r.newDirect().send)
+			out = append(out, r.newDirectSender().send)
 			continue
 		}
-		out = append(out, r.newRegion(&r.options.Targets.Regions[i]).send)
+		out = append(out, r.newRegionSender(&r.options.Targets.Regions[i]).send)
 	}
 	return out
 }
 
-// regionSender sends by one caller for each workspace.
+// regionSender sends a region's calls through one caller per workspace.
 type regionSender struct {
 	targets *Targets
 	callers []*caller.Caller
 }
 
-func (r *Run) newRegion(region *Region) *regionSender {
+func (r *Run) newRegionSender(region *Region) *regionSender {
 	s := &regionSender{
 		targets: &r.options.Targets,
 	}
@@ -50,27 +50,27 @@
 		Priority: a.Kind.Priority.String(),
 	}
 	if !a.Kind.Service {
-		return c.Chat(ctx, a.chat(s.targets, terms))
+		return c.Chat(ctx, a.newChat(s.targets, terms))
 	}
-	return c.Service(ctx, a.service(s.targets, terms))
+	return c.Service(ctx, a.newService(s.targets, terms))
 }
 
-func (a *Arrival) chat(t *Targets, terms caller.Terms) caller.Chat {
+func (a *Arrival) newChat(t *Targets, terms caller.Terms) caller.Chat {
 	return caller.Chat{
 		Model:     t.Model,
-		System:    a.system(),
-		Message:   a.message(),
+		System:    a.systemPrompt(),
+		Message:   a.userMessage(),
 		MaxTokens: a.MaxTokens,
 		Stream:    true,
 		Terms:     terms,
 	}
 }
 
-func (a *Arrival) service(t *Targets, terms caller.Terms) caller.Service {
+func (a *Arrival) newService(t *Targets, terms caller.Terms) caller.Service {
 	s := caller.Service{
 		Service:    t.Service,
 		Method:     a.Kind.Method,
-		Path:       a.path(),
+		Path:       a.servicePath(),
 		WithTicket: a.Kind.Ticket,
 		Terms:      terms,
 	}
--- a/standin/load/table.go
+++ b/standin/load/table.go
@@ -9,11 +9,11 @@
 	"github.com/fuchsianotch/fuchsianotch/common/jsonc"
 )
 
-const columnGap = 2
+const columnPadding = 2
 
-// WriteTable writes a record in columns.
+// WriteTable writes a record as aligned text tables.
 func WriteTable(w io.Writer, r *Record) error {
-	t := tabwriter.NewWriter(w, 0, 0, columnGap, ' ', 0)
+	t := tabwriter.NewWriter(w, 0, 0, columnPadding, ' ', 0)
 	row := func(cells string, args ...any) { _, _ = fmt.Fprintf(t, cells+"\n", args...) }
 	row("calls\tdone\tin time\tnot run\tunknown\twrong\tshed\tretried\ttries")
 	row("%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d", r.Calls, r.Done, r.InTime, r.NotRun, r.Unknown, r.Wrong, r.Shed, r.Retried, r.Tries)
@@ -37,8 +37,8 @@
 		row("\n%s\tcalls\tin time\tfirst p50\tp95\tp99\twhole p50\tp95\tp99\trefusal p99", g.title)
 		for _, l := range g.groups {
 			row("%s\t%d\t%d\t%s\t%s\t%s\t%s\t%s\t%s\t%s", l.Name, l.Calls, l.InTime,
-				Short(l.First.P50), Short(l.First.P95), Short(l.First.P99),
-				Short(l.Whole.P50), Short(l.Whole.P95), Short(l.Whole.P99), Short(l.Refusal.P99))
+				FormatDuration(l.First.P50), FormatDuration(l.First.P95), FormatDuration(l.First.P99),
+				FormatDuration(l.Whole.P50), FormatDuration(l.Whole.P95), FormatDuration(l.Whole.P99), FormatDuration(l.Refusal.P99))
 		}
 	}
 	row("\nregion\truns\tcold\tprompt tokens\tcached\tgenerated")
@@ -54,8 +54,8 @@
 	return t.Flush()
 }
 
-// Short writes a duration with three digits or so.
-func Short(d jsonc.Duration) string {
+// FormatDuration formats a duration with about three significant digits.
+func FormatDuration(d jsonc.Duration) string {
 	switch {
 	case d.Duration >= time.Second:
 		return d.Round(10 * time.Millisecond).String()
--- a/standin/load/tally.go
+++ b/standin/load/tally.go
@@ -13,33 +13,32 @@
 )
 
 const (
-	// The histograms reach from a microsecond to ten minutes.
-	highestTime = 10 * time.Minute
-	digits      = 3
+	// maxLatency is the upper bound of the histograms.
+	maxLatency        = 10 * time.Minute
+	significantDigits = 3
 )
 
-// tally collects the counted calls of a run. It is safe for concurrent use.
-type tally struct {
-	mu         sync.Mutex
-	sums       Record
-	codes      map[result.Code]int
-	priorities groups
-	kinds      groups
-	origins    groups
-	// booked are the non-idempotent calls.
-	booked []booked
+// collector aggregates the calls of a run. It is safe for concurrent use.
+type collector struct {
+	mu            sync.Mutex
+	totals        Record
+	codes         map[result.Code]int
+	priorities    latencyGroups
+	kinds         latencyGroups
+	origins       latencyGroups
+	nonIdempotent []operationOutcome
 }
 
-// booked is what the caller of one non-idempotent call was told.
-type booked struct {
+// operationOutcome is the result of a non-idempotent call as its caller saw it.
+type operationOutcome struct {
 	operation string
 	class     result.Class
 }
 
-// groups are the histograms of calls by a name.
-type groups map[string]*group
+// latencyGroups maps the name of a group of calls to its histograms.
+type latencyGroups map[string]*latencyGroup
 
-type group struct {
+type latencyGroup struct {
 	calls   int
 	done    int
 	inTime  int
@@ -48,80 +47,80 @@
 	refusal *hdrhistogram.Histogram
 }
 
-func newTally() *tally {
-	return &tally{
+func newCollector() *collector {
+	return &collector{
 		codes:      make(map[result.Code]int),
-		priorities: make(groups),
-		kinds:      make(groups),
-		origins:    make(groups),
+		priorities: make(latencyGroups),
+		kinds:      make(latencyGroups),
+		origins:    make(latencyGroups),
 	}
 }
 
-// shed counts a call that was due and could not be sent.
-func (t *tally) shed(counts bool) {
+// addShed counts a call that was due but not sent.
+func (t *collector) addShed(counts bool) {
 	if !counts {
 		return
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.sums.Calls++
-	t.sums.Shed++
+	t.totals.Calls++
+	t.totals.Shed++
 }
 
-func (t *tally) take(c Call, origin string) {
+func (t *collector) addCall(c Call, origin string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.count(c)
+	t.addToTotals(c)
 	t.codes[c.Result.Code]++
-	t.priorities.take(c.Arrival.Kind.Priority.String(), c)
-	t.kinds.take(c.Arrival.Kind.Name, c)
-	t.origins.take(origin, c)
+	t.priorities.addCall(c.Arrival.Kind.Priority.String(), c)
+	t.kinds.addCall(c.Arrival.Kind.Name, c)
+	t.origins.addCall(origin, c)
 	if c.Arrival.Kind.Ticket {
-		t.booked = append(t.booked, booked{
+		t.nonIdempotent = append(t.nonIdempotent, operationOutcome{
 			operation: c.Arrival.Marker,
 			class:     c.Result.Class,
 		})
 	}
 }
 
-func (t *tally) count(c Call) {
-	t.sums.Calls++
-	t.sums.Tries += c.Result.Tries
+func (t *collector) addToTotals(c Call) {
+	t.totals.Calls++
+	t.totals.Tries += c.Result.Tries
 	switch c.Result.Class {
 	case result.ClassDone:
-		t.sums.Done++
+		t.totals.Done++
 	case result.ClassNotRun:
-		t.sums.NotRun++
+		t.totals.NotRun++
 	default:
-		t.sums.Unknown++
+		t.totals.Unknown++
 	}
-	if c.Result.Class == result.ClassDone && !c.Right {
-		t.sums.Wrong++
+	if c.Result.Class == result.ClassDone && !c.Correct {
+		t.totals.Wrong++
 	}
 	if c.InTime {
-		t.sums.InTime++
+		t.totals.InTime++
 	}
 	if c.Result.Class != result.ClassDone {
-		t.notDone(c.Arrival.After)
+		t.addFailureOffset(c.Arrival.Offset)
 	}
 	if c.Result.Tries > 1 {
-		t.sums.Retried++
+		t.totals.Retried++
 	}
 }
 
-func (t *tally) notDone(after time.Duration) {
-	if first := &t.sums.FirstNotDone; first.Duration == 0 || after < first.Duration {
+func (t *collector) addFailureOffset(after time.Duration) {
+	if first := &t.totals.FirstNotDone; first.Duration == 0 || after < first.Duration {
 		first.Duration = after
 	}
-	if last := &t.sums.LastNotDone; after > last.Duration {
+	if last := &t.totals.LastNotDone; after > last.Duration {
 		last.Duration = after
 	}
 }
 
-func (g groups) take(name string, c Call) {
+func (g latencyGroups) addCall(name string, c Call) {
 	one, ok := g[name]
 	if !ok {
-		one = &group{
+		one = &latencyGroup{
 			first:   newHistogram(),
 			whole:   newHistogram(),
 			refusal: newHistogram(),
@@ -133,30 +132,30 @@
 		one.inTime++
 	}
 	if c.Result.Class == result.ClassNotRun {
-		observe(one.refusal, c.Whole)
+		observe(one.refusal, c.TotalLatency)
 	}
-	if !c.Right {
+	if !c.Correct {
 		return
 	}
 	one.done++
-	observe(one.first, c.First)
-	observe(one.whole, c.Whole)
+	observe(one.first, c.FirstLatency)
+	observe(one.whole, c.TotalLatency)
 }
 
 func newHistogram() *hdrhistogram.Histogram {
-	return hdrhistogram.New(1, highestTime.Microseconds(), digits)
+	return hdrhistogram.New(1, maxLatency.Microseconds(), significantDigits)
 }
 
 func observe(h *hdrhistogram.Histogram, d time.Duration) {
-	d = min(max(d, time.Microsecond), highestTime)
-	// The value is within the histogram's bounds, so it cannot be refused.
+	d = min(max(d, time.Microsecond), maxLatency)
+	// RecordValue fails only for values out of range, and d is clamped.
 	_ = h.RecordValue(d.Microseconds())
 }
 
-func (t *tally) record(o Options, startedAt time.Time) *Record {
+func (t *collector) record(o Options, startedAt time.Time) *Record {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	r := t.sums
+	r := t.totals
 	r.StartedAt = startedAt.UTC()
 	r.Seed = o.Seed
 	r.Rate = o.Rate
@@ -170,7 +169,7 @@
 	return &r
 }
 
-func (t *tally) codeCounts() []CodeCount {
+func (t *collector) codeCounts() []CodeCount {
 	var out []CodeCount
 	for code, calls := range t.codes {
 		name := "no_answer"
@@ -187,7 +186,7 @@
 	return out
 }
 
-func (g groups) latencies() []Latency {
+func (g latencyGroups) latencies() []Latency {
 	var out []Latency
 	for name, one := range g {
 		out = append(out, Latency{
--- a/standin/load/targets.go
+++ b/standin/load/targets.go
@@ -5,58 +5,60 @@
 	"fmt"
 )
 
-// Targets are a deployment as its callers and its measurements see it.
+// Targets describes the deployment under load.
 type Targets struct {
 	Model   string   `json:"model"`
 	Service string   `json:"service"`
 	Regions []Region `json:"regions"`
-	// Endpoints are asked for their counts before and after a run.
+	// Endpoints have their counters read before and after a run.
 	Endpoints []Endpoint `json:"endpoints,omitempty"`
-	// Operators are "ip:port" of the VMs' operator fronts, asked for their counters.
+	// Operators are the addresses ("ip:port") of the VMs' operator listeners,
+	// which export the metrics.
 	Operators []string `json:"operators,omitempty"`
 }
 
-// Region is where calls come from, with the VMs that are close to the callers.
+// Region is an origin of calls and the VMs close to it.
 type Region struct {
 	Region string `json:"region"`
-	// Share is this region's part of the rate, relative to the others'; zero means 1.
+	// Share weighs this region's part of the rate against the others'; zero
+	// means 1.
 	Share float64 `json:"share,omitempty"`
-	// VMs are "ip:port" of caller fronts.
+	// VMs are the addresses ("ip:port") of the listeners for callers.
 	VMs        []string    `json:"vms"`
 	Workspaces []Workspace `json:"workspaces"`
-	// AsGiven sends each call to the VMs in their given order, and asks for no entries.
+	// AsGiven uses the VMs in the given order instead of requesting entries.
 	AsGiven bool `json:"as_given,omitempty"`
 }
 
-// Workspace is one customer with a key.
+// Workspace is a customer and its API key.
 type Workspace struct {
 	Workspace string `json:"workspace"`
 	Key       string `json:"key"`
 }
 
-// Endpoint is one stand-in endpoint.
+// Endpoint is the address of a stand-in engine or service.
 type Endpoint struct {
 	Region  string `json:"region"`
 	Addr    string `json:"addr"`
 	Service bool   `json:"service,omitempty"`
 }
 
-func (r *Region) share() float64 {
+func (r *Region) relativeShare() float64 {
 	if r.Share == 0 {
 		return 1
 	}
 	return r.Share
 }
 
-var errNoEndpoints = errors.New("direct calls need endpoints")
+var errNoEndpoints = errors.New("direct calls require at least one endpoint")
 
-func (t *Targets) check(direct bool) error {
+func (t *Targets) validate(direct bool) error {
 	if direct && len(t.Endpoints) == 0 {
 		return errNoEndpoints
 	}
 	for _, r := range t.Regions {
 		if len(r.Workspaces) == 0 || len(r.VMs) == 0 {
-			return fmt.Errorf("region %q needs vms and workspaces", r.Region)
+			return fmt.Errorf("region %q must have at least one VM and one workspace", r.Region)
 		}
 	}
 	return nil
