--- a/standin/endpoint/benchmark_test.go
+++ b/standin/endpoint/benchmark_test.go
@@ -15,7 +15,7 @@
 	"github.com/fuchsianotch/fuchsianotch/result"
 )
 
-// BenchmarkStreams holds 2,000 streams open at once, through the gateway's
+// BenchmarkStreams measures 2,000 concurrent streams through the gateway's
 // client. One operation is one stream.
 func BenchmarkStreams(b *testing.B) {
 	const atOnce = 2000
--- a/standin/endpoint/cache.go
+++ b/standin/endpoint/cache.go
@@ -10,16 +10,17 @@
 )
 
 const (
-	// blockTokens is the size of a cache block.
+	// blockTokens is the size of a cache block in tokens.
 	blockTokens = 16
-	// keptEvents bounds the events that can still be asked for.
-	keptEvents = 4096
-	// gapEvery is how often an event is lost.
-	gapEvery = 7
+	// minRetainedEvents is the number of recent events that always stay readable.
+	minRetainedEvents = 4096
+	// dropInterval makes every n-th event get lost, so that readers must handle
+	// gaps in the sequence.
+	dropInterval = 7
 )
 
-// blocksOf hashes each prefix of whole blocks.
-func blocksOf(words []string) []uint64 {
+// hashBlocks returns a hash of each prefix that consists of whole blocks.
+func hashBlocks(words []string) []uint64 {
 	blocks := make([]uint64, 0, len(words)/blockTokens)
 	digest := xxhash.New()
 	for block := range slices.Chunk(words, blockTokens) {
@@ -33,7 +34,7 @@
 	return blocks
 }
 
-// CacheEvent tells of blocks that came into the cache or left it.
+// CacheEvent lists blocks that were stored in the cache or evicted from it.
 type CacheEvent struct {
 	Sequence uint64    `json:"sequence"`
 	At       time.Time `json:"at"`
@@ -41,26 +42,26 @@
 	Removed  []uint64  `json:"removed,omitempty"`
 }
 
-// cache holds the prefix blocks that were used last.
-type cache struct {
+// prefixCache is an LRU cache of prompt prefix blocks.
+type prefixCache struct {
 	capacity int
 	byHash   map[uint64]*list.Element
-	// order holds hashes, the latest used in front.
-	order    *list.List
+	// recency holds the hashes, most recently used first.
+	recency  *list.List
 	sequence uint64
 	events   []CacheEvent
 }
 
-func newCache(capacity int) *cache {
-	return &cache{
+func newCache(capacity int) *prefixCache {
+	return &prefixCache{
 		capacity: capacity,
 		byHash:   make(map[uint64]*list.Element),
-		order:    list.New(),
+		recency:  list.New(),
 	}
 }
 
-// match returns how many leading blocks are in the cache.
-func (c *cache) match(blocks []uint64) int {
+// match returns the number of leading blocks that are cached.
+func (c *prefixCache) match(blocks []uint64) int {
 	for i, hash := range blocks {
 		if _, ok := c.byHash[hash]; !ok {
 			return i
@@ -69,44 +70,44 @@
 	return len(blocks)
 }
 
-// insert makes the blocks the latest used. The first ones end up in front, so
-// that a prefix outlives what follows it.
-func (c *cache) insert(blocks []uint64) {
+// insert marks the blocks as most recently used and evicts those over capacity.
+// Leading blocks rank first, so that a prefix is evicted after its extensions.
+func (c *prefixCache) insert(blocks []uint64) {
 	event := CacheEvent{At: time.Now()}
 	for _, hash := range slices.Backward(blocks) {
 		if element, ok := c.byHash[hash]; ok {
-			c.order.MoveToFront(element)
+			c.recency.MoveToFront(element)
 			continue
 		}
-		c.byHash[hash] = c.order.PushFront(hash)
+		c.byHash[hash] = c.recency.PushFront(hash)
 		event.Stored = append(event.Stored, hash)
 	}
-	for c.order.Len() > c.capacity {
-		oldest := c.order.Back()
-		hash, _ := c.order.Remove(oldest).(uint64)
+	for c.recency.Len() > c.capacity {
+		oldest := c.recency.Back()
+		hash, _ := c.recency.Remove(oldest).(uint64)
 		delete(c.byHash, hash)
 		event.Removed = append(event.Removed, hash)
 	}
 	if len(event.Stored)+len(event.Removed) > 0 {
-		c.record(event)
+		c.recordEvent(event)
 	}
 }
 
-// record keeps an event, or loses it.
-func (c *cache) record(event CacheEvent) {
+// recordEvent appends an event, and drops every dropInterval-th one.
+func (c *prefixCache) recordEvent(event CacheEvent) {
 	c.sequence++
-	if c.sequence%gapEvery == 0 {
+	if c.sequence%dropInterval == 0 {
 		return
 	}
 	event.Sequence = c.sequence
 	c.events = append(c.events, event)
-	if len(c.events) > 2*keptEvents {
-		c.events = slices.Clone(c.events[keptEvents:])
+	if len(c.events) > 2*minRetainedEvents {
+		c.events = slices.Clone(c.events[minRetainedEvents:])
 	}
 }
 
-// after returns the events above a sequence number that are older than until.
-func (c *cache) after(sequence uint64, until time.Time) []CacheEvent {
+// eventsBetween returns the events after a sequence number and before a time.
+func (c *prefixCache) eventsBetween(sequence uint64, until time.Time) []CacheEvent {
 	var found []CacheEvent
 	for _, event := range c.events {
 		if event.Sequence > sequence && event.At.Before(until) {
--- a/standin/endpoint/chat.go
+++ b/standin/endpoint/chat.go
@@ -10,23 +10,25 @@
 	"github.com/fuchsianotch/fuchsianotch/standin/fault"
 )
 
-// crossAfter is the chunk from which every second crossed stream is another's.
-const crossAfter = 3
+// ownChunksBeforeCross is the number of correct chunks in a stream that the
+// Cross fault mixes up late.
+const ownChunksBeforeCross = 3
 
-// answer is one request being answered.
-type answer struct {
+// response writes the response to one chat completion request.
+type response struct {
 	endpoint *Endpoint
 	job      *job
 	w        http.ResponseWriter
 	r        *http.Request
 	flush    func() error
-	// sent counts tokens, with those before the job's start; chunks all chunks.
+	// sent counts tokens, including those before a resumed start; chunks counts
+	// stream chunks.
 	sent   int
 	chunks int
 	buffer []byte
 }
 
-func (e *Endpoint) chat(w http.ResponseWriter, r *http.Request) {
+func (e *Endpoint) serveChat(w http.ResponseWriter, r *http.Request) {
 	e.faults.Thaw()
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
@@ -41,7 +43,7 @@
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	var p prompt
+	var p chatRequest
 	if err := json.Unmarshal(body, &p); err != nil {
 		http.Error(w, `{"error":{"message":"the request is malformed"}}`, http.StatusBadRequest)
 		return
@@ -53,24 +55,24 @@
 		}
 	}()
 	e.engine.submit(j)
-	a := &answer{
+	a := &response{
 		endpoint: e,
 		job:      j,
 		w:        w,
 		r:        r,
 		flush:    http.NewResponseController(w).Flush,
-		sent:     j.from,
+		sent:     j.resumedFrom,
 	}
 	if p.Stream && !f.RefuseAfterRun {
-		a.stream()
+		a.writeStream()
 		return
 	}
-	a.whole()
+	a.writeWhole()
 }
 
-// wait returns when more tokens are there than were sent, with their number.
-// A gone client ends the handler.
-func (a *answer) wait() int {
+// waitForTokens blocks until unsent tokens exist and returns the number of tokens
+// produced. It aborts the handler when the client disconnects.
+func (a *response) waitForTokens() int {
 	for {
 		produced := int(a.job.produced.Load())
 		if produced > a.sent && !a.endpoint.faults.Get().Silent {
@@ -84,17 +86,18 @@
 	}
 }
 
-// head waits for the first token and for faults before the head.
-func (a *answer) head(contentType string) {
+// prepareHeader waits for the first token, applies the faults that precede the
+// response header, and sets the header fields.
+func (a *response) prepareHeader(contentType string) {
 	select {
 	case <-a.job.ready:
 	case <-a.r.Context().Done():
 		panic(http.ErrAbortHandler)
 	}
 	if a.sent < a.job.total {
-		a.wait()
+		a.waitForTokens()
 	}
-	a.pause()
+	a.waitWhileFrozen()
 	f := a.endpoint.faults.Get()
 	if f.Silent {
 		<-a.r.Context().Done()
@@ -108,59 +111,60 @@
 	a.endpoint.setLoadHeaders(header, f)
 	header.Set("Content-Type", contentType)
 	if a.endpoint.options.Resumes && a.r.Header.Get("X-Resume-From") != "" {
-		header.Set("X-Resumed-From", strconv.Itoa(a.job.from))
+		header.Set("X-Resumed-From", strconv.Itoa(a.job.resumedFrom))
 	}
 	if f.Cross && !a.crossesLate() {
-		id, _ := a.endpoint.engine.other(a.job)
+		id, _ := a.endpoint.engine.otherJob(a.job)
 		header.Set(fault.HeaderRequestID, id)
 	}
 }
 
-// crossesLate picks the crossed streams that begin as their own.
-func (a *answer) crossesLate() bool {
+// crossesLate reports whether a crossed stream starts with its own chunks, which
+// half of the request IDs select.
+func (a *response) crossesLate() bool {
 	last := a.job.id[max(len(a.job.id)-1, 0):]
 	return last != "" && last[0]%2 == 0
 }
 
-func (a *answer) pause() {
+func (a *response) waitWhileFrozen() {
 	a.endpoint.faults.Thaw()
 }
 
-// owner gives whose id and content the next chunk shows.
-func (a *answer) owner(f fault.Faults) (id, marker string) {
-	if f.Cross && (a.chunks >= crossAfter || !a.crossesLate()) {
-		return a.endpoint.engine.other(a.job)
+// contentSource returns the request ID and marker for the next chunk.
+func (a *response) contentSource(f fault.Faults) (id, marker string) {
+	if f.Cross && (a.chunks >= ownChunksBeforeCross || !a.crossesLate()) {
+		return a.endpoint.engine.otherJob(a.job)
 	}
 	return a.job.id, a.job.marker
 }
 
-func (a *answer) stream() {
-	a.head("text/event-stream")
-	a.write(func(b []byte, _ string) []byte { return appendRole(b) })
+func (a *response) writeStream() {
+	a.prepareHeader("text/event-stream")
+	a.writeChunk(func(b []byte, _ string) []byte { return appendRoleDelta(b) })
 	for a.sent < a.job.total {
-		for produced := a.wait(); a.sent < produced; a.sent++ {
-			a.write(func(b []byte, marker string) []byte { return appendToken(b, marker, a.sent) })
+		for produced := a.waitForTokens(); a.sent < produced; a.sent++ {
+			a.writeChunk(func(b []byte, marker string) []byte { return appendTokenDelta(b, marker, a.sent) })
 		}
 		_ = a.flush()
 	}
-	a.write(func(b []byte, _ string) []byte { return appendFinish(b) })
-	a.write(func(b []byte, _ string) []byte { return appendUsage(b, a.job) })
+	a.writeChunk(func(b []byte, _ string) []byte { return appendFinishReason(b) })
+	a.writeChunk(func(b []byte, _ string) []byte { return appendUsageChunk(b, a.job) })
 	_, _ = a.w.Write([]byte("data: [DONE]\n\n"))
 }
 
-// write sends one chunk, whose rest is appended after its id.
-func (a *answer) write(rest func(b []byte, marker string) []byte) {
-	a.pause()
+// writeChunk sends one chunk. appendRest adds what follows the envelope.
+func (a *response) writeChunk(appendRest func(b []byte, marker string) []byte) {
+	a.waitWhileFrozen()
 	f := a.endpoint.faults.Get()
 	time.Sleep(f.Slow.Duration)
 	if f.CutAfter > 0 && a.chunks >= f.CutAfter {
 		_ = a.flush()
 		panic(http.ErrAbortHandler)
 	}
-	id, marker := a.owner(f)
+	id, marker := a.contentSource(f)
 	a.buffer = append(a.buffer[:0], "data: "...)
-	a.buffer = appendOpening(a.buffer, id, "chat.completion.chunk", a.endpoint.options.Model)
-	a.buffer = rest(a.buffer, marker)
+	a.buffer = appendEnvelopeStart(a.buffer, id, "chat.completion.chunk", a.endpoint.options.Model)
+	a.buffer = appendRest(a.buffer, marker)
 	a.buffer = append(a.buffer, "}\n\n"...)
 	a.chunks++
 	if _, err := a.w.Write(a.buffer); err != nil {
@@ -171,20 +175,20 @@
 	}
 }
 
-// whole answers in one piece with its length.
-func (a *answer) whole() {
+// writeWhole writes a response that is not streamed, with its Content-Length.
+func (a *response) writeWhole() {
 	for a.sent < a.job.total {
-		a.sent = a.wait()
+		a.sent = a.waitForTokens()
 	}
 	f := a.endpoint.faults.Get()
 	if f.RefuseAfterRun {
 		a.w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	a.head("application/json")
-	a.chunks = crossAfter
-	id, marker := a.owner(f)
-	b := appendOpening(nil, id, "chat.completion", a.endpoint.options.Model)
+	a.prepareHeader("application/json")
+	a.chunks = ownChunksBeforeCross
+	id, marker := a.contentSource(f)
+	b := appendEnvelopeStart(nil, id, "chat.completion", a.endpoint.options.Model)
 	b = appendMessage(b, marker, a.job)
 	b = append(b, '}')
 	a.w.Header().Set("Content-Length", strconv.Itoa(len(b)))
--- a/standin/endpoint/encode.go
+++ b/standin/endpoint/encode.go
@@ -2,10 +2,10 @@
 
 import "strconv"
 
-// Ids, markers and model names hold no characters that JSON escapes: they come
-// from headers, from a word pattern, and from a flag.
+// The functions below write JSON without escaping. IDs, markers and model names
+// need none: they come from headers, a word pattern and a flag.
 
-func appendOpening(b []byte, id, object, model string) []byte {
+func appendEnvelopeStart(b []byte, id, object, model string) []byte {
 	b = append(b, `{"id":"chatcmpl-`...)
 	b = append(b, id...)
 	b = append(b, `","object":"`...)
@@ -15,7 +15,7 @@
 	return append(b, `",`...)
 }
 
-func appendText(b []byte, marker string, i int) []byte {
+func appendTokenText(b []byte, marker string, i int) []byte {
 	if marker == "" {
 		marker = "token"
 	}
@@ -25,21 +25,21 @@
 	return append(b, ' ')
 }
 
-func appendRole(b []byte) []byte {
+func appendRoleDelta(b []byte) []byte {
 	return append(b, `"choices":[{"index":0,"delta":{"role":"assistant","content":""},"finish_reason":null}]`...)
 }
 
-func appendToken(b []byte, marker string, i int) []byte {
+func appendTokenDelta(b []byte, marker string, i int) []byte {
 	b = append(b, `"choices":[{"index":0,"delta":{"content":"`...)
-	b = appendText(b, marker, i)
+	b = appendTokenText(b, marker, i)
 	return append(b, `"},"finish_reason":null}]`...)
 }
 
-func appendFinish(b []byte) []byte {
+func appendFinishReason(b []byte) []byte {
 	return append(b, `"choices":[{"index":0,"delta":{},"finish_reason":"length"}]`...)
 }
 
-func appendUsage(b []byte, j *job) []byte {
+func appendUsageChunk(b []byte, j *job) []byte {
 	b = append(b, `"choices":[],`...)
 	return appendUsageField(b, j)
 }
@@ -59,7 +59,7 @@
 func appendMessage(b []byte, marker string, j *job) []byte {
 	b = append(b, `"choices":[{"index":0,"message":{"role":"assistant","content":"`...)
 	for i := range j.total {
-		b = appendText(b, marker, i)
+		b = appendTokenText(b, marker, i)
 	}
 	b = append(b, `"},"finish_reason":"length"}],`...)
 	return appendUsageField(b, j)
--- a/standin/endpoint/endpoint.go
+++ b/standin/endpoint/endpoint.go
@@ -1,6 +1,6 @@
-// Package endpoint is a stand-in for a model engine. It batches continuously,
-// keeps a bounded cache of prompt prefixes, honours priorities, resumes and
-// cancels streams, reports its load with a lag, and takes faults by order.
+// Package endpoint is a fake model engine for tests. It implements continuous
+// batching, an LRU prefix cache, priorities, resumption and cancellation of
+// streams, delayed load reports, and fault injection.
 package endpoint
 
 import (
@@ -13,26 +13,25 @@
 	"github.com/fuchsianotch/fuchsianotch/standin/fault"
 )
 
-// Options set up an Endpoint.
+// Options configure an Endpoint.
 type Options struct {
-	// ID is the endpoint's id and Model the model it serves.
 	ID    string
 	Model string
-	// Slots is how many requests run at once.
+	// Slots is the maximum batch size.
 	Slots int
-	// Step is the time of one token in an empty batch.
+	// Step is the time per token at a batch size near zero.
 	Step time.Duration
-	// PrefillRate is prompt tokens per second.
+	// PrefillRate is the number of prompt tokens computed per second.
 	PrefillRate int
-	// CacheBlocks bounds the prefix cache, in blocks of blockTokens tokens.
+	// CacheBlocks is the capacity of the prefix cache in blocks of 16 tokens.
 	CacheBlocks int
-	// ReportLag is how far load reports and cache events lag behind.
+	// ReportLag is the delay of load reports and cache events.
 	ReportLag time.Duration
 	// Resumes reports whether the engine honours X-Resume-From.
 	Resumes bool
 }
 
-// Defaults of Options.
+// Defaults for zero Options.
 const (
 	defaultSlots       = 16
 	defaultStep        = 5 * time.Millisecond
@@ -40,17 +39,17 @@
 	defaultCacheBlocks = 4096
 )
 
-// Endpoint is the stand-in. It is safe for concurrent use.
+// Endpoint is a fake engine. It is safe for concurrent use.
 type Endpoint struct {
 	options Options
 	engine  *engine
-	reports reports
+	reports laggingReports
 	faults  fault.Switch
 	runs    *fault.Runs
 	seen    *fault.Seen
 }
 
-// New makes an engine without faults.
+// New returns an engine without faults.
 func New(o Options) *Endpoint {
 	if o.Slots <= 0 {
 		o.Slots = defaultSlots
@@ -73,12 +72,12 @@
 	return e
 }
 
-// Serve answers on the listener until ctx ends, and lets open requests end.
+// Serve serves on the listener until ctx ends, then shuts down gracefully.
 func (e *Endpoint) Serve(ctx context.Context, listener net.Listener) error {
 	running, stop := context.WithCancel(context.WithoutCancel(ctx))
 	var group sync.WaitGroup
 	group.Go(func() { e.engine.run(running) })
-	group.Go(func() { e.reports.run(running, e.options.ReportLag, e.engine.load) })
+	group.Go(func() { e.reports.run(running, e.options.ReportLag, e.engine.currentLoad) })
 	err := fault.Serve(ctx, listener, e.handler())
 	stop()
 	group.Wait()
@@ -87,9 +86,9 @@
 
 func (e *Endpoint) handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST /v1/chat/completions", e.chat)
-	mux.HandleFunc("GET /v1/load", e.load)
-	mux.HandleFunc("GET /v1/cache_events", e.cacheEvents)
+	mux.HandleFunc("POST /v1/chat/completions", e.serveChat)
+	mux.HandleFunc("GET /v1/load", e.serveLoad)
+	mux.HandleFunc("GET /v1/cache_events", e.serveCacheEvents)
 	mux.HandleFunc("PUT /admin/faults", e.faults.Put)
 	mux.HandleFunc("GET /admin/runs", e.runs.Get)
 	mux.HandleFunc("GET /admin/seen", e.seen.Get)
--- a/standin/endpoint/endpoint_test.go
+++ b/standin/endpoint/endpoint_test.go
@@ -38,7 +38,7 @@
 	} `json:"want"`
 }
 
-// start serves an engine until the test ends, and waits for its graceful stop.
+// start serves an engine until the test ends, then checks its graceful shutdown.
 func start(t *testing.T, o Options) (*Endpoint, fleet.Endpoint) {
 	t.Helper()
 	o.Step = time.Millisecond
@@ -85,8 +85,8 @@
 	return o, body.String()
 }
 
-// TestAnswers meets the stand-in with the gateway's client, so that both keep
-// to one protocol.
+// TestAnswers checks the engine against the gateway's client, so that both
+// implement the same protocol.
 func TestAnswers(t *testing.T) {
 	rows := datatest.Read[[]row](t, "testdata/answers.json")
 	for _, r := range rows {
@@ -130,7 +130,8 @@
 	assert.Equal(t, resp.StatusCode, http.StatusNoContent)
 }
 
-// TestCancel checks that a silent engine drops a request whose caller leaves.
+// TestCancel checks that an engine releases the slot of a request whose client
+// disconnects.
 func TestCancel(t *testing.T) {
 	e, at := start(t, Options{Slots: 1})
 	put(t, at, fault.Faults{Silent: true})
@@ -150,27 +151,27 @@
 	assert.Equal(t, o.Code, result.Done, "%v", o.Err)
 }
 
-// TestCache checks the prefix cache: hits, the bound, and late and gappy events.
+// TestCache checks cache hits, eviction, and delayed events with gaps.
 func TestCache(t *testing.T) {
 	c := newCache(4)
-	long := blocksOf(strings.Fields(strings.Repeat("a b c d ", 4*blockTokens/4)))
+	long := hashBlocks(strings.Fields(strings.Repeat("a b c d ", 4*blockTokens/4)))
 	assert.Equal(t, len(long), 4)
 	assert.Equal(t, c.match(long), 0)
 	c.insert(long)
 	assert.Equal(t, c.match(long), 4)
-	other := blocksOf(strings.Fields(strings.Repeat("x ", 2*blockTokens+1)))
+	other := hashBlocks(strings.Fields(strings.Repeat("x ", 2*blockTokens+1)))
 	c.insert(other)
 	assert.Equal(t, c.match(other), 2)
-	assert.Equal(t, c.match(long), 2, "the prefix outlives what follows it")
-	for i := range 2 * gapEvery {
+	assert.Equal(t, c.match(long), 2, "a prefix is evicted after its extensions")
+	for i := range 2 * dropInterval {
 		c.insert([]uint64{uint64(i)})
 	}
 	sequence := c.sequence
-	assert.Equal(t, len(c.after(0, time.Now().Add(time.Hour))), int(sequence)-int(sequence)/gapEvery)
-	assert.Equal(t, len(c.after(0, time.Now().Add(-time.Hour))), 0)
+	assert.Equal(t, len(c.eventsBetween(0, time.Now().Add(time.Hour))), int(sequence)-int(sequence)/dropInterval)
+	assert.Equal(t, len(c.eventsBetween(0, time.Now().Add(-time.Hour))), 0)
 }
 
-// TestBatch steps the engine by hand: slots, priorities, prefill and the cache.
+// TestBatch steps the engine manually to check slots, priorities, prefill and cache hits.
 func TestBatch(t *testing.T) {
 	var faults fault.Switch
 	runs := fault.NewRuns()
@@ -180,7 +181,7 @@
 		PrefillRate: 1000,
 		CacheBlocks: 8,
 	}, &faults, runs)
-	p := prompt{Messages: []message{{Role: "user", Content: json.RawMessage(`"` + strings.Repeat("w ", 31) + `"`)}}}
+	p := chatRequest{Messages: []message{{Role: "user", Content: json.RawMessage(`"` + strings.Repeat("w ", 31) + `"`)}}}
 	job := func(id, priority string) *job {
 		j := newJob(http.Header{
 			"X-Request-Id": {id},
@@ -193,12 +194,12 @@
 	report, urgent := job("report", "2"), job("urgent", "0")
 	steps := func(n int) {
 		for range n {
-			e.begin()
-			e.advance(8 * time.Millisecond)
+			e.scheduleStep()
+			e.runStep(8 * time.Millisecond)
 		}
 	}
 	steps(4)
-	assert.Equal(t, urgent.prefill, 0)
+	assert.Equal(t, urgent.prefillLeft, 0)
 	assert.Equal(t, urgent.produced.Load(), int64(0))
 	steps(2)
 	assert.Equal(t, urgent.produced.Load(), int64(2))
@@ -206,7 +207,7 @@
 	steps(2)
 	assert.Equal(t, report.cachedTokens, 32)
 	assert.Equal(t, report.produced.Load(), int64(2))
-	assert.Equal(t, e.begin(), time.Duration(0))
+	assert.Equal(t, e.scheduleStep(), time.Duration(0))
 	got := runs.Report()
 	assert.Equal(t, got.ColdPrefills, 1)
 	assert.Equal(t, got.PromptTokens, 64)
--- a/standin/endpoint/engine.go
+++ b/standin/endpoint/engine.go
@@ -11,42 +11,44 @@
 	"github.com/fuchsianotch/fuchsianotch/standin/fault"
 )
 
-// batchCost is how much longer a step of a full batch takes than an empty one's.
-const batchCost = 0.5
+// fullBatchSlowdown is the relative increase of the step time at a full batch.
+const fullBatchSlowdown = 0.5
 
-// job is one request in the engine.
+// job is a request in the engine.
 type job struct {
 	id        string
 	operation string
 	marker    string
 	priority  call.Priority
-	// blocks are the hashes of the prompt's prefix blocks.
+	// blocks holds the hashes of the prompt's prefix blocks.
 	blocks       []uint64
 	promptTokens int
 	cachedTokens int
-	// from is the number of tokens that the caller has already; total is where to stop.
-	from  int
-	total int
-	// prefill is the number of prompt tokens still to be computed.
-	prefill int
-	// produced counts tokens, with those before from; wake tells of more.
+	// resumedFrom is the number of tokens that the caller already has. total is the
+	// number of tokens of the complete answer.
+	resumedFrom int
+	total       int
+	// prefillLeft is the number of prompt tokens still to compute.
+	prefillLeft int
+	// produced counts tokens, including those before resumedFrom; wake signals more.
 	produced  atomic.Int64
 	cancelled atomic.Bool
 	wake      chan struct{}
-	// ready is closed after the prefill; the fields that the engine sets are fixed then.
+	// ready is closed after the prefill, when cachedTokens is final.
 	ready chan struct{}
 }
 
-// engine steps the batch in one goroutine; jobs only read their own counts.
+// engine runs the batch in a single goroutine. Handlers read the progress of
+// their jobs from the jobs' atomic counters.
 type engine struct {
 	options Options
 	faults  *fault.Switch
 	runs    *fault.Runs
-	// work tells the idle loop of a new job.
-	work chan struct{}
+	// submitted wakes the idle loop for a new job.
+	submitted chan struct{}
 
 	mu        sync.Mutex
-	cache     *cache
+	cache     *prefixCache
 	running   []*job
 	waiting   [call.Priorities][]*job
 	last      *job
@@ -55,20 +57,20 @@
 
 func newEngine(o Options, faults *fault.Switch, runs *fault.Runs) *engine {
 	return &engine{
-		options: o,
-		faults:  faults,
-		runs:    runs,
-		work:    make(chan struct{}, 1),
-		cache:   newCache(o.CacheBlocks),
+		options:   o,
+		faults:    faults,
+		runs:      runs,
+		submitted: make(chan struct{}, 1),
+		cache:     newCache(o.CacheBlocks),
 	}
 }
 
-// submit queues a job.
+// submit enqueues a job.
 func (e *engine) submit(j *job) {
 	e.mu.Lock()
 	e.waiting[j.priority] = append(e.waiting[j.priority], j)
 	e.mu.Unlock()
-	notify(e.work)
+	notify(e.submitted)
 }
 
 func notify(c chan struct{}) {
@@ -78,19 +80,19 @@
 	}
 }
 
-// run steps the batch until ctx ends.
+// run executes steps until ctx ends.
 func (e *engine) run(ctx context.Context) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	next := time.Now()
 	for {
 		e.faults.Thaw()
-		wait := e.begin()
+		wait := e.scheduleStep()
 		if wait == 0 {
 			select {
 			case <-ctx.Done():
 				return
-			case <-e.work:
+			case <-e.submitted:
 			}
 			next = time.Now()
 			continue
@@ -105,16 +107,17 @@
 			return
 		case <-timer.C:
 		}
-		e.advance(wait)
+		e.runStep(wait)
 	}
 }
 
-// begin fills the batch, and gives the time of its next step; zero means idle.
-func (e *engine) begin() time.Duration {
+// scheduleStep admits waiting jobs to the batch and returns the duration of the
+// next step, or zero if the engine is idle.
+func (e *engine) scheduleStep() time.Duration {
 	isLeaving := e.faults.Get().Leaving
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.running = slices.DeleteFunc(e.running, (*job).ended)
+	e.running = slices.DeleteFunc(e.running, (*job).isFinished)
 	for priority := range e.waiting {
 		queue := e.waiting[priority]
 		for len(queue) > 0 && len(e.running) < e.options.Slots {
@@ -131,35 +134,35 @@
 		return 0
 	}
 	fill := float64(len(e.running)) / float64(e.options.Slots)
-	return time.Duration(float64(e.options.Step) * (1 + batchCost*fill))
+	return time.Duration(float64(e.options.Step) * (1 + fullBatchSlowdown*fill))
 }
 
 func (e *engine) start(j *job, isLeaving bool) {
 	j.cachedTokens = min(e.cache.match(j.blocks)*blockTokens, j.promptTokens)
-	j.prefill = j.promptTokens - j.cachedTokens + j.from
+	j.prefillLeft = j.promptTokens - j.cachedTokens + j.resumedFrom
 	e.cache.insert(j.blocks)
 	e.runs.Begin(j.operation, isLeaving)
 	e.runs.Prompt(j.promptTokens, j.cachedTokens)
-	if j.prefill == 0 {
+	if j.prefillLeft == 0 {
 		close(j.ready)
 	}
 	e.running = append(e.running, j)
 	e.last = j
 }
 
-// advance does what one step of the given time computes: prefill in order of
-// arrival within the rate, and one token for each job past its prefill.
-func (e *engine) advance(step time.Duration) {
+// runStep computes one step of the given duration: prefill in batch order up to
+// the prefill rate, and one token for each job that has finished its prefill.
+func (e *engine) runStep(step time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	budget := max(int(float64(e.options.PrefillRate)*step.Seconds()), 1)
 	generated := 0
 	for _, j := range e.running {
-		if j.prefill > 0 {
-			done := min(j.prefill, budget)
-			j.prefill -= done
+		if j.prefillLeft > 0 {
+			done := min(j.prefillLeft, budget)
+			j.prefillLeft -= done
 			budget -= done
-			if j.prefill == 0 {
+			if j.prefillLeft == 0 {
 				close(j.ready)
 			}
 			continue
@@ -174,12 +177,12 @@
 	e.runs.Generated(generated)
 }
 
-func (j *job) ended() bool {
-	return j.cancelled.Load() || j.prefill == 0 && j.produced.Load() >= int64(j.total)
+func (j *job) isFinished() bool {
+	return j.cancelled.Load() || j.prefillLeft == 0 && j.produced.Load() >= int64(j.total)
 }
 
-// other returns the id and marker of another request, for crossed answers.
-func (e *engine) other(own *job) (id, marker string) {
+// otherJob returns the ID and marker of another request, for the Cross fault.
+func (e *engine) otherJob(own *job) (id, marker string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for _, j := range e.running {
@@ -193,11 +196,11 @@
 	return "other", "other"
 }
 
-// load is the true load now.
-func (e *engine) load() load {
+// currentLoad returns the load without the report lag.
+func (e *engine) currentLoad() loadReport {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	l := load{
+	l := loadReport{
 		At:        time.Now(),
 		Slots:     e.options.Slots,
 		Running:   len(e.running),
@@ -210,7 +213,7 @@
 		}
 	}
 	for _, j := range e.running {
-		l.QueuedTokens += j.prefill
+		l.QueuedTokens += j.prefillLeft
 	}
 	return l
 }
--- a/standin/endpoint/load.go
+++ b/standin/endpoint/load.go
@@ -10,8 +10,8 @@
 	"github.com/fuchsianotch/fuchsianotch/standin/fault"
 )
 
-// load is the answer to GET /v1/load.
-type load struct {
+// loadReport is the response to GET /v1/load.
+type loadReport struct {
 	At              time.Time `json:"at"`
 	Slots           int       `json:"slots"`
 	Running         int       `json:"running"`
@@ -20,22 +20,22 @@
 	TokensPerSecond float64   `json:"tokens_per_second"`
 	Leaving         bool      `json:"leaving"`
 
-	// generated counts all tokens so far, for the rate.
+	// generated is the total number of tokens, from which the rate is computed.
 	generated int
 }
 
-// reports shows the load as it was one to two half lags ago.
-type reports struct {
-	mu      sync.Mutex
-	shown   load
-	current load
+// laggingReports publishes the load as it was between half a lag and a lag ago.
+type laggingReports struct {
+	mu        sync.Mutex
+	published loadReport
+	current   loadReport
 }
 
-// run takes the load twice a lag until ctx ends.
-func (r *reports) run(ctx context.Context, lag time.Duration, take func() load) {
+// run samples the load twice per lag until ctx ends.
+func (r *laggingReports) run(ctx context.Context, lag time.Duration, sample func() loadReport) {
 	every := max(lag/2, time.Millisecond)
-	r.push(take())
-	r.push(take())
+	r.push(sample())
+	r.push(sample())
 	ticker := time.NewTicker(every)
 	defer ticker.Stop()
 	for {
@@ -43,33 +43,33 @@
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-			r.push(take())
+			r.push(sample())
 		}
 	}
 }
 
-func (r *reports) push(l load) {
+func (r *laggingReports) push(l loadReport) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if past := l.At.Sub(r.current.At).Seconds(); past > 0 {
 		l.TokensPerSecond = float64(l.generated-r.current.generated) / past
 	}
-	r.shown = r.current
+	r.published = r.current
 	r.current = l
 }
 
-func (r *reports) get() load {
+func (r *laggingReports) get() loadReport {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.shown
+	return r.published
 }
 
-// report returns the lagging load, or what a fault makes of it.
-func (e *Endpoint) report(f fault.Faults) load {
+// loadReport returns the published load, altered by faults.
+func (e *Endpoint) loadReport(f fault.Faults) loadReport {
 	l := e.reports.get()
 	l.Slots = e.options.Slots
 	if f.LieLoad {
-		l = load{
+		l = loadReport{
 			At:    time.Now(),
 			Slots: e.options.Slots,
 		}
@@ -78,18 +78,18 @@
 	return l
 }
 
-func (e *Endpoint) load(w http.ResponseWriter, r *http.Request) {
+func (e *Endpoint) serveLoad(w http.ResponseWriter, r *http.Request) {
 	e.faults.Thaw()
 	f := e.faults.Get()
 	if f.Silent {
 		<-r.Context().Done()
 		return
 	}
-	fault.WriteJSON(w, e.report(f))
+	fault.WriteJSON(w, e.loadReport(f))
 }
 
 func (e *Endpoint) setLoadHeaders(header http.Header, f fault.Faults) {
-	l := e.report(f)
+	l := e.loadReport(f)
 	header.Set("X-Load-Running", strconv.Itoa(l.Running))
 	header.Set("X-Load-Waiting", strconv.Itoa(l.Waiting))
 	header.Set("X-Load-Slots", strconv.Itoa(l.Slots))
@@ -98,12 +98,12 @@
 	}
 }
 
-// CacheEvents is the answer to GET /v1/cache_events.
+// CacheEvents is the response to GET /v1/cache_events.
 type CacheEvents struct {
 	Events []CacheEvent `json:"events"`
 }
 
-func (e *Endpoint) cacheEvents(w http.ResponseWriter, r *http.Request) {
+func (e *Endpoint) serveCacheEvents(w http.ResponseWriter, r *http.Request) {
 	e.faults.Thaw()
 	after, err := strconv.ParseUint(r.URL.Query().Get("after"), 10, 64)
 	if err != nil && r.URL.Query().Get("after") != "" {
@@ -112,7 +112,7 @@
 	}
 	until := time.Now().Add(-e.options.ReportLag)
 	e.engine.mu.Lock()
-	events := e.engine.cache.after(after, until)
+	events := e.engine.cache.eventsBetween(after, until)
 	e.engine.mu.Unlock()
 	fault.WriteJSON(w, CacheEvents{Events: events})
 }
--- a/standin/endpoint/prompt.go
+++ b/standin/endpoint/prompt.go
@@ -12,8 +12,8 @@
 
 const defaultMaxTokens = 16
 
-// prompt is what the stand-in reads of a chat request.
-type prompt struct {
+// chatRequest holds the decoded fields of a chat completion request.
+type chatRequest struct {
 	Messages            []message `json:"messages"`
 	Stream              bool      `json:"stream"`
 	MaxTokens           *int      `json:"max_tokens"`
@@ -22,7 +22,7 @@
 
 type message struct {
 	Role string `json:"role"`
-	// Content is a text, or a list of parts that is taken as its JSON.
+	// Content is a string, or a list of parts whose raw JSON serves as the text.
 	Content json.RawMessage `json:"content"`
 }
 
@@ -34,7 +34,7 @@
 	return text
 }
 
-func (p prompt) tokens() int {
+func (p chatRequest) maxTokens() int {
 	switch {
 	case p.MaxCompletionTokens != nil:
 		return max(*p.MaxCompletionTokens, 0)
@@ -45,8 +45,8 @@
 	}
 }
 
-// newJob reads a request. Words stand for tokens.
-func newJob(header http.Header, p prompt, resumes bool) *job {
+// newJob creates a job from a request. Each word counts as a token.
+func newJob(header http.Header, p chatRequest, resumes bool) *job {
 	var words []string
 	marker := ""
 	for _, m := range p.Messages {
@@ -62,16 +62,16 @@
 		operation:    fault.Operation(header),
 		marker:       marker,
 		priority:     priorityOf(header),
-		blocks:       blocksOf(words),
+		blocks:       hashBlocks(words),
 		promptTokens: len(words),
-		total:        p.tokens(),
+		total:        p.maxTokens(),
 		wake:         make(chan struct{}, 1),
 		ready:        make(chan struct{}),
 	}
 	if resumes {
-		j.from = min(resumeFrom(header), j.total)
+		j.resumedFrom = min(resumeFrom(header), j.total)
 	}
-	j.produced.Store(int64(j.from))
+	j.produced.Store(int64(j.resumedFrom))
 	return j
 }
 
