--- a/standin/command_call.go
+++ b/standin/command_call.go
@@ -32,8 +32,8 @@
 	maxTries       int
 }
 
-// callCommand adds "standin call", which sends one call and prints its result
-// as JSON. Any result is a success of the command; its class tells the rest.
+// callCommand adds "standin call", which sends one call and prints its result as
+// JSON. The exit status does not depend on the result.
 func callCommand(app *kingpin.Application) {
 	f := &callFlags{}
 	command := app.Command("call", "Send one chat completion, or with --service one service call.")
--- a/standin/command_load.go
+++ b/standin/command_load.go
@@ -30,8 +30,8 @@
 	record      string
 }
 
-// loadCommand adds "standin load", which sends a seeded open-loop schedule and
-// prints a table, and with --record writes the record as JSON.
+// loadCommand adds "standin load", which generates open-loop load and prints a
+// table of the results. With --record it also writes them as JSON.
 func loadCommand(app *kingpin.Application) {
 	f := &loadFlags{}
 	command := app.Command("load", "Send calls by an open-loop schedule and record what became of them.")
--- a/standin/main.go
+++ b/standin/main.go
@@ -1,5 +1,5 @@
-// Command standin runs the stand-ins that tests put in place of what surrounds
-// the gateway: the platform, model engines, plain services and callers.
+// Command standin runs fakes of the systems around the gateway for tests: the
+// platform, model engines, plain services and callers.
 package main
 
 import (
--- a/standin/serve.go
+++ b/standin/serve.go
@@ -9,12 +9,13 @@
 	"syscall"
 )
 
-// defaultListen lets the kernel choose the port; the line "listening" tells it.
+// defaultListen lets the kernel choose the port, which the log line "listening"
+// reports.
 const defaultListen = "127.0.0.1:0"
 
-// listenAndServe binds the address, logs the bound address to stderr as one JSON
-// line, and serves until SIGTERM or SIGINT asks for a graceful end. Signals are
-// caught before the line is written, so a reader of it may stop the process at once.
+// listenAndServe listens on the address, logs the bound address to stderr as one
+// JSON line, and serves until SIGTERM or SIGINT. Signals are handled from before
+// the line is logged, so that its reader may stop the process immediately.
 func listenAndServe(address string, serve func(context.Context, net.Listener) error) error {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
