--- a/standin/platform/handler.go
+++ b/standin/platform/handler.go
@@ -12,30 +12,28 @@
 	"github.com/fuchsianotch/fuchsianotch/fleet"
 )
 
-// The largest value and the largest list that the platform holds, in bytes.
 const (
-	maxValue = 1 << 20
-	maxList  = 64 << 20
+	maxValueBytes = 1 << 20
+	maxListBytes  = 64 << 20
 )
 
-// headerIfRevision makes a write depend on the revision it replaces.
+// headerIfRevision makes a write conditional on the current revision.
 const headerIfRevision = "If-Revision"
 
-// errBadRequest marks a request that is not of the protocol.
 var errBadRequest = errors.New("bad request")
 
-// written answers a write.
-type written struct {
+// writeResponse is the response to a successful write.
+type writeResponse struct {
 	Revision uint64 `json:"revision"`
 }
 
-// failure answers a call that failed. Revision is set on a conflict.
-type failure struct {
+// errorResponse is the response to a failed request. Revision is set on a conflict.
+type errorResponse struct {
 	Error    string `json:"error"`
 	Revision uint64 `json:"revision,omitempty"`
 }
 
-// Handler serves the protocol under /v1/ and the switches under /admin/.
+// Handler serves the platform's API under /v1/ and fault injection under /admin/.
 func (p *Platform) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /v1/watch", p.serveWatch)
@@ -45,79 +43,79 @@
 	mux.HandleFunc("PUT /v1/vms", p.servePutList)
 	mux.HandleFunc("PUT /admin/switches", p.servePutSwitches)
 	mux.HandleFunc("GET /admin/switches", func(w http.ResponseWriter, _ *http.Request) {
-		answer(w, p.Switches())
+		writeJSON(w, p.Switches())
 	})
 	mux.HandleFunc("GET /admin/counters", func(w http.ResponseWriter, _ *http.Request) {
-		answer(w, p.Counters())
+		writeJSON(w, p.Counters())
 	})
 	return mux
 }
 
 func (p *Platform) serveWatch(w http.ResponseWriter, r *http.Request) {
-	after, until, err := watchQuery(r)
+	after, until, err := parseWatchQuery(r)
 	if err != nil {
-		fail(w, err, 0)
+		writeError(w, err, 0)
 		return
 	}
 	changes, err := p.Watch(r.Context(), after, until)
 	if err != nil {
-		fail(w, err, 0)
+		writeError(w, err, 0)
 		return
 	}
-	answer(w, changes)
+	writeJSON(w, changes)
 }
 
 func (p *Platform) serveList(w http.ResponseWriter, r *http.Request) {
-	after, until, err := watchQuery(r)
+	after, until, err := parseWatchQuery(r)
 	if err != nil {
-		fail(w, err, 0)
+		writeError(w, err, 0)
 		return
 	}
 	list, err := p.WatchList(r.Context(), after, until)
 	switch {
 	case err != nil:
-		fail(w, err, 0)
+		writeError(w, err, 0)
 	case list == nil:
 		w.WriteHeader(http.StatusNoContent)
 	default:
-		answer(w, list)
+		writeJSON(w, list)
 	}
 }
 
 func (p *Platform) serveGet(w http.ResponseWriter, r *http.Request) {
 	value, err := p.Get(r.PathValue("key"))
 	if err != nil {
-		fail(w, err, 0)
+		writeError(w, err, 0)
 		return
 	}
-	answer(w, value)
+	writeJSON(w, value)
 }
 
 func (p *Platform) servePut(w http.ResponseWriter, r *http.Request) {
-	body, ifRevision, err := p.readWrite(w, r, maxValue)
+	body, ifRevision, err := p.readWrite(w, r, maxValueBytes)
 	if err == nil && (r.PathValue("key") == "" || !utf8.Valid(body)) {
 		err = errBadRequest
 	}
 	if err != nil {
-		fail(w, err, 0)
+		writeError(w, err, 0)
 		return
 	}
 	revision, err := p.Put(r.PathValue("key"), string(body), ifRevision)
-	answerWrite(w, revision, err)
+	writeRevision(w, revision, err)
 }
 
 func (p *Platform) servePutList(w http.ResponseWriter, r *http.Request) {
-	body, ifRevision, err := p.readWrite(w, r, maxList)
+	body, ifRevision, err := p.readWrite(w, r, maxListBytes)
 	var list fleet.List
 	if err == nil && json.Unmarshal(body, &list) != nil {
 		err = errBadRequest
 	}
 	if err != nil {
-		fail(w, err, 0)
+		writeError(w, err, 0)
 		return
 	}
 	revision, err := p.PutList(list, ifRevision)
-	answerWrite(w, revision, err)
+	writeRevision(w, revision, err)
 }
 
 func (p *Platform) servePutSwitches(w http.ResponseWriter, r *http.Request) {
@@ -125,14 +123,14 @@
 	decoder := json.NewDecoder(r.Body)
 	decoder.DisallowUnknownFields()
 	if decoder.Decode(&switches) != nil {
-		fail(w, errBadRequest, 0)
+		writeError(w, errBadRequest, 0)
 		return
 	}
 	p.SetSwitches(switches)
-	answer(w, switches)
+	writeJSON(w, switches)
 }
 
-// readWrite reads an operator's write. Writes are not counted as reads.
+// readWrite reads the body and the optional If-Revision header of a write.
 func (p *Platform) readWrite(w http.ResponseWriter, r *http.Request, limit int64) ([]byte, *uint64, error) {
 	if p.Switches().Outage {
 		return nil, nil, ErrOutage
@@ -152,9 +150,9 @@
 	return body, &revision, nil
 }
 
-// watchQuery reads after, a revision, and until, in Unix milliseconds. Without
-// until a watch answers at once.
-func watchQuery(r *http.Request) (after uint64, until time.Time, err error) {
+// parseWatchQuery parses the parameters after, a revision, and until, in Unix
+// milliseconds. A watch without until returns immediately.
+func parseWatchQuery(r *http.Request) (after uint64, until time.Time, err error) {
 	query := r.URL.Query()
 	if text := query.Get("after"); text != "" {
 		if after, err = strconv.ParseUint(text, 10, 64); err != nil {
@@ -171,21 +169,21 @@
 	return after, until, nil
 }
 
-func answer(w http.ResponseWriter, body any) {
-	answerStatus(w, http.StatusOK, body)
+func writeJSON(w http.ResponseWriter, body any) {
+	writeJSONStatus(w, http.StatusOK, body)
 }
 
-func answerWrite(w http.ResponseWriter, revision uint64, err error) {
+func writeRevision(w http.ResponseWriter, revision uint64, err error) {
 	if err != nil {
-		fail(w, err, revision)
+		writeError(w, err, revision)
 		return
 	}
-	answer(w, written{
+	writeJSON(w, writeResponse{
 		Revision: revision,
 	})
 }
 
-func answerStatus(w http.ResponseWriter, status int, body any) {
+func writeJSONStatus(w http.ResponseWriter, status int, body any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
 	encoder := json.NewEncoder(w)
@@ -193,8 +191,9 @@
 	_ = encoder.Encode(body)
 }
 
-// fail answers an error with its status. An ended ctx means that the platform stops.
-func fail(w http.ResponseWriter, err error, revision uint64) {
+// writeError maps an error to its status. The default, 503, covers a watch that
+// shutdown interrupts.
+func writeError(w http.ResponseWriter, err error, revision uint64) {
 	status := http.StatusServiceUnavailable
 	var tooLarge *http.MaxBytesError
 	switch {
@@ -210,7 +209,7 @@
 	case errors.As(err, &tooLarge):
 		status = http.StatusRequestEntityTooLarge
 	}
-	answerStatus(w, status, failure{
+	writeJSONStatus(w, status, errorResponse{
 		Error:    err.Error(),
 		Revision: revision,
 	})
--- a/standin/platform/history.go
+++ b/standin/platform/history.go
@@ -8,28 +8,28 @@
 	"github.com/fuchsianotch/fuchsianotch/fleet"
 )
 
-// Value is one published value with the revision of its last write.
+// Value is a published value and the revision of its last write.
 type Value struct {
 	Key      string `json:"key"`
 	Revision uint64 `json:"revision"`
 	Value    string `json:"value"`
 }
 
-// publishedList is one version of the list with the time of its write.
+// publishedList is a version of the list and the time of its write.
 type publishedList struct {
 	list fleet.List
 	at   time.Time
 }
 
-// history keeps every write, so that an older revision can still be served.
-// Values and lists share one sequence of revisions.
+// history retains every write, so that stale revisions can be served. Values and
+// lists share one sequence of revisions.
 type history struct {
 	revision uint64
 	values   []Value
 	lists    []publishedList
 }
 
-// put writes a value and gives its revision.
+// put writes a value and returns its revision.
 func (h *history) put(key, value string) uint64 {
 	h.revision++
 	h.values = append(h.values, Value{
@@ -40,7 +40,7 @@
 	return h.revision
 }
 
-// putList writes the list and gives its revision.
+// putList writes the list and returns its revision.
 func (h *history) putList(list fleet.List, now time.Time) uint64 {
 	h.revision++
 	list.Revision = h.revision
@@ -61,8 +61,8 @@
 	return Value{}, false
 }
 
-// newer returns the last write of each key in (after, asOf], sorted by key.
-func (h *history) newer(after, asOf uint64) []Value {
+// changedSince returns the last write of each key within (after, asOf], sorted by key.
+func (h *history) changedSince(after, asOf uint64) []Value {
 	seen := map[string]bool{}
 	found := []Value{}
 	for _, v := range slices.Backward(h.values) {
@@ -81,7 +81,7 @@
 	return found
 }
 
-// listAt returns the newest list as of a revision that was written by a time.
+// listAt returns the newest list up to a revision and a time of writing.
 func (h *history) listAt(asOf uint64, by time.Time) (fleet.List, bool) {
 	for _, p := range slices.Backward(h.lists) {
 		if p.list.Revision <= asOf && !p.at.After(by) {
@@ -99,7 +99,7 @@
 	return h.lists[len(h.lists)-1].list.Revision
 }
 
-// nextList gives when the first list written after a time was written.
+// nextList returns the time of the first write of the list after a time.
 func (h *history) nextList(after time.Time) (time.Time, bool) {
 	for _, p := range h.lists {
 		if p.at.After(after) {
--- a/standin/platform/platform.go
+++ b/standin/platform/platform.go
@@ -1,6 +1,6 @@
-// Package platform is a stand-in for the platform's configuration service and
-// its lagging list of VMs and endpoints. It holds everything in memory, serves
-// the published HTTP protocol, and takes switches for the platform's faults.
+// Package platform is an in-memory fake of the platform's configuration service
+// and of its lagging list of VMs and endpoints. It serves the same HTTP API, and
+// its faults can be switched on.
 package platform
 
 import (
@@ -19,7 +19,7 @@
 	"github.com/fuchsianotch/fuchsianotch/standin/graceful"
 )
 
-// Errors of the protocol.
+// Errors of the API.
 var (
 	ErrOutage   = errors.New("the platform is down")
 	ErrRate     = errors.New("too many reads this second")
@@ -27,17 +27,17 @@
 	ErrConflict = errors.New("the revision differs from If-Revision")
 )
 
-// Platform is the state of the stand-in. It is safe for concurrent use.
+// Platform is a fake platform. It is safe for concurrent use.
 type Platform struct {
 	mu       sync.Mutex
 	history  history
-	rate     rate
+	limiter  readLimiter
 	switches Switches
-	// wake is closed and replaced at each change that a waiting watch may await.
+	// wake is closed and replaced at each change, to wake waiting watches.
 	wake chan struct{}
 }
 
-// New makes an empty platform with the given switches.
+// New returns an empty platform with the given switches.
 func New(switches Switches) *Platform {
 	return &Platform{
 		switches: switches,
@@ -45,7 +45,7 @@
 	}
 }
 
-// Serve answers on the listener until ctx ends; waiting watches end with 503.
+// Serve serves on the listener until ctx ends; waiting watches then fail with 503.
 func (p *Platform) Serve(ctx context.Context, listener net.Listener) error {
 	server := &http.Server{
 		Handler:           p.Handler(),
@@ -55,7 +55,7 @@
 	return graceful.Serve(ctx, listener, server)
 }
 
-// Load publishes each file DIR/a/b.json under the key a/b, in the order of names.
+// Load publishes each file DIR/a/b.json under the key a/b, in lexical order.
 func (p *Platform) Load(dir string) error {
 	return filepath.WalkDir(dir, func(path string, entry fs.DirEntry, err error) error {
 		if err != nil || entry.IsDir() || filepath.Ext(path) != ".json" {
@@ -74,9 +74,9 @@
 	})
 }
 
-// Put writes a value and gives its revision. With ifRevision it fails with
-// ErrConflict, and gives the key's revision, unless that equals *ifRevision;
-// a key never written has revision zero.
+// Put writes a value and returns its revision. If ifRevision is set and differs
+// from the key's revision, Put returns that revision and ErrConflict. A key that
+// was never written has revision zero.
 func (p *Platform) Put(key, value string, ifRevision *uint64) (uint64, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -84,11 +84,12 @@
 	if ifRevision != nil && *ifRevision != held.Revision {
 		return held.Revision, ErrConflict
 	}
-	defer p.changed()
+	defer p.notifyWatchers()
 	return p.history.put(key, value), nil
 }
 
-// PutList publishes the list and gives its revision. The condition is that of Put.
+// PutList publishes the list and returns its revision. It treats ifRevision like
+// Put.
 func (p *Platform) PutList(list fleet.List, ifRevision *uint64) (uint64, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -96,11 +97,11 @@
 	if ifRevision != nil && *ifRevision != held {
 		return held, ErrConflict
 	}
-	defer p.changed()
+	defer p.notifyWatchers()
 	return p.history.putList(list, time.Now()), nil
 }
 
-// Get reads one value. It costs one read.
+// Get returns a value. It counts as one read.
 func (p *Platform) Get(key string) (Value, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -114,18 +115,18 @@
 	return value, nil
 }
 
-// Changes is the answer to a watch. Revision is the one that was served.
+// Changes is the response to a watch. Values are as of Revision.
 type Changes struct {
 	Revision uint64  `json:"revision"`
 	Values   []Value `json:"values"`
 }
 
 // Watch returns all values newer than a revision as soon as there are any, or
-// none when the deadline passes first. It costs one read for each second.
+// none if the deadline passes first. Each second counts as one read.
 func (p *Platform) Watch(ctx context.Context, after uint64, until time.Time) (Changes, error) {
-	return poll(ctx, p, until, func(time.Time) look[Changes] {
-		values := p.history.newer(after, p.asOf())
-		return look[Changes]{
+	return poll(ctx, p, until, func(time.Time) pollResult[Changes] {
+		values := p.history.changedSince(after, p.asOf())
+		return pollResult[Changes]{
 			answer: Changes{
 				Revision: p.asOf(),
 				Values:   values,
@@ -135,55 +136,55 @@
 	})
 }
 
-// WatchList returns the list as soon as it is newer than a revision, or nil when
-// the deadline passes first. It costs one read for each second.
+// WatchList returns the list as soon as it is newer than a revision, or nil if
+// the deadline passes first. Each second counts as one read.
 func (p *Platform) WatchList(ctx context.Context, after uint64, until time.Time) (*fleet.List, error) {
-	return poll(ctx, p, until, func(now time.Time) look[*fleet.List] {
+	return poll(ctx, p, until, func(now time.Time) pollResult[*fleet.List] {
 		lag := p.switches.ListLag.Duration
 		shownBy := now.Add(-lag)
 		list, ok := p.history.listAt(p.asOf(), shownBy)
 		if ok && list.Revision > after {
-			return look[*fleet.List]{
+			return pollResult[*fleet.List]{
 				answer: &list,
 				found:  true,
 			}
 		}
 		next, pending := p.history.nextList(shownBy)
 		if !pending {
-			return look[*fleet.List]{}
+			return pollResult[*fleet.List]{}
 		}
-		return look[*fleet.List]{
-			again: next.Add(lag),
+		return pollResult[*fleet.List]{
+			nextCheck: next.Add(lag),
 		}
 	})
 }
 
-// Switches returns the switches in force.
+// Switches returns the current switches.
 func (p *Platform) Switches() Switches {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.switches
 }
 
-// SetSwitches replaces the switches; waiting watches look again.
+// SetSwitches replaces the switches and wakes waiting watches.
 func (p *Platform) SetSwitches(switches Switches) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.switches = switches
-	p.changed()
+	p.notifyWatchers()
 }
 
-// Counters returns the counters as of now.
+// Counters returns the current counters.
 func (p *Platform) Counters() Counters {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.rate.advance(time.Now())
-	return p.rate.counters
+	p.limiter.advance(time.Now())
+	return p.limiter.counters
 }
 
-// admit counts one read and fails when the platform would not answer it.
+// admit counts one read. It fails over the read limit and during an outage.
 func (p *Platform) admit(now time.Time) error {
-	if !p.rate.take(p.switches.limit(), now) {
+	if !p.limiter.allow(p.switches.limit(), now) {
 		return ErrRate
 	}
 	if p.switches.Outage {
@@ -192,13 +193,13 @@
 	return nil
 }
 
-// asOf returns the revision that readers see.
+// asOf returns the revision visible to readers.
 func (p *Platform) asOf() uint64 {
 	return p.switches.asOf(p.history.revision)
 }
 
-// changed wakes the waiting watches.
-func (p *Platform) changed() {
+// notifyWatchers wakes the waiting watches.
+func (p *Platform) notifyWatchers() {
 	close(p.wake)
 	p.wake = make(chan struct{})
 }
--- a/standin/platform/platform_test.go
+++ b/standin/platform/platform_test.go
@@ -25,9 +25,9 @@
 		t.Run(file.Name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				s := script{
-					t:       t,
-					handler: New(Switches{}).Handler(),
-					beside:  map[string]chan reply{},
+					t:          t,
+					handler:    New(Switches{}).Handler(),
+					background: map[string]chan reply{},
 				}
 				for line := range strings.Lines(string(file.Data)) {
 					s.step(strings.TrimSpace(line))
@@ -37,35 +37,35 @@
 	}
 }
 
-// reply is how one call of a script ended.
+// reply is the response to one request of a script.
 type reply struct {
 	status int
 	answer string
 	took   time.Duration
 }
 
-// script plays the steps that testdata/protocol.txtar describes.
+// script runs the steps of testdata/protocol.txtar, which describes their syntax.
 type script struct {
-	t       *testing.T
-	handler http.Handler
-	last    reply
-	beside  map[string]chan reply
+	t          *testing.T
+	handler    http.Handler
+	last       reply
+	background map[string]chan reply
 }
 
 func (s *script) step(line string) {
 	t := s.t
 	t.Helper()
 	word, rest, _ := strings.Cut(line, " ")
-	name, isBeside := strings.CutSuffix(word, "=")
+	name, isBackground := strings.CutSuffix(word, "=")
 	status, err := strconv.Atoi(word)
 	switch {
-	case isBeside:
+	case isBackground:
 		done := make(chan reply, 1)
-		s.beside[name] = done
-		go func() { done <- s.ask(rest) }()
+		s.background[name] = done
+		go func() { done <- s.request(rest) }()
 		synctest.Wait()
-	case s.beside[word] != nil:
-		got := <-s.beside[word]
+	case s.background[word] != nil:
+		got := <-s.background[word]
 		fields := strings.SplitN(rest, " ", 3)
 		assert.Equal(t, strconv.Itoa(got.status), fields[0], line)
 		assert.Equal(t, got.took.String(), fields[1], line)
@@ -79,7 +79,7 @@
 		times, err := strconv.Atoi(count)
 		assert.NilError(t, err)
 		for range times {
-			s.last = s.ask(call)
+			s.last = s.request(call)
 		}
 	case err == nil:
 		assert.Equal(t, s.last.status, status, "%s: %s", line, s.last.answer)
@@ -87,13 +87,13 @@
 			assert.Equal(t, s.last.answer, rest)
 		}
 	default:
-		s.last = s.ask(line)
+		s.last = s.request(line)
 	}
 }
 
 var fromNow = regexp.MustCompile(`\+[0-9a-z]+`)
 
-func (s *script) ask(line string) reply {
+func (s *script) request(line string) reply {
 	method, rest, _ := strings.Cut(line, " ")
 	path, body, _ := strings.Cut(rest, " ")
 	path = fromNow.ReplaceAllStringFunc(path, func(text string) string {
@@ -116,8 +116,8 @@
 	}
 }
 
-// TestRace lets two operators increment one value by compare-and-set; no
-// increment may be lost and each revision is given once.
+// TestRace checks that concurrent compare-and-set writes lose no update and
+// reuse no revision.
 func TestRace(t *testing.T) {
 	const increments = 200
 	p := New(Switches{
--- a/standin/platform/poll.go
+++ b/standin/platform/poll.go
@@ -5,20 +5,20 @@
 	"time"
 )
 
-// maxWait bounds how long one watch may wait.
+// maxWait bounds the duration of one watch.
 const maxWait = 60 * time.Second
 
-// look is what one look at the state found.
-type look[T any] struct {
+// pollResult is the result of one check of the state.
+type pollResult[T any] struct {
 	answer T
 	found  bool
-	// again is when a later look may find more without a change; zero means never.
-	again time.Time
+	// nextCheck is when the result may change without a write; zero means never.
+	nextCheck time.Time
 }
 
-// poll admits one read and looks until something is found or the deadline
-// passes. The state is locked during each look, never between looks.
-func poll[T any](ctx context.Context, p *Platform, until time.Time, at func(now time.Time) look[T]) (T, error) {
+// poll admits one read, then runs check until it finds something or the deadline
+// passes. The state is locked during each check but not between checks.
+func poll[T any](ctx context.Context, p *Platform, until time.Time, check func(now time.Time) pollResult[T]) (T, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var none T
@@ -29,32 +29,32 @@
 	if limit := now.Add(maxWait); until.After(limit) {
 		until = limit
 	}
-	p.rate.wait(now)
-	defer func() { p.rate.leave(time.Now()) }()
+	p.limiter.addWaiting(now)
+	defer func() { p.limiter.removeWaiting(time.Now()) }()
 	for {
 		if p.switches.Outage {
 			return none, ErrOutage
 		}
 		now = time.Now()
-		seen := at(now)
-		if seen.found || !now.Before(until) {
-			return seen.answer, nil
+		result := check(now)
+		if result.found || !now.Before(until) {
+			return result.answer, nil
 		}
-		if seen.again.IsZero() || seen.again.After(until) {
-			seen.again = until
+		if result.nextCheck.IsZero() || result.nextCheck.After(until) {
+			result.nextCheck = until
 		}
-		if err := p.pause(ctx, seen.again); err != nil {
+		if err := p.waitForChange(ctx, result.nextCheck); err != nil {
 			return none, err
 		}
 	}
 }
 
-// pause unlocks the state until a change, a time or the end of ctx.
-func (p *Platform) pause(ctx context.Context, again time.Time) error {
+// waitForChange unlocks the state and waits for a change, a time or the end of ctx.
+func (p *Platform) waitForChange(ctx context.Context, nextCheck time.Time) error {
 	wake := p.wake
 	p.mu.Unlock()
 	defer p.mu.Lock()
-	timer := time.NewTimer(time.Until(again))
+	timer := time.NewTimer(time.Until(nextCheck))
 	defer timer.Stop()
 	select {
 	case <-wake:
