--- a/standin/store/store.go
+++ b/standin/store/store.go
@@ -1,6 +1,6 @@
-// Package store is a stand-in for the platform's store of routes and
-// endpoints. It speaks the published protocol: ranges by page, watches by
-// revision, a bounded history, stale reads, and the ways in which it fails.
+// Package store is an in-memory fake of the platform's key-value store of routes
+// and endpoints. It serves paginated ranges and watches by revision over the
+// store's HTTP API, supports compaction, and fails on demand.
 package store
 
 import (
@@ -16,24 +16,23 @@
 	"time"
 )
 
-// pageItems is how many items one page holds; small, so that tests see several.
-const pageItems = 50
+// pageSize is the number of items per page, small enough that tests need several.
+const pageSize = 50
 
-// Mode is how the store answers.
+// Mode selects how the store responds to requests.
 type Mode string
 
-// The modes.
+// Modes of a store. ModeBusy responds with 503, ModeMany with 429, ModeSilent
+// never responds, and ModeReset closes the connection.
 const (
 	ModeServing Mode = ""
-	// ModeBusy answers 503, ModeMany 429, ModeSilent nothing, and ModeReset
-	// resets the connection.
-	ModeBusy   Mode = "busy"
-	ModeMany   Mode = "many"
-	ModeSilent Mode = "silent"
-	ModeReset  Mode = "reset"
+	ModeBusy    Mode = "busy"
+	ModeMany    Mode = "many"
+	ModeSilent  Mode = "silent"
+	ModeReset   Mode = "reset"
 )
 
-// Item is one item or, where Removed is set, its removal, as it is sent.
+// Item is a stored value as it is sent, or its deletion if Removed is set.
 type Item struct {
 	Key     string
 	Value   string `json:",omitempty"`
@@ -43,21 +42,21 @@
 	Removed bool `json:",omitempty"`
 }
 
-// Store holds the items. Its methods may be called from any goroutine.
+// Store is a fake key-value store. It is safe for concurrent use.
 type Store struct {
 	mu       sync.Mutex
 	revision uint64
 	items    map[string]Item
 	history  []Item
-	// forgotten is the revision up to which the history was dropped.
-	forgotten uint64
-	mode      Mode
-	delay     time.Duration
-	changed   chan struct{}
-	reads     int
+	// compactedRevision is the revision up to which the history was discarded.
+	compactedRevision uint64
+	mode              Mode
+	delay             time.Duration
+	changed           chan struct{}
+	reads             int
 }
 
-// New makes an empty store.
+// New returns an empty store.
 func New() *Store {
 	return &Store{
 		items:   make(map[string]Item),
@@ -65,7 +64,7 @@
 	}
 }
 
-// Put writes a value and gives its revision.
+// Put writes a value as JSON and returns its revision.
 func (s *Store) Put(key string, value any) (uint64, error) {
 	data, err := json.Marshal(value)
 	if err != nil {
@@ -84,7 +83,7 @@
 	}), nil
 }
 
-// Remove removes a key, if it is there.
+// Remove deletes a key if it exists, and returns the store's revision.
 func (s *Store) Remove(key string) uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -111,17 +110,17 @@
 	return s.revision
 }
 
-// Forget drops the history, so that older watches get 410.
+// Forget compacts the history, so that watches from an older revision get 410.
 func (s *Store) Forget() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.history = nil
-	s.forgotten = s.revision
+	s.compactedRevision = s.revision
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// SetMode changes how the store answers, and how late.
+// SetMode sets the response mode and a delay before each response.
 func (s *Store) SetMode(mode Mode, delay time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -129,14 +128,14 @@
 	s.delay = delay
 }
 
-// Reads counts the calls so far.
+// Reads returns the number of requests so far.
 func (s *Store) Reads() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.reads
 }
 
-// Serve answers until ctx ends.
+// Serve serves on the listener until ctx ends, then closes all connections.
 func (s *Store) Serve(ctx context.Context, ln net.Listener) error {
 	server := &http.Server{
 		Handler:           s.Handler(),
@@ -151,22 +150,23 @@
 	return err
 }
 
-// Handler serves the published protocol.
+// Handler serves the store's HTTP API.
 func (s *Store) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /kv-range", s.serveRange)
 	mux.HandleFunc("GET /kv-watch", s.serveWatch)
 	mux.HandleFunc("GET /kv-key", s.serveKey)
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if s.fails(w, r) {
+		if s.applyMode(w, r) {
 			return
 		}
 		mux.ServeHTTP(w, r)
 	})
 }
 
-// fails answers as the mode says; it is false where the call is served.
-func (s *Store) fails(w http.ResponseWriter, r *http.Request) bool {
+// applyMode delays and fails a request according to the mode. It returns false if
+// the request is to be served.
+func (s *Store) applyMode(w http.ResponseWriter, r *http.Request) bool {
 	s.mu.Lock()
 	s.reads++
 	mode, delay := s.mode, s.delay
@@ -209,13 +209,13 @@
 		}
 	}
 	slices.SortFunc(items, func(a, b Item) int { return strings.Compare(a.Key, b.Key) })
-	more := len(items) > pageItems
-	answer(w, struct {
+	more := len(items) > pageSize
+	writeJSON(w, struct {
 		Items     []Item `json:"items"`
 		MorePages bool
 		AsOf      uint64
 	}{
-		Items:     items[:min(len(items), pageItems)],
+		Items:     items[:min(len(items), pageSize)],
 		MorePages: more,
 		AsOf:      s.revision,
 	})
@@ -229,7 +229,7 @@
 		w.WriteHeader(http.StatusNotFound)
 		return
 	}
-	answer(w, struct {
+	writeJSON(w, struct {
 		Item
 		AsOf uint64
 	}{
@@ -250,19 +250,19 @@
 	defer cancel()
 	for {
 		s.mu.Lock()
-		events, revision, lost := s.since(query.Get("PathPrefix"), after)
+		events, revision, compacted := s.eventsSince(query.Get("PathPrefix"), after)
 		changed, mode := s.changed, s.mode
 		s.mu.Unlock()
 		switch {
 		case mode != ModeServing:
-			// A watch that waits as the store fails gets nothing more.
+			// A failing store never completes the watches that are waiting.
 			<-r.Context().Done()
 			return
-		case lost:
+		case compacted:
 			w.WriteHeader(http.StatusGone)
 			return
 		case len(events) > 0 || ctx.Err() != nil:
-			answer(w, struct {
+			writeJSON(w, struct {
 				Events []Item `json:"events"`
 				AsOf   uint64
 			}{
@@ -278,8 +278,8 @@
 	}
 }
 
-func (s *Store) since(prefix string, after uint64) (events []Item, revision uint64, lost bool) {
-	if after < s.forgotten {
+func (s *Store) eventsSince(prefix string, after uint64) (events []Item, revision uint64, compacted bool) {
+	if after < s.compactedRevision {
 		return nil, 0, true
 	}
 	events = []Item{}
@@ -291,8 +291,8 @@
 	return events, s.revision, false
 }
 
-func answer[T any](w http.ResponseWriter, body T) {
+func writeJSON[T any](w http.ResponseWriter, body T) {
 	w.Header().Set("Content-Type", "application/json")
-	// An error means that the reader has gone.
+	// An error means that the client has disconnected.
 	_ = json.NewEncoder(w).Encode(body)
 }
