--- a/standin/replica/replica.go
+++ b/standin/replica/replica.go
@@ -1,6 +1,6 @@
-// Package replica is a stand-in for the platform's endpoints of routed calls:
-// it answers streams and whole bodies, refuses what is for another instance,
-// tells its load, and fails on demand. It tells an observer of each run.
+// Package replica is a fake endpoint for routed calls. It serves streams and
+// whole responses, rejects requests meant for another instance, reports its load
+// and health, fails on demand, and reports each request to an observer.
 package replica
 
 import (
@@ -15,7 +15,7 @@
 	"time"
 )
 
-// Headers of the published protocol.
+// Headers of the protocol between gateway and replica.
 const (
 	headerAttempt   = "X-Fuchsianotch-Attempt-Id"
 	headerSignature = "X-Fuchsianotch-Response-Stamp"
@@ -28,29 +28,33 @@
 	headerLimit     = "Server-Limit"
 )
 
-// StreamPath begins the paths that are answered by a stream.
+// StreamPath is the prefix of paths that respond with an event stream.
 const StreamPath = "/stream/"
 
-// Fault is how a replica fails one request.
+// Fault is the way in which a replica fails a request.
 type Fault int
 
-// The faults.
+// Faults that a replica can inject.
 const (
+	// FaultNone serves the request.
 	FaultNone Fault = iota
-	// FaultError runs and answers 500; FaultReset runs and resets the connection;
-	// FaultCut breaks off within the answer; FaultShed refuses before it runs;
-	// FaultUnsigned answers without a signature; FaultExtra sends a second answer.
+	// FaultError runs the request and responds with 500.
 	FaultError
+	// FaultReset runs the request and closes the connection.
 	FaultReset
+	// FaultCut truncates the response.
 	FaultCut
+	// FaultShed rejects the request before it runs.
 	FaultShed
+	// FaultUnsigned omits the signature.
 	FaultUnsigned
+	// FaultExtra sends a second response on the same connection.
 	FaultExtra
-	// Faults is the number of faults.
+	// Faults is the number of values of Fault.
 	Faults
 )
 
-// Run is one request that a replica began to work on, or refused.
+// Run is a request that a replica started to run, or rejected if Refused is set.
 type Run struct {
 	Replica string
 	Attempt string
@@ -58,55 +62,57 @@
 	From    string
 	At      time.Time
 	Refused bool
-	// Zone is the replica's, Workspace the one that the request names, and HasKey says
-	// that it bears a caller's key.
-	Zone      string
+	// Zone is the replica's zone.
+	Zone string
+	// Workspace is the workspace that the request names.
 	Workspace string
-	HasKey    bool
+	// HasKey is set if the request carries a caller's API key.
+	HasKey bool
 }
 
-// Options set up a Replica.
+// Options configure a Replica.
 type Options struct {
 	ID      string
 	Service string
 	Zone    string
-	// Events is how many events a stream has, EventEvery the time between two,
-	// and Work the time of a whole answer.
+	// Events is the number of events in a stream, EventEvery the interval between
+	// them.
 	Events     int
 	EventEvery time.Duration
-	Work       time.Duration
-	// Fault decides how a request fails; nil means not at all.
+	// Work is the processing time of a request that is not streamed.
+	Work time.Duration
+	// Fault chooses the fault for each request; nil means FaultNone.
 	Fault func() Fault
-	// Observe is told of each request, and Asked of each question for its load or health;
-	// nil means nobody is.
+	// Observe is called for each request that runs or is shed. It must not be nil.
 	Observe func(Run)
-	Asked   func(id string)
-	// Crashes says which requests crash the replica that begins to run them; nil means
-	// none. Crashed is told of it once.
+	// Asked is called for each load report and health probe; nil disables it.
+	Asked func(id string)
+	// Crashes reports whether a request to the path crashes the replica; nil means
+	// never. Crashed is called once, after the crash.
 	Crashes func(path string) bool
 	Crashed func(*Replica)
 }
 
-// Replica is one running stand-in.
+// Replica is a running fake endpoint.
 type Replica struct {
 	Options
 	Addr string
-	// Born is when it started, in milliseconds since the epoch.
+	// Born is the start time in Unix milliseconds, which identifies the incarnation.
 	Born int64
 
 	server    *http.Server
 	crashOnce sync.Once
 	mu        sync.Mutex
 	active    int
-	// written counts its entries.
-	written int
-	// coldUntil is what its health check tells.
+	// entrySeq is the sequence number of the last entry for the store.
+	entrySeq int
+	// coldUntil is when the replica becomes warm, as health probes report it.
 	coldUntil time.Time
-	// limit is what its answers name, empty for none.
+	// limit is the request rate that responses announce; empty for none.
 	limit string
 }
 
-// Start serves on an address.
+// Start starts a replica that listens on addr.
 func Start(o Options, addr string) (*Replica, error) {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -125,18 +131,18 @@
 	return r, nil
 }
 
-// Crash ends it at once, with all its connections.
+// Crash stops the replica immediately and closes all its connections.
 func (r *Replica) Crash() {
 	_ = r.server.Close()
 }
 
-// Entry is what it writes to the store.
+// Entry returns the replica's next entry for the store.
 func (r *Replica) Entry(state string, coldFor time.Duration) map[string]any {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.written++
+	r.entrySeq++
 	return map[string]any{
-		"Seq":        r.written,
+		"Seq":        r.entrySeq,
 		"born":       r.Born,
 		"Service":    r.Service,
 		"Addr":       r.Addr,
@@ -149,16 +155,16 @@
 }
 
 func (r *Replica) serve(w http.ResponseWriter, req *http.Request) {
-	r.nameLimit(w)
+	r.setLimitHeader(w)
 	if r.Asked != nil && (req.URL.Path == "/report" || req.URL.Path == "/health") {
 		r.Asked(r.ID)
 	}
 	if req.URL.Path == "/report" {
-		r.report(w)
+		r.serveReport(w)
 		return
 	}
 	if req.URL.Path == "/health" {
-		r.health(w)
+		r.serveHealth(w)
 		return
 	}
 	id := req.Header.Get(headerAttempt)
@@ -190,33 +196,33 @@
 		return
 	}
 	if r.Crashes != nil && r.Crashes(req.URL.Path) {
-		wait(req.Context(), crashAfter)
-		r.crashUnder()
+		sleep(req.Context(), crashDelay)
+		r.crashOnRequest()
 		panic(http.ErrAbortHandler)
 	}
 	if _, err := io.Copy(io.Discard, req.Body); err != nil {
 		return
 	}
-	r.enter(1)
-	defer r.enter(-1)
+	r.addActive(1)
+	defer r.addActive(-1)
 	if fault != FaultUnsigned {
 		w.Header().Set(headerSignature, "stamp."+r.ID+"."+id)
 	}
 	r.answer(w, req, id, fault)
 }
 
-// crashAfter is the time from the beginning of a run to the crash under it.
-const crashAfter = 50 * time.Millisecond
+// crashDelay is the time from the start of a run to the crash that it causes.
+const crashDelay = 50 * time.Millisecond
 
-// crashUnder ends the replica under a request.
-func (r *Replica) crashUnder() {
+// crashOnRequest crashes the replica once.
+func (r *Replica) crashOnRequest() {
 	r.crashOnce.Do(func() {
 		r.Crash()
 		r.Crashed(r)
 	})
 }
 
-func (r *Replica) enter(n int) {
+func (r *Replica) addActive(n int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.active += n
@@ -227,7 +233,7 @@
 		r.stream(w, req, id, fault)
 		return
 	}
-	wait(req.Context(), r.Work)
+	sleep(req.Context(), r.Work)
 	body := Body(id)
 	switch fault {
 	case FaultReset:
@@ -237,24 +243,25 @@
 	case FaultCut:
 		w.Header().Set("Content-Length", strconv.Itoa(len(body)+10))
 	case FaultExtra:
-		_ = extra(w, id)
+		_ = writeExtraResponse(w, id)
 		return
 	}
 	_, _ = io.WriteString(w, body)
 }
 
-// Body is the answer to an attempt.
+// Body returns the response body for an attempt.
 func Body(id string) string {
 	return "answer to " + id
 }
 
-// Event is one event of the answer to an attempt.
+// Event returns one server-sent event of the stream for an attempt.
 func Event(id string, number int) string {
 	return fmt.Sprintf("id: %d\ndata: %s.%d\n\n", number, id, number)
 }
 
-// extra answers, and sends a second answer that belongs to nobody.
-func extra(w http.ResponseWriter, id string) error {
+// writeExtraResponse writes the response, and after it one that belongs to no
+// request.
+func writeExtraResponse(w http.ResponseWriter, id string) error {
 	hijacker, ok := w.(http.Hijacker)
 	if !ok {
 		return errors.ErrUnsupported
@@ -273,7 +280,7 @@
 	return err
 }
 
-// stream goes on after the event that the caller has.
+// stream writes the events after the one that Last-Event-Id names.
 func (r *Replica) stream(w http.ResponseWriter, req *http.Request, id string, fault Fault) {
 	from := 0
 	if last := req.Header.Get(headerLastEvent); last != "" {
@@ -298,11 +305,11 @@
 		}
 		_, _ = io.WriteString(w, event)
 		_ = flush()
-		wait(req.Context(), r.EventEvery)
+		sleep(req.Context(), r.EventEvery)
 	}
 }
 
-func wait(ctx context.Context, d time.Duration) {
+func sleep(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
--- a/standin/replica/state.go
+++ b/standin/replica/state.go
@@ -7,22 +7,23 @@
 	"time"
 )
 
-// SetCold lets its health check tell that it is cold.
+// SetCold makes health probes report the replica as cold until a time.
 func (r *Replica) SetCold(until time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.coldUntil = until
 }
 
-// SetLimit lets its answers name a limit in requests a second; an empty one names none.
+// SetLimit makes responses announce a limit in requests per second; an empty
+// string removes it.
 func (r *Replica) SetLimit(perSecond string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.limit = perSecond
 }
 
-// nameLimit puts the limit into an answer.
-func (r *Replica) nameLimit(w http.ResponseWriter) {
+// setLimitHeader adds the limit to a response.
+func (r *Replica) setLimitHeader(w http.ResponseWriter) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.limit != "" {
@@ -30,14 +31,14 @@
 	}
 }
 
-// ColdFor is how long it is cold yet.
+// ColdFor returns the time until the replica is warm.
 func (r *Replica) ColdFor() time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return max(time.Until(r.coldUntil), 0)
 }
 
-func (r *Replica) health(w http.ResponseWriter) {
+func (r *Replica) serveHealth(w http.ResponseWriter) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	w.Header().Set(headerSelf, r.ID)
@@ -46,8 +47,8 @@
 	}
 }
 
-// report tells its load.
-func (r *Replica) report(w http.ResponseWriter) {
+// serveReport writes the load report.
+func (r *Replica) serveReport(w http.ResponseWriter) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	_, _ = fmt.Fprintf(w, `{"Stage":"hybrid","Queued":0,"Active":%d,"KvUsed":%d,"KvTotal":300000,"born":%d}`, r.active, 1000*r.active, r.Born)
