--- a/standin/caller/answer.go
+++ b/standin/caller/answer.go
@@ -7,10 +7,10 @@
 	"github.com/fuchsianotch/fuchsianotch/result"
 )
 
-// The messages of the caller API are written here once more, apart from the
-// gateway's own, so that the two check each other.
+// The types of the caller API are deliberately not shared with the gateway, so
+// that tests detect incompatible changes.
 
-// Entry is one VM that the gateway names to a caller.
+// Entry is a VM that a caller may send its calls to.
 type Entry struct {
 	VM         string `json:"vm"`
 	Region     string `json:"region"`
@@ -18,7 +18,7 @@
 	Addr       string `json:"addr"`
 }
 
-// Entries answers which VMs to use, best first.
+// Entries is the response to GET /v1/entries: the VMs to use, best first.
 type Entries struct {
 	Workspace    string    `json:"workspace"`
 	ViewRevision uint64    `json:"view_revision"`
@@ -26,19 +26,20 @@
 	Entries      []Entry   `json:"entries"`
 }
 
-// Ticket names the VM that may run a non-idempotent call, first in Entries.
+// Ticket is the response to POST /v1/tickets. The first VM in Entries may run the
+// non-idempotent call.
 type Ticket struct {
 	Ticket    string    `json:"ticket"`
 	GoodUntil time.Time `json:"good_until"`
 	Entries   []Entry   `json:"entries"`
 }
 
-// errorBody is the body of an answer that is not of class done.
+// errorBody is the body of a response whose class is not done.
 type errorBody struct {
-	Error failure `json:"error"`
+	Error errorDetail `json:"error"`
 }
 
-type failure struct {
+type errorDetail struct {
 	Code       result.Code  `json:"code"`
 	Class      result.Class `json:"class"`
 	Message    string       `json:"message"`
@@ -47,7 +48,7 @@
 	Ticket     string       `json:"ticket"`
 }
 
-// completion is a whole chat completion, or one chunk of a streamed one.
+// completion is a chat completion, or one chunk of a streamed one.
 type completion struct {
 	ID      string   `json:"id"`
 	Choices []choice `json:"choices"`
@@ -55,21 +56,21 @@
 }
 
 type choice struct {
-	Delta   content `json:"delta"`
-	Message content `json:"message"`
+	Delta   message `json:"delta"`
+	Message message `json:"message"`
 }
 
-type content struct {
+type message struct {
 	Content string `json:"content"`
 }
 
 type usage struct {
-	PromptTokens     int          `json:"prompt_tokens"`
-	CompletionTokens int          `json:"completion_tokens"`
-	PromptDetails    promptDetail `json:"prompt_tokens_details"`
+	PromptTokens     int                 `json:"prompt_tokens"`
+	CompletionTokens int                 `json:"completion_tokens"`
+	PromptDetails    promptTokensDetails `json:"prompt_tokens_details"`
 }
 
-type promptDetail struct {
+type promptTokensDetails struct {
 	CachedTokens int `json:"cached_tokens"`
 }
 
--- a/standin/caller/attempt.go
+++ b/standin/caller/attempt.go
@@ -15,52 +15,54 @@
 	"github.com/fuchsianotch/fuchsianotch/result"
 )
 
-// maxAnswer bounds an answer that is no stream, in bytes.
-const maxAnswer = 64 << 20
+// maxResponseBytes bounds a response that is not streamed.
+const maxResponseBytes = 64 << 20
 
-// graceAfterDeadline lets the gateway's own answer about a passed deadline arrive.
-const graceAfterDeadline = 2 * time.Second
+// deadlineGracePeriod leaves time for the gateway's response to an exceeded
+// deadline.
+const deadlineGracePeriod = 2 * time.Second
 
 var (
-	errNoResult   = errors.New("the answer has no valid Fuchsianotch-Result")
-	errTooLarge   = errors.New("the answer is too large")
-	errCompletion = errors.New("the answer is no chat completion")
+	errNoResult   = errors.New("response has no valid Fuchsianotch-Result header")
+	errTooLarge   = errors.New("response is too large")
+	errCompletion = errors.New("response is not a chat completion")
 )
 
-// answer is how one try ended, with what a refusal says to do next.
-type answer struct {
+// attemptResult is the result of one attempt. A refusal may name other VMs to use
+// and a ticket.
+type attemptResult struct {
 	Result
 	use    []Entry
 	ticket string
 }
 
-// attempt sends the call to one VM once.
-func (c *Caller) attempt(ctx context.Context, vm Entry, q *request) answer {
-	ctx, cancel := q.limit(ctx)
+// attempt sends the call once to one VM.
+func (c *Caller) attempt(ctx context.Context, vm Entry, q *request) attemptResult {
+	ctx, cancel := q.withDeadline(ctx)
 	defer cancel()
-	a := answer{
+	a := attemptResult{
 		Result: Result{
 			VM:     vm.VM,
 			Ticket: q.ticket,
 		},
 	}
-	sending := &body{
+	sending := &revocableBody{
 		data: q.body,
 	}
 	r, err := c.newRequest(ctx, vm, q, sending)
 	if err != nil {
-		a.Result = a.failed(err, false)
+		a.Result = a.withError(err, false)
 		return a
 	}
-	unasked := time.AfterFunc(continueWithin, func() {
+	continueTimer := time.AfterFunc(continueTimeout, func() {
 		if len(q.body) > 0 && sending.revoke() {
 			cancel()
 		}
 	})
 	response, err := c.client.Do(r)
-	unasked.Stop()
+	continueTimer.Stop()
 	if err != nil {
-		a.Result = a.failed(err, mayBeSent(err, q, sending))
+		a.Result = a.withError(err, mayHaveRun(err, q, sending))
 		return a
 	}
 	defer func() { _ = response.Body.Close() }()
@@ -68,15 +70,15 @@
 	return a
 }
 
-// limit ends ctx some time after the call's deadline.
-func (q *request) limit(ctx context.Context) (context.Context, context.CancelFunc) {
+// withDeadline limits ctx to the call's deadline plus the grace period.
+func (q *request) withDeadline(ctx context.Context) (context.Context, context.CancelFunc) {
 	if q.deadline.IsZero() {
 		return context.WithCancel(ctx)
 	}
-	return context.WithDeadline(ctx, q.deadline.Add(graceAfterDeadline))
+	return context.WithDeadline(ctx, q.deadline.Add(deadlineGracePeriod))
 }
 
-func (c *Caller) newRequest(ctx context.Context, vm Entry, q *request, sending *body) (*http.Request, error) {
+func (c *Caller) newRequest(ctx context.Context, vm Entry, q *request, sending *revocableBody) (*http.Request, error) {
 	r, err := http.NewRequestWithContext(ctx, q.method, "http://"+vm.Addr+q.path, http.NoBody)
 	if err != nil {
 		return nil, err
@@ -94,9 +96,10 @@
 	return r, nil
 }
 
-// mayBeSent reports whether a failed try may have reached the VM as a whole call.
-// A call whose body was not begun, or whose connection was never made, did not.
-func mayBeSent(err error, q *request, sending *body) bool {
+// mayHaveRun reports whether the VM may have received the complete call of a
+// failed attempt. It has not if the connection failed or no byte of the body was
+// sent.
+func mayHaveRun(err error, q *request, sending *revocableBody) bool {
 	var network *net.OpError
 	if errors.As(err, &network) && network.Op == "dial" {
 		return false
@@ -104,8 +107,8 @@
 	return len(q.body) == 0 || !sending.revoke()
 }
 
-// read takes the answer from its head to its end.
-func (a *answer) read(response *http.Response, q *request) {
+// read reads the response.
+func (a *attemptResult) read(response *http.Response, q *request) {
 	a.Status = response.StatusCode
 	a.RequestID = response.Header.Get("Fuchsianotch-Request")
 	if name := response.Header.Get("Fuchsianotch-Vm"); name != "" {
@@ -114,7 +117,7 @@
 	number, err := strconv.Atoi(response.Header.Get("Fuchsianotch-Result"))
 	code := result.Code(number)
 	if _, known := result.Lookup(code); err != nil || !known {
-		a.Result = a.failed(errNoResult, true)
+		a.Result = a.withError(errNoResult, true)
 		return
 	}
 	a.Code = code
@@ -128,12 +131,12 @@
 		err = a.readWhole(response.Body, q)
 	}
 	if err != nil {
-		a.Result = a.failed(err, true)
+		a.Result = a.withError(err, true)
 	}
 }
 
-// readRefusal takes the body of a refusal. Its code must be the header's.
-func (a *answer) readRefusal(r io.Reader) error {
+// readRefusal reads the body of a refusal, whose code must match the header.
+func (a *attemptResult) readRefusal(r io.Reader) error {
 	data, err := readAll(r)
 	if err != nil {
 		return err
@@ -143,14 +146,14 @@
 		return err
 	}
 	if body.Error.Code != a.Code {
-		return fmt.Errorf("%w: its body says %d", errNoResult, body.Error.Code)
+		return fmt.Errorf("%w: body has code %d", errNoResult, body.Error.Code)
 	}
 	a.refused(body.Error)
 	return nil
 }
 
-func (a *answer) readStream(r io.Reader) error {
-	s := &stream{}
+func (a *attemptResult) readStream(r io.Reader) error {
+	s := &streamReader{}
 	err := s.read(r)
 	a.Text = s.text.String()
 	a.Usage = s.usage
@@ -161,7 +164,7 @@
 	return err
 }
 
-func (a *answer) readWhole(r io.Reader, q *request) error {
+func (a *attemptResult) readWhole(r io.Reader, q *request) error {
 	a.FirstAt = time.Now()
 	data, err := readAll(r)
 	if err != nil || !q.chat {
@@ -179,7 +182,7 @@
 	return nil
 }
 
-func (a *answer) refused(f failure) {
+func (a *attemptResult) refused(f errorDetail) {
 	a.Code = f.Code
 	a.Class = f.Code.Class()
 	a.Message = f.Message
@@ -189,8 +192,8 @@
 }
 
 func readAll(r io.Reader) ([]byte, error) {
-	data, err := io.ReadAll(io.LimitReader(r, maxAnswer+1))
-	if err == nil && len(data) > maxAnswer {
+	data, err := io.ReadAll(io.LimitReader(r, maxResponseBytes+1))
+	if err == nil && len(data) > maxResponseBytes {
 		err = errTooLarge
 	}
 	return data, err
--- a/standin/caller/body.go
+++ b/standin/caller/body.go
@@ -7,27 +7,27 @@
 	"time"
 )
 
-// continueWithin is how long a VM may take to ask for a body. A body that was
-// not asked for by then is never sent, so the call is certain not to have run.
-const continueWithin = 5 * time.Second
+// continueTimeout bounds the wait for 100 Continue. The body is not sent after it,
+// so the call certainly did not run.
+const continueTimeout = 5 * time.Second
 
-var errRevoked = errors.New("the body was not asked for in time")
+var errRevoked = errors.New("no 100 Continue before the timeout")
 
-// States of a body. It leaves bodyUnread once, for one of the others.
+// States of a body. The only transitions are from bodyUnread to another state.
 const (
 	bodyUnread int32 = iota
 	bodyReading
 	bodyRevoked
 )
 
-// body is a request body that knows whether any of it may have been sent.
-type body struct {
+// revocableBody is a request body that can be revoked until its first read.
+type revocableBody struct {
 	state atomic.Int32
 	data  []byte
 }
 
-// Read returns the next bytes, or fails if the body was revoked before.
-func (b *body) Read(into []byte) (int, error) {
+// Read implements io.Reader. It fails if the body was revoked.
+func (b *revocableBody) Read(into []byte) (int, error) {
 	if b.state.Load() != bodyReading && !b.state.CompareAndSwap(bodyUnread, bodyReading) {
 		return 0, errRevoked
 	}
@@ -39,12 +39,12 @@
 	return n, nil
 }
 
-// Close does nothing: the body holds no resource.
-func (b *body) Close() error {
+// Close implements io.Closer.
+func (b *revocableBody) Close() error {
 	return nil
 }
 
-// revoke forbids to send the body, and reports whether none of it was sent.
-func (b *body) revoke() bool {
+// revoke prevents the body from being sent. It returns false if reading has begun.
+func (b *revocableBody) revoke() bool {
 	return b.state.CompareAndSwap(bodyUnread, bodyRevoked) || b.state.Load() == bodyRevoked
 }
--- a/standin/caller/caller.go
+++ b/standin/caller/caller.go
@@ -1,6 +1,6 @@
-// Package caller is a stand-in for the callers of the gateway. It follows the
-// answers that the gateway gives: it uses the entry VMs named to it, comes back
-// when a refusal says so, and repeats a call only where that is safe.
+// Package caller is a client of the gateway for tests. It uses the entry VMs that
+// the gateway names, waits as refusals demand, and retries a call only if that is
+// safe.
 package caller
 
 import (
@@ -10,34 +10,34 @@
 	"sync/atomic"
 )
 
-// defaultMaxTries bounds the tries of one call where Options leave it open.
 const defaultMaxTries = 8
 
-// Options set up a Caller.
+// Options configure a Caller.
 type Options struct {
-	// VMs are "ip:port" of the caller fronts to ask for entries; at least one.
+	// VMs are the addresses ("ip:port") of the VMs that serve the caller API; at
+	// least one.
 	VMs []string
-	// Direct uses VMs as they are given, without asking which to use.
+	// Direct uses the VMs in the given order instead of requesting entries.
 	Direct bool
-	// Key is "<workspace>.<secret>".
+	// Key is the API key, "<workspace>.<secret>".
 	Key string
-	// Client is shared by many callers to share its connections; nil makes one.
-	// It must not time out by itself and must know Expect: 100-continue, as
-	// NewClient's does.
+	// Client may be shared by callers to share its connections; nil creates one.
+	// It must have no timeout and must support Expect: 100-continue, as one from
+	// NewClient does.
 	Client *http.Client
-	// MaxTries bounds the tries of one call; zero means 8, one forbids retries.
+	// MaxTries bounds the attempts of one call; zero means 8, one disables retries.
 	MaxTries int
 }
 
-// Caller sends calls with one workspace's key. It is safe for concurrent use.
+// Caller sends calls with one API key. It is safe for concurrent use.
 type Caller struct {
-	options  Options
-	client   *http.Client
-	entries  entryCache
-	askedVMs atomic.Uint64
+	options    Options
+	client     *http.Client
+	entries    entryCache
+	fetchCount atomic.Uint64
 }
 
-// New makes a caller that has asked for nothing yet.
+// New returns a caller. It sends nothing before the first call.
 func New(o Options) *Caller {
 	o.MaxTries = cmp.Or(o.MaxTries, defaultMaxTries)
 	client := o.Client
@@ -51,16 +51,16 @@
 	}
 }
 
-// Chat sends a chat completion. A stream that broke is not repeated.
+// Chat sends a chat completion. It does not retry a broken stream.
 func (c *Caller) Chat(ctx context.Context, chat Chat) Result {
 	q, err := chat.request()
 	if err != nil {
-		return Result{}.failed(err, false)
+		return Result{}.withError(err, false)
 	}
-	return c.follow(ctx, q)
+	return c.sendWithRetries(ctx, q)
 }
 
 // Service sends a call to a plain service.
 func (c *Caller) Service(ctx context.Context, service Service) Result {
-	return c.follow(ctx, service.request())
+	return c.sendWithRetries(ctx, service.request())
 }
--- a/standin/caller/client.go
+++ b/standin/caller/client.go
@@ -8,27 +8,28 @@
 
 // Limits of the client's connections.
 const (
-	dialWithin = 2 * time.Second
-	idleWithin = 10 * time.Second
-	// idlePerVM keeps the connections of thousands of concurrent streams.
-	idlePerVM = 4096
-	// sendAnywayAfter is past continueWithin, so that no body goes out unasked.
-	sendAnywayAfter = 2 * continueWithin
+	dialTimeout     = 2 * time.Second
+	idleConnTimeout = 10 * time.Second
+	// maxIdleConnsPerVM allows thousands of concurrent streams to reuse connections.
+	maxIdleConnsPerVM = 4096
+	// expectContinueTimeout exceeds continueTimeout, so that the transport never
+	// sends a body without 100 Continue.
+	expectContinueTimeout = 2 * continueTimeout
 )
 
-// NewClient makes an HTTP client for any number of callers. It keeps its
-// connections, follows no redirects and waits to be asked for a body.
+// NewClient returns an HTTP client that callers can share. It follows no redirects
+// and sends a body only after 100 Continue.
 func NewClient() *http.Client {
 	dialer := &net.Dialer{
-		Timeout: dialWithin,
+		Timeout: dialTimeout,
 	}
 	return &http.Client{
 		Transport: &http.Transport{
 			DialContext:           dialer.DialContext,
 			DisableCompression:    true,
-			MaxIdleConnsPerHost:   idlePerVM,
-			IdleConnTimeout:       idleWithin,
-			ExpectContinueTimeout: sendAnywayAfter,
+			MaxIdleConnsPerHost:   maxIdleConnsPerVM,
+			IdleConnTimeout:       idleConnTimeout,
+			ExpectContinueTimeout: expectContinueTimeout,
 		},
 		CheckRedirect: func(*http.Request, []*http.Request) error {
 			return http.ErrUseLastResponse
--- a/standin/caller/entries.go
+++ b/standin/caller/entries.go
@@ -12,20 +12,21 @@
 	"github.com/fuchsianotch/fuchsianotch/result"
 )
 
-// askWithin bounds one question for entries or a ticket.
-const askWithin = 5 * time.Second
+// requestTimeout bounds one request for entries or a ticket.
+const requestTimeout = 5 * time.Second
 
-// asksPerQuestion is the first VM asked and one more.
-const asksPerQuestion = 2
+// maxEntryRequests is the number of VMs to request entries or a ticket from.
+const maxEntryRequests = 2
 
-var errNoEntries = errors.New("no VM named entries")
+var errNoEntries = errors.New("no VM returned entries")
 
-// entryCache remembers the last entries until they are no longer good.
+// entryCache caches the last entries until they expire.
 type entryCache struct {
-	// lock holds one token; who takes it may use the fields below.
-	lock    chan struct{}
-	held    Entries
-	askedAt time.Time
+	// lock is a mutex that can be awaited together with a context. It guards the
+	// fields below.
+	lock        chan struct{}
+	cached      Entries
+	requestedAt time.Time
 }
 
 func newEntryCache() entryCache {
@@ -34,11 +35,11 @@
 	}
 }
 
-// Entries returns the VMs to use, best first, and asks for them when those
-// remembered are no longer good.
+// Entries returns the VMs to use, best first. It requests them if the cached ones
+// have expired.
 func (c *Caller) Entries(ctx context.Context) ([]Entry, error) {
 	if c.options.Direct {
-		return c.direct(), nil
+		return c.directEntries(), nil
 	}
 	select {
 	case c.entries.lock <- struct{}{}:
@@ -46,24 +47,24 @@
 		return nil, ctx.Err()
 	}
 	defer func() { <-c.entries.lock }()
-	if time.Now().Before(c.entries.held.GoodUntil) && len(c.entries.held.Entries) > 0 {
-		return c.entries.held.Entries, nil
+	if time.Now().Before(c.entries.cached.GoodUntil) && len(c.entries.cached.Entries) > 0 {
+		return c.entries.cached.Entries, nil
 	}
-	askedAt := time.Now()
-	fresh, err := c.askEntries(ctx)
+	requestedAt := time.Now()
+	fresh, err := c.fetchEntries(ctx)
 	if err != nil {
 		return nil, err
 	}
 	if len(fresh.Entries) == 0 {
 		return nil, errNoEntries
 	}
-	c.entries.held = fresh
-	c.entries.askedAt = askedAt
+	c.entries.cached = fresh
+	c.entries.requestedAt = requestedAt
 	return fresh.Entries, nil
 }
 
-// direct returns the configured VMs without asking.
-func (c *Caller) direct() []Entry {
+// directEntries returns the configured VMs as entries.
+func (c *Caller) directEntries() []Entry {
 	out := make([]Entry, 0, len(c.options.VMs))
 	for _, addr := range c.options.VMs {
 		out = append(out, Entry{
@@ -73,73 +74,75 @@
 	return out
 }
 
-// askEntries asks one of the configured VMs, and the next one if that fails.
-func (c *Caller) askEntries(ctx context.Context) (fresh Entries, err error) {
+// fetchEntries requests entries from a configured VM, and from the next one if
+// that fails.
+func (c *Caller) fetchEntries(ctx context.Context) (fresh Entries, err error) {
 	err = errNoEntries
-	for _, addr := range atMost(asksPerQuestion, c.askedAddrs()) {
-		if fresh, err = ask[Entries](ctx, c, http.MethodGet, addr, pathEntries); err == nil {
+	for _, addr := range firstN(maxEntryRequests, c.rotatedVMs()) {
+		if fresh, err = fetch[Entries](ctx, c, http.MethodGet, addr, pathEntries); err == nil {
 			break
 		}
 	}
 	return fresh, err
 }
 
-// Ticket gets a ticket for one non-idempotent call, from the first entry VM or
+// Ticket requests a ticket for a non-idempotent call from the first entry VM, and
 // from the next one if that fails.
 func (c *Caller) Ticket(ctx context.Context) (ticket Ticket, err error) {
 	entries, err := c.Entries(ctx)
 	if err != nil {
 		return ticket, err
 	}
-	for _, e := range atMost(asksPerQuestion, entries) {
-		if ticket, err = ask[Ticket](ctx, c, http.MethodPost, e.Addr, pathTickets); err == nil {
+	for _, e := range firstN(maxEntryRequests, entries) {
+		if ticket, err = fetch[Ticket](ctx, c, http.MethodPost, e.Addr, pathTickets); err == nil {
 			break
 		}
-		c.demote(e.Addr)
+		c.moveToEnd(e.Addr)
 	}
 	return ticket, err
 }
 
-// forget drops the remembered entries, unless they were asked for after a time.
-func (c *Caller) forget(before time.Time) {
+// invalidateEntries drops the cached entries unless they were requested after a
+// time.
+func (c *Caller) invalidateEntries(before time.Time) {
 	c.entries.lock <- struct{}{}
 	defer func() { <-c.entries.lock }()
-	if !c.entries.askedAt.After(before) {
-		c.entries.held = Entries{}
+	if !c.entries.requestedAt.After(before) {
+		c.entries.cached = Entries{}
 	}
 }
 
-// demote moves a VM that could not be used behind the other remembered ones.
-func (c *Caller) demote(addr string) {
+// moveToEnd makes an unavailable VM the last of the cached entries.
+func (c *Caller) moveToEnd(addr string) {
 	c.entries.lock <- struct{}{}
 	defer func() { <-c.entries.lock }()
-	held := c.entries.held.Entries
-	i := slices.IndexFunc(held, func(e Entry) bool { return e.Addr == addr })
-	if i < 0 || i == len(held)-1 {
+	cached := c.entries.cached.Entries
+	i := slices.IndexFunc(cached, func(e Entry) bool { return e.Addr == addr })
+	if i < 0 || i == len(cached)-1 {
 		return
 	}
-	// A copy, since calls under way hold the old order.
-	c.entries.held.Entries = slices.Concat(held[:i], held[i+1:], held[i:i+1])
+	// Calls in flight still read the old slice.
+	c.entries.cached.Entries = slices.Concat(cached[:i], cached[i+1:], cached[i:i+1])
 }
 
-// askedAddrs returns the configured VMs, from another one each time.
-func (c *Caller) askedAddrs() []string {
+// rotatedVMs returns the configured VMs, starting with the next one at each call.
+func (c *Caller) rotatedVMs() []string {
 	vms := c.options.VMs
 	if len(vms) == 0 {
 		return nil
 	}
-	first := int((c.askedVMs.Add(1) - 1) % uint64(len(vms)))
+	first := int((c.fetchCount.Add(1) - 1) % uint64(len(vms)))
 	return slices.Concat(vms[first:], vms[:first])
 }
 
-func atMost[T any](n int, of []T) []T {
+func firstN[T any](n int, of []T) []T {
 	return of[:min(n, len(of))]
 }
 
-// ask puts a question without a body to one VM. It fails with a
-// *result.Refusal where the VM refused.
-func ask[T any](ctx context.Context, c *Caller, method, addr, path string) (body T, err error) {
-	ctx, cancel := context.WithTimeout(ctx, askWithin)
+// fetch sends a request without a body to one VM and decodes the response. It
+// returns a *result.Refusal if the VM refused.
+func fetch[T any](ctx context.Context, c *Caller, method, addr, path string) (body T, err error) {
+	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
 	r, err := http.NewRequestWithContext(ctx, method, "http://"+addr+path, http.NoBody)
 	if err != nil {
--- a/standin/caller/request.go
+++ b/standin/caller/request.go
@@ -15,7 +15,7 @@
 	pathServices = "/v1/services/"
 )
 
-// Chat is a chat completion to ask for.
+// Chat is a chat completion request.
 type Chat struct {
 	Model string
 	// System is the shared prefix of the prompt; it may be empty.
@@ -34,23 +34,23 @@
 	Method string
 	Path   string
 	Body   []byte
-	// Ticket is a ticket held already; WithTicket asks for one before the call.
-	// With neither, a call that needs a ticket takes the one of the refusal.
+	// Ticket is an existing ticket; WithTicket requests one before the call. With
+	// neither, a call that needs a ticket uses the one from the refusal.
 	Ticket         string
 	WithTicket     bool
 	IdempotencyKey string
 	Terms
 }
 
-// Terms are what a caller asks of any call.
+// Terms are the options common to all calls.
 type Terms struct {
-	// Deadline ends the call; zero leaves it to the contract.
+	// Deadline limits the call; zero means the contract's default.
 	Deadline time.Time
-	// Priority is "urgent", "chat" or "report"; empty leaves it to the gateway.
+	// Priority is "urgent", "chat" or "report"; empty means the gateway's default.
 	Priority string
 }
 
-// request is one call in the form that each try sends.
+// request is a call in the form that attempts send.
 type request struct {
 	method     string
 	path       string
@@ -146,8 +146,8 @@
 	return header
 }
 
-// repeatable reports whether a try with an unknown outcome may be repeated: the
-// method changes nothing, or the ticket lets the call run at most once.
+// repeatable reports whether the call may be retried after an unknown outcome:
+// its method is safe, or its ticket lets it run at most once.
 func (q *request) repeatable() bool {
 	return q.ticket != "" || q.method == http.MethodGet || q.method == http.MethodHead
 }
--- a/standin/caller/follow_test.go
+++ b/standin/caller/retry_test.go
@@ -20,9 +20,9 @@
 	"github.com/fuchsianotch/fuchsianotch/result"
 )
 
-// followCase sends calls one after another and judges the last one. Times such
+// retryCase sends calls in sequence and checks the result of the last. Times such
 // as "+2s" count from the start.
-type followCase struct {
+type retryCase struct {
 	Name      string       `json:"name"`
 	Send      []string     `json:"send"`
 	Deadline  string       `json:"deadline"`
@@ -34,34 +34,35 @@
 	Took      string       `json:"took"`
 }
 
-// exchange is one expected request, "METHOD addr path [ticket]", and its answer.
+// exchange is an expected request, "METHOD addr path [ticket]", and its response.
 type exchange struct {
 	Want string `json:"want"`
-	// Fault is "dial", "cut" after the body was read, or "frozen" before it.
+	// Fault is "dial" for a failed connection, "cut" for a connection lost after
+	// the body was read, or "frozen" for a VM that never reads the body.
 	Fault  string          `json:"fault"`
 	Code   int             `json:"code"`
 	Status int             `json:"status"`
 	Body   json.RawMessage `json:"body"`
 }
 
-// roundTripper makes a function an http.RoundTripper.
+// roundTripper adapts a function to http.RoundTripper.
 type roundTripper func(*http.Request) (*http.Response, error)
 
 func (f roundTripper) RoundTrip(r *http.Request) (*http.Response, error) {
 	return f(r)
 }
 
-func TestFollow(t *testing.T) {
-	for _, c := range readTable[followCase](t, "testdata/follow.json") {
+func TestRetry(t *testing.T) {
+	for _, c := range readTable[retryCase](t, "testdata/retry.json") {
 		t.Run(c.Name, func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) { playFollow(t, c) })
+			synctest.Test(t, func(t *testing.T) { runRetryCase(t, c) })
 		})
 	}
 }
 
-func playFollow(t *testing.T, c followCase) {
+func runRetryCase(t *testing.T, c retryCase) {
 	start := time.Now()
-	var played int
+	var exchanged int
 	caller := New(Options{
 		VMs: []string{"a:1", "b:1"},
 		Key: "w.secret",
@@ -69,11 +70,11 @@
 			Transport: roundTripper(func(r *http.Request) (*http.Response, error) {
 				assert.Equal(t, r.Header.Get("Authorization"), "Bearer w.secret")
 				got := strings.TrimSpace(fmt.Sprint(r.Method, " ", r.URL.Host, " ", r.URL.RequestURI(), " ", r.Header.Get("Fuchsianotch-Ticket")))
-				assert.Assert(t, played < len(c.Exchanges), "unexpected %s", got)
-				e := c.Exchanges[played]
-				played++
+				assert.Assert(t, exchanged < len(c.Exchanges), "unexpected %s", got)
+				e := c.Exchanges[exchanged]
+				exchanged++
 				assert.Equal(t, got, e.Want)
-				return e.play(t, r, start)
+				return e.respond(t, r, start)
 			}),
 		},
 	})
@@ -100,7 +101,7 @@
 			Terms:      terms,
 		})
 	}
-	assert.Equal(t, played, len(c.Exchanges))
+	assert.Equal(t, exchanged, len(c.Exchanges))
 	assert.Equal(t, last.Code, c.Code, last.Message)
 	assert.Equal(t, last.Class, c.Class)
 	assert.Equal(t, last.Text, c.Text)
@@ -108,7 +109,7 @@
 	assert.Equal(t, last.DoneAt.Sub(start).String(), c.Took)
 }
 
-func (e exchange) play(t *testing.T, r *http.Request, start time.Time) (*http.Response, error) {
+func (e exchange) respond(t *testing.T, r *http.Request, start time.Time) (*http.Response, error) {
 	hasBody := r.Body != http.NoBody
 	assert.Equal(t, r.Header.Get("Expect") == "100-continue", hasBody)
 	switch e.Fault {
@@ -154,9 +155,9 @@
 	return start.Add(wait)
 }
 
-// TestSockets checks what only a real connection shows: a refused body is never
-// asked for, and a stream whose connection breaks is not whole.
-func TestSockets(t *testing.T) {
+// TestConnections checks, over real connections, that the body of a refused call is
+// not sent and that a broken stream is not reported as complete.
+func TestConnections(t *testing.T) {
 	var addr string
 	refusing := true
 	mux := http.NewServeMux()
--- a/standin/caller/stream.go
+++ b/standin/caller/stream.go
@@ -14,17 +14,17 @@
 	"github.com/fuchsianotch/fuchsianotch/call"
 )
 
-// Errors of a stream that is not whole.
+// Errors of an incomplete or invalid stream.
 var (
-	errCut       = errors.New("the stream ended without [DONE]")
-	errMalformed = errors.New("the stream is malformed")
-	errMixed     = errors.New("the stream holds chunks of another answer")
+	errTruncated    = errors.New("stream ended without [DONE]")
+	errMalformed    = errors.New("malformed stream")
+	errForeignChunk = errors.New("stream contains a chunk of another answer")
 )
 
-// Sizes of one line of a stream, in bytes.
+// Buffer sizes for the lines of a stream.
 const (
-	lineSize    = 4 << 10
-	maxLineSize = 1 << 20
+	lineBufferBytes = 4 << 10
+	maxLineBytes    = 1 << 20
 )
 
 var doneMark = []byte("[DONE]")
@@ -36,32 +36,32 @@
 }
 
 func newLineBuffer() *[]byte {
-	buffer := make([]byte, lineSize)
+	buffer := make([]byte, lineBufferBytes)
 	return &buffer
 }
 
-// stream collects a streamed chat completion.
-type stream struct {
+// streamReader decodes a streamed chat completion.
+type streamReader struct {
 	text    strings.Builder
 	usage   call.Usage
 	firstAt time.Time
 	// failure is set by an error event, which ends the stream.
-	failure *failure
-	id      string
-	started bool
-	whole   bool
+	failure  *errorDetail
+	id       string
+	started  bool
+	complete bool
 }
 
-// read takes server-sent events until the stream ends. It succeeds only if
-// [DONE] came last, or a well-formed error event.
-func (s *stream) read(r io.Reader) error {
+// read reads server-sent events until the stream ends. It succeeds only if the
+// last event is [DONE] or a well-formed error event.
+func (s *streamReader) read(r io.Reader) error {
 	buffer, ok := lineBuffers.Get().(*[]byte)
 	if !ok {
 		buffer = newLineBuffer()
 	}
 	defer lineBuffers.Put(buffer)
 	lines := bufio.NewScanner(r)
-	lines.Buffer(*buffer, maxLineSize)
+	lines.Buffer(*buffer, maxLineBytes)
 	var event, data, rest []byte
 	lines.Split(func(data []byte, atEOF bool) (int, []byte, error) {
 		advance, line, err := bufio.ScanLines(data, atEOF)
@@ -89,35 +89,35 @@
 			return fmt.Errorf("%w: unexpected line %.40q", errMalformed, line)
 		}
 	}
-	return s.end(lines.Err(), len(event)+len(data)+len(rest) > 0)
+	return s.checkEnd(lines.Err(), len(event)+len(data)+len(rest) > 0)
 }
 
-// dispatch takes one whole event.
-func (s *stream) dispatch(event, data []byte) error {
+// dispatch handles one complete event.
+func (s *streamReader) dispatch(event, data []byte) error {
 	switch {
 	case len(event) == 0 && len(data) == 0:
 		return nil
-	case s.whole || s.failure != nil:
-		return fmt.Errorf("%w: an event after the end", errMalformed)
+	case s.complete || s.failure != nil:
+		return fmt.Errorf("%w: event after the end", errMalformed)
 	case len(event) == 0 && bytes.Equal(data, doneMark):
-		s.whole = true
+		s.complete = true
 		return nil
 	case len(event) == 0:
-		return s.chunk(data)
+		return s.handleChunk(data)
 	case string(event) == "error":
-		return s.fail(data)
+		return s.handleError(data)
 	default:
 		return fmt.Errorf("%w: unexpected event %.40q", errMalformed, event)
 	}
 }
 
-func (s *stream) chunk(data []byte) error {
+func (s *streamReader) handleChunk(data []byte) error {
 	var c completion
 	if err := json.Unmarshal(data, &c); err != nil {
 		return fmt.Errorf("%w: %w", errMalformed, err)
 	}
 	if s.started && c.ID != s.id {
-		return errMixed
+		return errForeignChunk
 	}
 	s.started = true
 	s.id = c.ID
@@ -134,24 +134,24 @@
 	return nil
 }
 
-func (s *stream) fail(data []byte) error {
+func (s *streamReader) handleError(data []byte) error {
 	var body errorBody
 	if err := json.Unmarshal(data, &body); err != nil || body.Error.Code == 0 {
-		return fmt.Errorf("%w: an error event without a code", errMalformed)
+		return fmt.Errorf("%w: error event without a code", errMalformed)
 	}
 	s.failure = &body.Error
 	return nil
 }
 
-// end judges the end of the bytes. Once the last event came, it does not
-// matter how the connection ended.
-func (s *stream) end(err error, open bool) error {
+// checkEnd returns an error unless the final event arrived and no partial event
+// followed it. How the connection ended does not matter then.
+func (s *streamReader) checkEnd(err error, open bool) error {
 	switch {
-	case (s.whole || s.failure != nil) && !open:
+	case (s.complete || s.failure != nil) && !open:
 		return nil
 	case err != nil:
-		return fmt.Errorf("%w: %w", errCut, err)
+		return fmt.Errorf("%w: %w", errTruncated, err)
 	default:
-		return errCut
+		return errTruncated
 	}
 }
--- a/standin/caller/stream_test.go
+++ b/standin/caller/stream_test.go
@@ -24,7 +24,7 @@
 func TestStream(t *testing.T) {
 	for _, c := range readTable[streamCase](t, "testdata/stream.json") {
 		t.Run(c.Name, func(t *testing.T) {
-			s := &stream{}
+			s := &streamReader{}
 			err := s.read(strings.NewReader(c.Body))
 			if c.Error == "" {
 				assert.NilError(t, err)
@@ -33,7 +33,7 @@
 			}
 			assert.Equal(t, s.text.String(), c.Text)
 			assert.Equal(t, s.usage, c.Usage)
-			assert.Equal(t, s.whole, c.Whole)
+			assert.Equal(t, s.complete, c.Whole)
 			if c.Code != 0 {
 				assert.Equal(t, s.failure.Code, c.Code)
 			}
@@ -41,14 +41,14 @@
 	}
 }
 
-// TestTruncatedStream cuts a whole stream after each of its bytes: it never
-// counts as whole.
+// TestTruncatedStream checks that no proper prefix of a stream is accepted as
+// complete.
 func TestTruncatedStream(t *testing.T) {
 	whole := readTable[streamCase](t, "testdata/stream.json")[0].Body
 	for length := range len(whole) {
-		s := &stream{}
+		s := &streamReader{}
 		err := s.read(strings.NewReader(whole[:length]))
-		assert.ErrorIs(t, err, errCut, "after %d of %d bytes", length, len(whole))
+		assert.ErrorIs(t, err, errTruncated, "after %d of %d bytes", length, len(whole))
 	}
 }
 
