--- a/standin/graceful/graceful.go
+++ b/standin/graceful/graceful.go
@@ -1,5 +1,4 @@
-// Package graceful serves HTTP until a context ends, and then lets the
-// requests in flight end.
+// Package graceful serves HTTP until a context ends, then shuts down gracefully.
 package graceful
 
 import (
@@ -10,16 +9,16 @@
 	"time"
 )
 
-// stopWithin bounds the wait for requests in flight.
-const stopWithin = 30 * time.Second
+// shutdownTimeout bounds the wait for requests in flight.
+const shutdownTimeout = 30 * time.Second
 
-// Serve serves on the listener until ctx ends. It fails if the listener does,
-// or if requests are still in flight when the wait is over.
+// Serve serves on the listener until ctx ends, then waits for requests in flight.
+// It returns an error if the listener fails or the wait times out.
 func Serve(ctx context.Context, listener net.Listener, server *http.Server) error {
 	stopped := make(chan error, 1)
 	go func() {
 		<-ctx.Done()
-		limit, cancel := context.WithTimeout(context.WithoutCancel(ctx), stopWithin)
+		limit, cancel := context.WithTimeout(context.WithoutCancel(ctx), shutdownTimeout)
 		defer cancel()
 		stopped <- server.Shutdown(limit)
 	}()
