--- a/standin/caller/request.go
+++ b/standin/caller/request.go
@@ -24,7 +24,7 @@
 	// MaxTokens bounds the generated tokens; zero leaves it to the model.
 	MaxTokens int
 	Stream    bool
-	Terms
+	CallOptions
 }
 
 // Service is a call to a plain service.
@@ -39,11 +39,11 @@
 	Ticket         string
 	WithTicket     bool
 	IdempotencyKey string
-	Terms
+	CallOptions
 }
 
-// Terms are the options common to all calls.
-type Terms struct {
+// CallOptions are the options common to all calls.
+type CallOptions struct {
 	// Deadline limits the call; zero means the contract's default.
 	Deadline time.Time
 	// Priority is "urgent", "chat" or "report"; empty means the gateway's default.
@@ -135,7 +135,7 @@
 	}
 }
 
-func (t Terms) header() http.Header {
+func (t CallOptions) header() http.Header {
 	header := http.Header{}
 	if !t.Deadline.IsZero() {
 		header.Set("Fuchsianotch-Deadline", t.Deadline.Format(time.RFC3339Nano))
--- a/standin/caller/retry_test.go
+++ b/standin/caller/retry_test.go
@@ -78,27 +78,27 @@
 			}),
 		},
 	})
-	var terms Terms
+	var options CallOptions
 	if c.Deadline != "" {
-		terms.Deadline = fromStart(t, start, c.Deadline)
+		options.Deadline = fromStart(t, start, c.Deadline)
 	}
 	var last Result
 	for _, kind := range c.Send {
 		if kind == "chat" {
 			last = caller.Chat(t.Context(), Chat{
-				Model:   "m",
-				Message: "hello",
-				Terms:   terms,
+				Model:       "m",
+				Message:     "hello",
+				CallOptions: options,
 			})
 			continue
 		}
 		last = caller.Service(t.Context(), Service{
-			Service:    "tee",
-			Method:     http.MethodPost,
-			Path:       "/slots/7?x=1",
-			Body:       []byte("confirm"),
-			WithTicket: kind == "ticketed",
-			Terms:      terms,
+			Service:     "tee",
+			Method:      http.MethodPost,
+			Path:        "/slots/7?x=1",
+			Body:        []byte("confirm"),
+			WithTicket:  kind == "ticketed",
+			CallOptions: options,
 		})
 	}
 	assert.Equal(t, exchanged, len(c.Exchanges))
--- a/standin/command_call.go
+++ b/standin/command_call.go
@@ -67,20 +67,20 @@
 		Key:      f.key,
 		MaxTries: f.maxTries,
 	})
-	terms := caller.Terms{
+	options := caller.CallOptions{
 		Priority: f.priority,
 	}
 	if f.within > 0 {
-		terms.Deadline = time.Now().Add(f.within)
+		options.Deadline = time.Now().Add(f.within)
 	}
 	if f.service == "" {
 		return c.Chat(ctx, caller.Chat{
-			Model:     f.model,
-			System:    f.system,
-			Message:   f.message,
-			MaxTokens: f.maxTokens,
-			Stream:    f.stream,
-			Terms:     terms,
+			Model:       f.model,
+			System:      f.system,
+			Message:     f.message,
+			MaxTokens:   f.maxTokens,
+			Stream:      f.stream,
+			CallOptions: options,
 		})
 	}
 	return c.Service(ctx, caller.Service{
@@ -91,6 +91,6 @@
 		Ticket:         f.ticket,
 		WithTicket:     f.withTicket,
 		IdempotencyKey: f.idempotencyKey,
-		Terms:          terms,
+		CallOptions:    options,
 	})
 }
--- a/standin/load/direct.go
+++ b/standin/load/direct.go
@@ -80,7 +80,7 @@
 }
 
 func (d *directSender) newServiceRequest(ctx context.Context, a *Arrival) (*http.Request, error) {
-	s := a.newService(d.targets, caller.Terms{})
+	s := a.newService(d.targets, caller.CallOptions{})
 	req, err := http.NewRequestWithContext(ctx, s.Method, d.nextURL(d.serviceAddrs, s.Path), bytes.NewReader(s.Body))
 	if err != nil {
 		return nil, err
--- a/standin/load/send.go
+++ b/standin/load/send.go
@@ -45,34 +45,34 @@
 
 func (s *regionSender) send(ctx context.Context, a *Arrival, due time.Time) caller.Result {
 	c := s.callers[a.Workspace]
-	terms := caller.Terms{
+	options := caller.CallOptions{
 		Deadline: due.Add(a.Kind.Within),
 		Priority: a.Kind.Priority.String(),
 	}
 	if !a.Kind.Service {
-		return c.Chat(ctx, a.newChat(s.targets, terms))
+		return c.Chat(ctx, a.newChat(s.targets, options))
 	}
-	return c.Service(ctx, a.newService(s.targets, terms))
+	return c.Service(ctx, a.newService(s.targets, options))
 }
 
-func (a *Arrival) newChat(t *Targets, terms caller.Terms) caller.Chat {
+func (a *Arrival) newChat(t *Targets, options caller.CallOptions) caller.Chat {
 	return caller.Chat{
-		Model:     t.Model,
-		System:    a.systemPrompt(),
-		Message:   a.userMessage(),
-		MaxTokens: a.MaxTokens,
-		Stream:    true,
-		Terms:     terms,
+		Model:       t.Model,
+		System:      a.systemPrompt(),
+		Message:     a.userMessage(),
+		MaxTokens:   a.MaxTokens,
+		Stream:      true,
+		CallOptions: options,
 	}
 }
 
-func (a *Arrival) newService(t *Targets, terms caller.Terms) caller.Service {
+func (a *Arrival) newService(t *Targets, options caller.CallOptions) caller.Service {
 	s := caller.Service{
-		Service:    t.Service,
-		Method:     a.Kind.Method,
-		Path:       a.servicePath(),
-		WithTicket: a.Kind.Ticket,
-		Terms:      terms,
+		Service:     t.Service,
+		Method:      a.Kind.Method,
+		Path:        a.servicePath(),
+		WithTicket:  a.Kind.Ticket,
+		CallOptions: options,
 	}
 	if a.Kind.Method != http.MethodGet {
 		s.Body = []byte(`{"operation":"` + a.Marker + `"}`)
