--- a/standin/platform/handler.go
+++ b/standin/platform/handler.go
@@ -197,7 +197,7 @@
 	status := http.StatusServiceUnavailable
 	var tooLarge *http.MaxBytesError
 	switch {
-	case errors.Is(err, ErrRate):
+	case errors.Is(err, ErrRateLimited):
 		w.Header().Set("Retry-After", "1")
 		status = http.StatusTooManyRequests
 	case errors.Is(err, ErrNotFound):
--- a/standin/platform/platform.go
+++ b/standin/platform/platform.go
@@ -21,10 +21,10 @@
 
 // Errors of the API.
 var (
-	ErrOutage   = errors.New("the platform is down")
-	ErrRate     = errors.New("too many reads this second")
-	ErrNotFound = errors.New("no such key")
-	ErrConflict = errors.New("the revision differs from If-Revision")
+	ErrOutage      = errors.New("the platform is down")
+	ErrRateLimited = errors.New("too many reads this second")
+	ErrNotFound    = errors.New("no such key")
+	ErrConflict    = errors.New("the revision differs from If-Revision")
 )
 
 // Platform is a fake platform. It is safe for concurrent use.
@@ -185,7 +185,7 @@
 // admit counts one read. It fails over the read limit and during an outage.
 func (p *Platform) admit(now time.Time) error {
 	if !p.limiter.allow(p.switches.limit(), now) {
-		return ErrRate
+		return ErrRateLimited
 	}
 	if p.switches.Outage {
 		return ErrOutage
--- a/standin/replica/replica.go
+++ b/standin/replica/replica.go
@@ -97,8 +97,8 @@
 type Replica struct {
 	Options
 	Addr string
-	// Born is the start time in Unix milliseconds, which identifies the incarnation.
-	Born int64
+	// StartedAtMillis is the start time in Unix milliseconds, which identifies the incarnation.
+	StartedAtMillis int64
 
 	server    *http.Server
 	crashOnce sync.Once
@@ -119,9 +119,9 @@
 		return nil, err
 	}
 	r := &Replica{
-		Options: o,
-		Addr:    ln.Addr().String(),
-		Born:    time.Now().UnixMilli(),
+		Options:         o,
+		Addr:            ln.Addr().String(),
+		StartedAtMillis: time.Now().UnixMilli(),
 	}
 	r.server = &http.Server{
 		Handler:           http.HandlerFunc(r.serve),
@@ -143,7 +143,7 @@
 	r.entrySeq++
 	return map[string]any{
 		"Seq":        r.entrySeq,
-		"born":       r.Born,
+		"born":       r.StartedAtMillis,
 		"Service":    r.Service,
 		"Addr":       r.Addr,
 		"Zone":       r.Zone,
