--- a/standin/endpoint/chat.go
+++ b/standin/endpoint/chat.go
@@ -29,12 +29,12 @@
 }
 
 func (e *Endpoint) serveChat(w http.ResponseWriter, r *http.Request) {
-	e.faults.Thaw()
+	e.faults.WaitWhileFrozen()
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
 		panic(http.ErrAbortHandler)
 	}
-	e.seen.Add(body)
+	e.bodies.Add(body)
 	f := e.faults.Get()
 	w.Header().Set(fault.HeaderRequestID, r.Header.Get(fault.HeaderRequestID))
 	e.setLoadHeaders(w.Header(), f)
@@ -127,7 +127,7 @@
 }
 
 func (a *response) waitWhileFrozen() {
-	a.endpoint.faults.Thaw()
+	a.endpoint.faults.WaitWhileFrozen()
 }
 
 // contentSource returns the request ID and marker for the next chunk.
--- a/standin/endpoint/endpoint.go
+++ b/standin/endpoint/endpoint.go
@@ -44,9 +44,9 @@
 	options Options
 	engine  *engine
 	reports laggingReports
-	faults  fault.Switch
-	runs    *fault.Runs
-	seen    *fault.Seen
+	faults  fault.Injector
+	runs    *fault.RunCounter
+	bodies  *fault.BodyLog
 }
 
 // New returns an engine without faults.
@@ -65,8 +65,8 @@
 	}
 	e := &Endpoint{
 		options: o,
-		runs:    fault.NewRuns(),
-		seen:    fault.NewSeen(),
+		runs:    fault.NewRunCounter(),
+		bodies:  fault.NewBodyLog(),
 	}
 	e.engine = newEngine(o, &e.faults, e.runs)
 	return e
@@ -89,8 +89,8 @@
 	mux.HandleFunc("POST /v1/chat/completions", e.serveChat)
 	mux.HandleFunc("GET /v1/load", e.serveLoad)
 	mux.HandleFunc("GET /v1/cache_events", e.serveCacheEvents)
-	mux.HandleFunc("PUT /admin/faults", e.faults.Put)
-	mux.HandleFunc("GET /admin/runs", e.runs.Get)
-	mux.HandleFunc("GET /admin/seen", e.seen.Get)
+	mux.HandleFunc("PUT /admin/faults", e.faults.ServePut)
+	mux.HandleFunc("GET /admin/runs", e.runs.ServeReport)
+	mux.HandleFunc("GET /admin/seen", e.bodies.ServeContains)
 	return mux
 }
--- a/standin/endpoint/endpoint_test.go
+++ b/standin/endpoint/endpoint_test.go
@@ -22,7 +22,7 @@
 
 const tokens = 5
 
-type row struct {
+type answerCase struct {
 	Name         string       `json:"name"`
 	ID           string       `json:"id"`
 	Stream       bool         `json:"stream"`
@@ -88,13 +88,13 @@
 // TestAnswers checks the engine against the gateway's client, so that both
 // implement the same protocol.
 func TestAnswers(t *testing.T) {
-	rows := datatest.Read[[]row](t, "testdata/answers.json")
+	rows := datatest.Read[[]answerCase](t, "testdata/answers.json")
 	for _, r := range rows {
 		t.Run(r.Name, r.test)
 	}
 }
 
-func (r row) test(t *testing.T) {
+func (r answerCase) test(t *testing.T) {
 	e, at := start(t, Options{Resumes: !r.NeverResumes})
 	put(t, at, r.Faults)
 	id := r.ID
@@ -114,8 +114,8 @@
 	report := e.runs.Report()
 	assert.Equal(t, report.Runs[id], r.Want.Runs)
 	assert.Equal(t, report.RunsLeaving > 0, r.Want.Leaving)
-	assert.Assert(t, e.seen.Has("M7"))
-	assert.Assert(t, !e.seen.Has("M8"))
+	assert.Assert(t, e.bodies.Contains("M7"))
+	assert.Assert(t, !e.bodies.Contains("M8"))
 }
 
 func put(t *testing.T, at fleet.Endpoint, f fault.Faults) {
@@ -173,8 +173,8 @@
 
 // TestBatch steps the engine manually to check slots, priorities, prefill and cache hits.
 func TestBatch(t *testing.T) {
-	var faults fault.Switch
-	runs := fault.NewRuns()
+	var faults fault.Injector
+	runs := fault.NewRunCounter()
 	e := newEngine(Options{
 		Slots:       1,
 		Step:        time.Millisecond,
--- a/standin/endpoint/engine.go
+++ b/standin/endpoint/engine.go
@@ -42,8 +42,8 @@
 // their jobs from the jobs' atomic counters.
 type engine struct {
 	options Options
-	faults  *fault.Switch
-	runs    *fault.Runs
+	faults  *fault.Injector
+	runs    *fault.RunCounter
 	// submitted wakes the idle loop for a new job.
 	submitted chan struct{}
 
@@ -55,7 +55,7 @@
 	generated int
 }
 
-func newEngine(o Options, faults *fault.Switch, runs *fault.Runs) *engine {
+func newEngine(o Options, faults *fault.Injector, runs *fault.RunCounter) *engine {
 	return &engine{
 		options:   o,
 		faults:    faults,
@@ -86,7 +86,7 @@
 	defer timer.Stop()
 	next := time.Now()
 	for {
-		e.faults.Thaw()
+		e.faults.WaitWhileFrozen()
 		wait := e.scheduleStep()
 		if wait == 0 {
 			select {
@@ -141,8 +141,8 @@
 	j.cachedTokens = min(e.cache.match(j.blocks)*blockTokens, j.promptTokens)
 	j.prefillLeft = j.promptTokens - j.cachedTokens + j.resumedFrom
 	e.cache.insert(j.blocks)
-	e.runs.Begin(j.operation, isLeaving)
-	e.runs.Prompt(j.promptTokens, j.cachedTokens)
+	e.runs.AddRun(j.operation, isLeaving)
+	e.runs.AddPromptTokens(j.promptTokens, j.cachedTokens)
 	if j.prefillLeft == 0 {
 		close(j.ready)
 	}
@@ -174,7 +174,7 @@
 		notify(j.wake)
 	}
 	e.generated += generated
-	e.runs.Generated(generated)
+	e.runs.AddGeneratedTokens(generated)
 }
 
 func (j *job) isFinished() bool {
--- a/standin/endpoint/load.go
+++ b/standin/endpoint/load.go
@@ -79,7 +79,7 @@
 }
 
 func (e *Endpoint) serveLoad(w http.ResponseWriter, r *http.Request) {
-	e.faults.Thaw()
+	e.faults.WaitWhileFrozen()
 	f := e.faults.Get()
 	if f.Silent {
 		<-r.Context().Done()
@@ -104,7 +104,7 @@
 }
 
 func (e *Endpoint) serveCacheEvents(w http.ResponseWriter, r *http.Request) {
-	e.faults.Thaw()
+	e.faults.WaitWhileFrozen()
 	after, err := strconv.ParseUint(r.URL.Query().Get("after"), 10, 64)
 	if err != nil && r.URL.Query().Get("after") != "" {
 		http.Error(w, "after is no number", http.StatusBadRequest)
--- a/standin/endpoint/prompt.go
+++ b/standin/endpoint/prompt.go
@@ -59,9 +59,9 @@
 	}
 	j := &job{
 		id:           header.Get(fault.HeaderRequestID),
-		operation:    fault.Operation(header),
+		operation:    fault.OperationKey(header),
 		marker:       marker,
-		priority:     priorityOf(header),
+		priority:     parsePriority(header),
 		blocks:       hashBlocks(words),
 		promptTokens: len(words),
 		total:        p.maxTokens(),
@@ -69,13 +69,13 @@
 		ready:        make(chan struct{}),
 	}
 	if resumes {
-		j.resumedFrom = min(resumeFrom(header), j.total)
+		j.resumedFrom = min(parseResumeFrom(header), j.total)
 	}
 	j.produced.Store(int64(j.resumedFrom))
 	return j
 }
 
-func priorityOf(header http.Header) call.Priority {
+func parsePriority(header http.Header) call.Priority {
 	n, err := strconv.Atoi(header.Get("X-Priority"))
 	if err != nil || n < 0 || n >= call.Priorities {
 		return call.PriorityChat
@@ -83,7 +83,7 @@
 	return call.Priority(n)
 }
 
-func resumeFrom(header http.Header) int {
+func parseResumeFrom(header http.Header) int {
 	n, err := strconv.Atoi(header.Get("X-Resume-From"))
 	if err != nil {
 		return 0
--- a/standin/fault/fault.go
+++ b/standin/fault/fault.go
@@ -1,5 +1,5 @@
-// Package fault holds what the stand-ins of endpoints share: the faults that a
-// test switches on, the count of runs by operation, and the markers seen.
+// Package fault contains what the fake endpoints share: fault injection, counters
+// of runs by operation, and a log of request bodies.
 package fault
 
 import (
@@ -11,46 +11,46 @@
 	"github.com/fuchsianotch/fuchsianotch/contract"
 )
 
-// Faults are the faults that PUT /admin/faults sets. The zero value has none.
+// Faults are the faults that PUT /admin/faults sets. The zero value injects none.
 type Faults struct {
-	// Slow is added before each chunk, or each piece of a body.
+	// Slow is a delay before each chunk of a stream, or each part of a body.
 	Slow contract.Duration `json:"slow"`
-	// CutAfter breaks the connection after so many chunks; a service after so
-	// many bytes. Below zero it breaks before the head.
+	// CutAfter closes the connection after this number of chunks, or bytes of a
+	// service's body. If negative, the connection closes before the header.
 	CutAfter int `json:"cut_after"`
-	// Cross answers with another request's id and content. Every second
-	// crossed stream begins as its own and crosses over later.
+	// Cross responds with another request's ID and content. Every second stream
+	// starts with its own content and switches later.
 	Cross bool `json:"cross"`
-	// Refuse answers 503 with the mark that nothing ran.
+	// Refuse responds with 503 and a header that states that nothing ran.
 	Refuse bool `json:"refuse"`
-	// RefuseAfterRun runs the request and answers 503 without the mark.
+	// RefuseAfterRun runs the request and responds with 503 without that header.
 	RefuseAfterRun bool `json:"refuse_after_run"`
-	// IgnoreCancel goes on with a request whose connection is closed.
+	// IgnoreCancel continues to process a request after the client disconnects.
 	IgnoreCancel bool `json:"ignore_cancel"`
-	// Leaving marks answers and load reports; requests are still served, so
-	// that a test can count what is sent in spite of it.
+	// Leaving marks responses and load reports as draining. Requests are still
+	// served, so that a test can count those sent regardless.
 	Leaving bool `json:"leaving"`
-	// Freeze stops everything for this long, once, as it is set.
+	// Freeze suspends all processing once, for this duration from when it is set.
 	Freeze contract.Duration `json:"freeze"`
-	// Late holds each answer back before its head.
+	// Late delays the header of each response.
 	Late contract.Duration `json:"late"`
-	// LieLoad reports no load at all.
+	// LieLoad reports an idle engine regardless of the load.
 	LieLoad bool `json:"lie_load"`
-	// Silent takes requests and never answers.
+	// Silent accepts requests and never responds.
 	Silent bool `json:"silent"`
 }
 
-// Switch holds the faults in force. It is safe for concurrent use.
-type Switch struct {
-	mu       sync.Mutex
-	faults   Faults
-	frozenTo time.Time
-	// leavingAt is when Leaving was last switched on.
+// Injector holds the active faults. It is safe for concurrent use.
+type Injector struct {
+	mu          sync.Mutex
+	faults      Faults
+	frozenUntil time.Time
+	// leavingAt is when Leaving was last enabled.
 	leavingAt time.Time
 }
 
-// Set puts faults in force.
-func (s *Switch) Set(f Faults, now time.Time) {
+// Set replaces the active faults.
+func (s *Injector) Set(f Faults, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if f.Leaving && !s.faults.Leaving {
@@ -58,19 +58,19 @@
 	}
 	s.faults = f
 	if f.Freeze.Duration > 0 {
-		s.frozenTo = now.Add(f.Freeze.Duration)
+		s.frozenUntil = now.Add(f.Freeze.Duration)
 	}
 }
 
-// Get returns the faults in force.
-func (s *Switch) Get() Faults {
+// Get returns the active faults.
+func (s *Injector) Get() Faults {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.faults
 }
 
-// LeavingAt is when the stand-in began to leave; zero if it isn't leaving.
-func (s *Switch) LeavingAt() time.Time {
+// LeavingAt returns when draining began, or the zero time if it has not.
+func (s *Injector) LeavingAt() time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !s.faults.Leaving {
@@ -79,11 +79,11 @@
 	return s.leavingAt
 }
 
-// Thaw waits until a freeze is over.
-func (s *Switch) Thaw() {
+// WaitWhileFrozen blocks while a freeze lasts.
+func (s *Injector) WaitWhileFrozen() {
 	for {
 		s.mu.Lock()
-		wait := time.Until(s.frozenTo)
+		wait := time.Until(s.frozenUntil)
 		s.mu.Unlock()
 		if wait <= 0 {
 			return
@@ -92,8 +92,8 @@
 	}
 }
 
-// Put serves PUT /admin/faults. Unknown fields are refused with 400.
-func (s *Switch) Put(w http.ResponseWriter, r *http.Request) {
+// ServePut serves PUT /admin/faults. It rejects unknown fields with 400.
+func (s *Injector) ServePut(w http.ResponseWriter, r *http.Request) {
 	decoder := json.NewDecoder(r.Body)
 	decoder.DisallowUnknownFields()
 	var f Faults
@@ -105,7 +105,7 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// WriteJSON answers with a JSON value.
+// WriteJSON writes a value as a JSON response.
 func WriteJSON[T any](w http.ResponseWriter, value T) {
 	data, err := json.Marshal(value)
 	if err != nil {
--- a/standin/fault/run.go
+++ b/standin/fault/run_counter.go
@@ -7,46 +7,48 @@
 	"time"
 )
 
-// Headers that name an operation and an attempt.
+// Headers that identify an attempt and its operation.
 const (
 	HeaderRequestID = "X-Request-Id"
 	headerOperation = "Idempotency-Key"
 )
 
-// Operation names what a request is to do: its idempotency key, or else its own id.
-func Operation(header http.Header) string {
+// OperationKey returns the key that identifies a request's operation across
+// attempts: the idempotency key or, without one, the request ID.
+func OperationKey(header http.Header) string {
 	if key := header.Get(headerOperation); key != "" {
 		return key
 	}
 	return header.Get(HeaderRequestID)
 }
 
-// Report is the answer to GET /admin/runs.
+// Report is the response to GET /admin/runs.
 type Report struct {
-	// Runs counts by operation; more than one is doubled work.
+	// Runs counts the runs of each operation; more than one is a duplicate.
 	Runs map[string]int `json:"runs"`
-	// FirstRuns are the times at which each operation's first run began.
+	// FirstRuns holds the start time of each operation's first run.
 	FirstRuns map[string]time.Time `json:"first_runs"`
 	Total     int                  `json:"total"`
-	// RunsLeaving counts the runs begun while leaving; LastLeaving is the last one's time.
+	// RunsLeaving counts the runs started while draining; LastLeaving is the start
+	// time of the last.
 	RunsLeaving int       `json:"runs_leaving"`
 	LastLeaving time.Time `json:"last_leaving,omitzero"`
-	// ColdPrefills counts runs whose prompt had nothing in the cache.
+	// ColdPrefills counts runs without any cache hit.
 	ColdPrefills    int `json:"cold_prefills"`
 	PromptTokens    int `json:"prompt_tokens"`
 	CachedTokens    int `json:"cached_tokens"`
 	GeneratedTokens int `json:"generated_tokens"`
 }
 
-// Runs counts what ran. It is safe for concurrent use.
-type Runs struct {
+// RunCounter counts the runs of an endpoint. It is safe for concurrent use.
+type RunCounter struct {
 	mu     sync.Mutex
 	report Report
 }
 
-// NewRuns makes an empty count.
-func NewRuns() *Runs {
-	return &Runs{
+// NewRunCounter returns empty counters.
+func NewRunCounter() *RunCounter {
+	return &RunCounter{
 		report: Report{
 			Runs:      make(map[string]int),
 			FirstRuns: make(map[string]time.Time),
@@ -54,8 +56,8 @@
 	}
 }
 
-// Begin counts one run and gives its number for the operation, from 1.
-func (r *Runs) Begin(operation string, isLeaving bool) int {
+// AddRun counts one run and returns its number within the operation, from 1.
+func (r *RunCounter) AddRun(operation string, isLeaving bool) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.report.Runs[operation] == 0 {
@@ -70,8 +72,8 @@
 	return r.report.Runs[operation]
 }
 
-// Prompt counts a prompt's tokens and those found in the cache.
-func (r *Runs) Prompt(tokens, cached int) {
+// AddPromptTokens counts a prompt's tokens and its cached tokens.
+func (r *RunCounter) AddPromptTokens(tokens, cached int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.report.PromptTokens += tokens
@@ -81,20 +83,20 @@
 	}
 }
 
-// Generated counts generated tokens.
-func (r *Runs) Generated(tokens int) {
+// AddGeneratedTokens counts generated tokens.
+func (r *RunCounter) AddGeneratedTokens(tokens int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.report.GeneratedTokens += tokens
 }
 
-// Get serves GET /admin/runs.
-func (r *Runs) Get(w http.ResponseWriter, _ *http.Request) {
+// ServeReport serves GET /admin/runs.
+func (r *RunCounter) ServeReport(w http.ResponseWriter, _ *http.Request) {
 	WriteJSON(w, r.Report())
 }
 
-// Report copies the counts.
-func (r *Runs) Report() Report {
+// Report returns a copy of the counters.
+func (r *RunCounter) Report() Report {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	report := r.report
--- a/standin/fault/serve.go
+++ b/standin/fault/serve.go
@@ -9,13 +9,13 @@
 	"github.com/fuchsianotch/fuchsianotch/standin/graceful"
 )
 
-const headerWithin = 10 * time.Second
+const readHeaderTimeout = 10 * time.Second
 
-// Serve answers on the listener until ctx ends, and then lets open requests end.
+// Serve serves on the listener until ctx ends, then shuts down gracefully.
 func Serve(ctx context.Context, listener net.Listener, handler http.Handler) error {
 	server := &http.Server{
 		Handler:           handler,
-		ReadHeaderTimeout: headerWithin,
+		ReadHeaderTimeout: readHeaderTimeout,
 	}
 	return graceful.Serve(ctx, listener, server)
 }
--- a/standin/service/load.go
+++ b/standin/service/load.go
@@ -8,27 +8,27 @@
 	"github.com/fuchsianotch/fuchsianotch/standin/fault"
 )
 
-// load is the report of a service: it knows no slots.
-type load struct {
+// loadReport is the load report of a plain service, which has no slots.
+type loadReport struct {
 	At      time.Time `json:"at"`
 	Leaving bool      `json:"leaving"`
 }
 
-func (s *Service) load(w http.ResponseWriter, r *http.Request) {
-	s.faults.Thaw()
+func (s *Service) serveLoad(w http.ResponseWriter, r *http.Request) {
+	s.faults.WaitWhileFrozen()
 	f := s.faults.Get()
 	if f.Silent {
 		<-r.Context().Done()
 		return
 	}
-	fault.WriteJSON(w, load{
+	fault.WriteJSON(w, loadReport{
 		At:      time.Now(),
 		Leaving: f.Leaving,
 	})
 }
 
-// encode returns the answer's JSON; an Answer always has one.
-func encode(answer Answer) []byte {
+// marshalAnswer returns the answer as JSON, which cannot fail for this type.
+func marshalAnswer(answer Answer) []byte {
 	data, err := json.Marshal(answer)
 	if err != nil {
 		panic(err)
--- a/standin/service/service.go
+++ b/standin/service/service.go
@@ -1,5 +1,6 @@
-// Package service is a stand-in for a plain service. It counts each run by
-// operation, so that a test sees doubled work, and takes the faults that fit.
+// Package service is a fake plain service for tests. It counts the runs of each
+// operation, so that tests detect duplicate execution, and supports the faults of
+// package fault that apply to it.
 package service
 
 import (
@@ -14,69 +15,69 @@
 	"github.com/fuchsianotch/fuchsianotch/standin/fault"
 )
 
-// Options set up a Service.
+// Options configure a Service.
 type Options struct {
-	// ID is the endpoint's id, told in answers.
+	// ID is the endpoint's ID, which answers contain.
 	ID string
-	// Work is the time that each call takes.
+	// Work is the processing time of each call.
 	Work time.Duration
 }
 
-// Answer is the body of every answer.
+// Answer is the body of a successful response.
 type Answer struct {
 	Endpoint  string `json:"endpoint"`
 	Request   string `json:"request"`
 	Operation string `json:"operation"`
-	// Run is the number of this run of the operation, from 1.
+	// Run counts the runs of the operation, from 1.
 	Run    int    `json:"run"`
 	Method string `json:"method"`
 	Path   string `json:"path"`
 	Marker string `json:"marker,omitempty"`
 }
 
-// Service is the stand-in. It is safe for concurrent use.
+// Service is a fake plain service. It is safe for concurrent use.
 type Service struct {
 	options Options
-	faults  fault.Switch
-	runs    *fault.Runs
-	seen    *fault.Seen
+	faults  fault.Injector
+	runs    *fault.RunCounter
+	bodies  *fault.BodyLog
 
 	mu   sync.Mutex
 	last Answer
 }
 
-// New makes a service without faults.
+// New returns a service without faults.
 func New(o Options) *Service {
 	return &Service{
 		options: o,
-		runs:    fault.NewRuns(),
-		seen:    fault.NewSeen(),
+		runs:    fault.NewRunCounter(),
+		bodies:  fault.NewBodyLog(),
 	}
 }
 
-// Serve answers on the listener until ctx ends.
+// Serve serves on the listener until ctx ends, then shuts down gracefully.
 func (s *Service) Serve(ctx context.Context, listener net.Listener) error {
 	return fault.Serve(ctx, listener, s.Handler())
 }
 
-// Handler serves the admin paths, and every other path as a call.
+// Handler serves the admin and load paths, and treats every other path as a call.
 func (s *Service) Handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("PUT /admin/faults", s.faults.Put)
-	mux.HandleFunc("GET /admin/runs", s.runs.Get)
-	mux.HandleFunc("GET /admin/seen", s.seen.Get)
-	mux.HandleFunc("GET /v1/load", s.load)
-	mux.HandleFunc("/", s.call)
+	mux.HandleFunc("PUT /admin/faults", s.faults.ServePut)
+	mux.HandleFunc("GET /admin/runs", s.runs.ServeReport)
+	mux.HandleFunc("GET /admin/seen", s.bodies.ServeContains)
+	mux.HandleFunc("GET /v1/load", s.serveLoad)
+	mux.HandleFunc("/", s.serveCall)
 	return mux
 }
 
-func (s *Service) call(w http.ResponseWriter, r *http.Request) {
-	s.faults.Thaw()
+func (s *Service) serveCall(w http.ResponseWriter, r *http.Request) {
+	s.faults.WaitWhileFrozen()
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
 		panic(http.ErrAbortHandler)
 	}
-	s.seen.Add(body)
+	s.bodies.Add(body)
 	f := s.faults.Get()
 	id := r.Header.Get(fault.HeaderRequestID)
 	w.Header().Set(fault.HeaderRequestID, id)
@@ -89,7 +90,7 @@
 		return
 	}
 	answer := s.run(r, body, f)
-	s.faults.Thaw()
+	s.faults.WaitWhileFrozen()
 	if f.Silent {
 		<-r.Context().Done()
 		panic(http.ErrAbortHandler)
@@ -99,18 +100,17 @@
 		return
 	}
 	if f.Cross {
-		answer = s.cross(answer)
+		answer = s.swapAnswer(answer)
 		w.Header().Set(fault.HeaderRequestID, answer.Request)
 	}
 	time.Sleep(f.Late.Duration)
-	s.write(w, r, answer, f)
+	s.writeAnswer(w, r, answer, f)
 }
 
-// run counts the call and works. A call that began runs to its end, also when
-// the caller goes away.
+// run counts and processes the call. It continues if the caller disconnects.
 func (s *Service) run(r *http.Request, body []byte, f fault.Faults) Answer {
-	operation := fault.Operation(r.Header)
-	n := s.runs.Begin(operation, f.Leaving)
+	operation := fault.OperationKey(r.Header)
+	n := s.runs.AddRun(operation, f.Leaving)
 	time.Sleep(s.options.Work)
 	return Answer{
 		Endpoint:  s.options.ID,
@@ -123,8 +123,9 @@
 	}
 }
 
-// cross returns the answer of the call before, and keeps this one for the next.
-func (s *Service) cross(own Answer) Answer {
+// swapAnswer returns the previous call's answer and stores this one for the next
+// call, for the Cross fault.
+func (s *Service) swapAnswer(own Answer) Answer {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	other := s.last
@@ -135,8 +136,8 @@
 	return other
 }
 
-func (s *Service) write(w http.ResponseWriter, r *http.Request, answer Answer, f fault.Faults) {
-	data := encode(answer)
+func (s *Service) writeAnswer(w http.ResponseWriter, r *http.Request, answer Answer, f fault.Faults) {
+	data := marshalAnswer(answer)
 	if f.CutAfter < 0 {
 		panic(http.ErrAbortHandler)
 	}
--- a/standin/service/service_test.go
+++ b/standin/service/service_test.go
@@ -15,7 +15,7 @@
 	"github.com/fuchsianotch/fuchsianotch/fleet"
 )
 
-type row struct {
+type answerCase struct {
 	Name   string          `json:"name"`
 	Faults json.RawMessage `json:"faults"`
 	Want   struct {
@@ -25,16 +25,16 @@
 	} `json:"want"`
 }
 
-// TestAnswers meets the stand-in with the gateway's client, so that both keep
-// to one protocol.
+// TestAnswers checks the service against the gateway's client, so that both
+// implement the same protocol.
 func TestAnswers(t *testing.T) {
-	rows := datatest.Read[[]row](t, "testdata/answers.json")
+	rows := datatest.Read[[]answerCase](t, "testdata/answers.json")
 	for _, r := range rows {
 		t.Run(r.Name, r.test)
 	}
 }
 
-func (r row) test(t *testing.T) {
+func (r answerCase) test(t *testing.T) {
 	s := New(Options{ID: "tee-1"})
 	server := httptest.NewServer(s.Handler())
 	defer server.Close()
@@ -65,7 +65,7 @@
 	assert.Equal(t, report.Runs["op-1"], r.Want.Runs)
 	assert.Equal(t, report.Total, r.Want.Runs)
 	assert.Equal(t, report.RunsLeaving > 0, r.Want.Leaving)
-	assert.Assert(t, s.seen.Has("M7"))
+	assert.Assert(t, s.bodies.Contains("M7"))
 	if r.Want.Code != "done" {
 		return
 	}
