--- a/standin/command_platform.go
+++ b/standin/command_platform.go
@@ -11,9 +11,9 @@
 func platformCommand(app *kingpin.Application) {
 	command := app.Command("platform", "Serve the platform's configuration service and list of VMs.")
 	listen := command.Flag("listen", "Address to listen on.").Default(defaultListen).String()
-	load := command.Flag("load", "Directory of JSON files to publish at start.").ExistingDir()
-	lag := command.Flag("list-lag", "How far the list of VMs lags behind.").Duration()
-	reads := command.Flag("reads-per-second", "Cap of reads over all readers.").Default("2000").Int()
+	load := command.Flag("load", "Directory of JSON files to publish at startup.").ExistingDir()
+	lag := command.Flag("list-lag", "Delay of the list of VMs.").Duration()
+	reads := command.Flag("reads-per-second", "Limit of reads per second over all readers.").Default("2000").Int()
 	command.Action(func(*kingpin.ParseContext) error {
 		p := platform.New(platform.Switches{
 			ListLag:        contract.Duration{Duration: *lag},
