--- a/standin/command_load.go
+++ b/standin/command_load.go
@@ -30,24 +30,24 @@
 	record      string
 }
 
-// loadCommand adds "standin load", which sends a seeded open-loop schedule and
-// prints a table, and with --record writes the record as JSON.
+// loadCommand adds "standin load", which generates open-loop load and prints a
+// table of the results. With --record it also writes them as JSON.
 func loadCommand(app *kingpin.Application) {
 	f := &loadFlags{}
-	command := app.Command("load", "Send calls by an open-loop schedule and record what became of them.")
-	command.Flag("targets", "JSON file of regions with vms and workspaces, endpoints, and operators.").Required().ExistingFileVar(&f.targets)
+	command := app.Command("load", "Generate open-loop load and report the results.")
+	command.Flag("targets", "JSON file with the regions, endpoints and operator addresses.").Required().ExistingFileVar(&f.targets)
 	command.Flag("mix", "Mix of calls: "+strings.Join(load.MixNames(), " or ")+".").Default(load.MixNames()[0]).EnumVar(&f.mix, load.MixNames()...)
 	command.Flag("seed", "Seed of the schedule.").Default("1").Uint64Var(&f.seed)
-	command.Flag("rate", "Mean calls a second over all regions.").Default("50").Float64Var(&f.rate)
+	command.Flag("rate", "Mean number of calls per second over all regions.").Default("50").Float64Var(&f.rate)
 	command.Flag("duration", "Length of the schedule.").Default("20s").DurationVar(&f.duration)
-	command.Flag("warm-up", "Part at the start that is sent and not counted.").Default("2s").DurationVar(&f.warmUp)
-	command.Flag("day", "Length of the compressed day; 0 for no peaks.").Default("0s").DurationVar(&f.day)
-	command.Flag("peak", "Swing of the rate around its mean, from 0 to 1.").Default("0.5").Float64Var(&f.peak)
-	command.Flag("direct", "Send straight to the endpoints, for comparison.").BoolVar(&f.direct)
-	command.Flag("max-tries", "Bound of tries; 0 is the caller's default.").IntVar(&f.maxTries)
-	command.Flag("max-calls", "Bound of the schedule.").Default("200000").IntVar(&f.maxCalls)
-	command.Flag("max-in-flight", "Bound of calls in flight; more are shed and counted.").Default("8192").IntVar(&f.maxInFlight)
-	command.Flag("record", "File for the record as JSON.").StringVar(&f.record)
+	command.Flag("warm-up", "Initial period whose calls are not recorded.").Default("2s").DurationVar(&f.warmUp)
+	command.Flag("day", "Length of a simulated day; 0 keeps the rate constant.").Default("0s").DurationVar(&f.day)
+	command.Flag("peak", "Relative amplitude of the daily cycle, from 0 to 1.").Default("0.5").Float64Var(&f.peak)
+	command.Flag("direct", "Send calls directly to the endpoints, as a baseline.").BoolVar(&f.direct)
+	command.Flag("max-tries", "Maximum number of attempts per call; 0 uses the caller's default.").IntVar(&f.maxTries)
+	command.Flag("max-calls", "Maximum number of calls in the schedule.").Default("200000").IntVar(&f.maxCalls)
+	command.Flag("max-in-flight", "Maximum number of calls in flight; calls over it are shed.").Default("8192").IntVar(&f.maxInFlight)
+	command.Flag("record", "File to write the record to as JSON.").StringVar(&f.record)
 	command.Action(func(*kingpin.ParseContext) error {
 		return f.run(context.Background())
 	})
