--- a/admission/admission.go
+++ b/admission/admission.go
@@ -48,22 +48,22 @@
 // Request is a call that asks for a slot.
 type Request struct {
 	Priority call.Priority
-	// FirstBy is the deadline of the first token and WholeBy that of the whole answer;
+	// FirstTokenDeadline is the deadline of the first token and WholeBy that of the whole answer;
 	// zero means none.
-	FirstBy    time.Time
-	WholeBy    time.Time
-	PrefixHash uint64
-	Prefixes   []routing.Prefix
+	FirstTokenDeadline time.Time
+	Deadline           time.Time
+	PrefixHash         uint64
+	Prefixes           []routing.Prefix
 	// Homes are the regions that may store the prompt; none means all.
 	Homes        []string
 	PromptTokens int
 	MaxTokens    int
-	// Turn is the rank in an endpoint's queue; 0 is served first.
-	Turn int
+	// QueueLevel is the rank in an endpoint's queue; 0 is served first.
+	QueueLevel int
 	// Exclude lists the ids of endpoints that were already tried.
 	Exclude [2]string
-	// Again allows an excluded endpoint if no other accepts calls.
-	Again bool
+	// AllowExcluded allows an excluded endpoint if no other accepts calls.
+	AllowExcluded bool
 	// Tentative is passed on to routing.Request.
 	Tentative bool
 }
@@ -140,7 +140,7 @@
 		return a.slot, a.refusal
 	case <-ctx.Done():
 		q.cancel(id, answers)
-		return Slot{}, result.Refuse(result.DeadlinePassed, "the caller stopped waiting").Because(ctx.Err())
+		return Slot{}, result.Refuse(result.DeadlinePassed, "the caller stopped waiting").WithCause(ctx.Err())
 	}
 }
 
@@ -149,8 +149,8 @@
 	choice, ok := q.pool.Choose(r.routingRequest(), now)
 	if !ok {
 		return Slot{}, newRefusal(Action{
-			Code:       result.NoEndpoint,
-			ComeBackAt: now.Add(noEndpointRetryDelay),
+			Code:    result.NoEndpoint,
+			RetryAt: now.Add(noEndpointRetryDelay),
 		})
 	}
 	return Slot{
@@ -212,8 +212,8 @@
 	}, now)
 }
 
-// Poke reevaluates the waiting calls after the pool's endpoints changed.
-func (q *Queue) Poke(now time.Time) {
+// Reevaluate reevaluates the waiting calls after the pool's endpoints changed.
+func (q *Queue) Reevaluate(now time.Time) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.process(Message{Kind: MessageTick}, now)
@@ -228,7 +228,7 @@
 
 // process passes a message to the state and executes the resulting actions.
 func (q *Queue) process(m Message, now time.Time) {
-	m.Supply = q.pool.Supply(now)
+	m.Supply = q.pool.Capacity(now)
 	var unassigned []uint64
 	for _, a := range q.state.Step(m, now) {
 		w, ok := q.waiters[a.ID]
@@ -257,8 +257,8 @@
 	choice, ok := q.pool.Choose(w.request.routingRequest(), now)
 	if !ok {
 		w.answer(answer{refusal: newRefusal(Action{
-			Code:       result.NoEndpoint,
-			ComeBackAt: now.Add(noEndpointRetryDelay),
+			Code:    result.NoEndpoint,
+			RetryAt: now.Add(noEndpointRetryDelay),
 		})})
 		return false
 	}
@@ -287,16 +287,16 @@
 
 func (r Request) routingRequest() routing.Request {
 	return routing.Request{
-		PrefixHash:   r.PrefixHash,
-		Prefixes:     r.Prefixes,
-		Homes:        r.Homes,
-		PromptTokens: r.PromptTokens,
-		MaxTokens:    r.MaxTokens,
-		Priority:     r.Priority,
-		Turn:         r.Turn,
-		Exclude:      r.Exclude,
-		Again:        r.Again,
-		Tentative:    r.Tentative,
+		PrefixHash:    r.PrefixHash,
+		Prefixes:      r.Prefixes,
+		Homes:         r.Homes,
+		PromptTokens:  r.PromptTokens,
+		MaxTokens:     r.MaxTokens,
+		Priority:      r.Priority,
+		QueueLevel:    r.QueueLevel,
+		Exclude:       r.Exclude,
+		AllowExcluded: r.AllowExcluded,
+		Tentative:     r.Tentative,
 	}
 }
 
@@ -308,5 +308,5 @@
 }
 
 func newRefusal(a Action) *result.Refusal {
-	return result.Refuse(a.Code, "%s", refusalTexts[a.Code]).Until(a.ComeBackAt)
+	return result.Refuse(a.Code, "%s", refusalTexts[a.Code]).WithRetryAt(a.RetryAt)
 }
--- a/admission/admission_test.go
+++ b/admission/admission_test.go
@@ -68,14 +68,14 @@
 		go func() {
 			_, refusal := q.Admit(t.Context(), Request{
 				Priority: call.PriorityReport,
-				WholeBy:  begin.Add(4 * time.Second),
+				Deadline: begin.Add(4 * time.Second),
 			}, time.Now())
 			refused <- refusal
 		}()
 		refusal := <-refused
 		assert.Equal(t, refusal.Code, result.DeadlineUnmeetable)
 		assert.Assert(t, time.Now().Before(begin.Add(4*time.Second)))
-		assert.Assert(t, refusal.ComeBackAt.After(time.Now()))
+		assert.Assert(t, refusal.RetryAt.After(time.Now()))
 		time.Sleep(time.Until(begin.Add(5 * time.Second)))
 		q.Release(held, routing.Outcome{
 			Code: result.Done,
@@ -89,7 +89,7 @@
 	q := New(Options{}, routing.New(routing.Options{}))
 	_, refusal := q.Admit(t.Context(), Request{Priority: call.PriorityUrgent}, time.Now())
 	assert.Equal(t, refusal.Code, result.NoEndpoint)
-	assert.Assert(t, refusal.ComeBackAt.After(time.Now()))
+	assert.Assert(t, refusal.RetryAt.After(time.Now()))
 }
 
 func TestAdmitSkipsExcludedEndpoint(t *testing.T) {
--- a/admission/decision_test.go
+++ b/admission/decision_test.go
@@ -166,25 +166,25 @@
 	measured := (runDuration - warmUp).Seconds()
 	share := func(p call.Priority) float64 { return 100 * s.inTime[p] / max(s.arrived[p], 1) }
 	return map[string]float64{
-		"urgent_p99_ms": s.firstTokenLatency[call.PriorityUrgent].Milliseconds(99),
-		"chat_p99_ms":   s.firstTokenLatency[call.PriorityChat].Milliseconds(99),
+		"urgent_p99_ms": s.firstTokenLatency[call.PriorityUrgent].PercentileMS(99),
+		"chat_p99_ms":   s.firstTokenLatency[call.PriorityChat].PercentileMS(99),
 		"urgent_pct":    share(call.PriorityUrgent), "urgent_late": 100 * s.late[0] / max(s.arrived[0], 1), "chat_late": 100 * s.late[1] / max(s.arrived[1], 1),
 		"chat_pct":       share(call.PriorityChat),
 		"report_pct":     share(call.PriorityReport),
 		"late_pct":       100 * (s.late[0] + s.late[1] + s.late[2]) / (s.arrived[0] + s.arrived[1] + s.arrived[2]),
 		"goodput":        s.usefulSlotSeconds / measured / (engineCount * engineSlots),
-		"refusal_p99_ms": s.refusalLatency.Milliseconds(99),
+		"refusal_p99_ms": s.refusalLatency.PercentileMS(99),
 	}
 }
 
 func (s *simulation) start() {
 	for i := range engineCount {
 		s.engines = append(s.engines, &enginetest.Engine{
-			Clock:    s.clock,
-			Slots:    engineSlots,
-			Speed:    100,
-			Prefill:  8000,
-			Prefixes: 40,
+			Clock:       s.clock,
+			Slots:       engineSlots,
+			DecodeRate:  100,
+			PrefillRate: 8000,
+			CacheSize:   40,
 		})
 		s.endpoints = append(s.endpoints, fleet.Endpoint{
 			ID:    fmt.Sprintf("endpoint-%d", i),
@@ -214,7 +214,7 @@
 	s.clock.After(loadReportDelay, func() {
 		for vm, p := range s.pools {
 			p.Report(s.endpoints[i].ID, l, s.clock.Now())
-			s.queues[vm].Poke(s.clock.Now())
+			s.queues[vm].Reevaluate(s.clock.Now())
 		}
 	})
 }
@@ -231,13 +231,13 @@
 	now := s.clock.Now()
 	request := Request{
 		Priority:     p,
-		WholeBy:      now.Add(c.completeWithin),
+		Deadline:     now.Add(c.completeWithin),
 		PrefixHash:   prefix * 0x9e3779b97f4a7c15,
 		PromptTokens: c.promptTokens,
 		MaxTokens:    c.maxTokens,
 	}
 	if c.firstTokenWithin > 0 {
-		request.FirstBy = now.Add(c.firstTokenWithin)
+		request.FirstTokenDeadline = now.Add(c.firstTokenWithin)
 	}
 	if now.After(s.measureFrom) {
 		s.arrived[p]++
@@ -270,13 +270,13 @@
 		PromptTokens: request.PromptTokens,
 		Tokens:       tokens,
 		Priority:     p,
-		First: func() {
+		OnFirstToken: func() {
 			firstAt = s.clock.Now()
 			if arrivedAt.After(s.measureFrom) {
 				s.firstTokenLatency[p].Add(firstAt.Sub(arrivedAt))
 			}
 		},
-		End: func(u call.Usage) {
+		OnEnd: func(u call.Usage) {
 			now := s.clock.Now()
 			s.recordResult(request, firstAt, now, arrivedAt, tokens)
 			o := routing.Outcome{
@@ -299,7 +299,7 @@
 		return
 	}
 	p := request.Priority
-	if endAt.After(request.WholeBy) || (!request.FirstBy.IsZero() && firstAt.After(request.FirstBy)) {
+	if endAt.After(request.Deadline) || (!request.FirstTokenDeadline.IsZero() && firstAt.After(request.FirstTokenDeadline)) {
 		s.late[p]++
 		return
 	}
--- a/admission/forecast.go
+++ b/admission/forecast.go
@@ -97,21 +97,21 @@
 
 // latestStart returns the latest time at which the call can start and still meet its
 // deadlines.
-func latestStart(r Request, supply routing.Supply) time.Time {
-	prefill := supply.First + timeAtRate(float64(r.PromptTokens)*supply.ColdShare, supply.PrefillPerSecond)
-	decode := timeAtRate(float64(r.MaxTokens)*supply.AnswerShare, supply.TokensPerSecond)
+func latestStart(r Request, supply routing.Capacity) time.Time {
+	prefill := supply.BaseTTFT + timeAtRate(float64(r.PromptTokens)*supply.UncachedFraction, supply.PrefillRate)
+	decode := timeAtRate(float64(r.MaxTokens)*supply.AnswerFraction, supply.DecodeRate)
 	latest := noDeadline
-	if !r.FirstBy.IsZero() && r.FirstBy.Add(-prefill).Before(latest) {
-		latest = r.FirstBy.Add(-prefill)
+	if !r.FirstTokenDeadline.IsZero() && r.FirstTokenDeadline.Add(-prefill).Before(latest) {
+		latest = r.FirstTokenDeadline.Add(-prefill)
 	}
-	if !r.WholeBy.IsZero() && r.WholeBy.Add(-prefill-decode).Before(latest) {
-		latest = r.WholeBy.Add(-prefill - decode)
+	if !r.Deadline.IsZero() && r.Deadline.Add(-prefill-decode).Before(latest) {
+		latest = r.Deadline.Add(-prefill - decode)
 	}
 	return latest
 }
 
 // mayStart reports whether a call of the priority may take a free slot.
-func (s *State) mayStart(p call.Priority, supply routing.Supply, now time.Time) bool {
+func (s *State) mayStart(p call.Priority, supply routing.Capacity, now time.Time) bool {
 	if p == call.PriorityUrgent {
 		return supply.Free >= 1
 	}
@@ -123,14 +123,14 @@
 }
 
 // urgentReserve is the number of slots kept free for urgent calls.
-func (s *State) urgentReserve(supply routing.Supply, now time.Time) float64 {
+func (s *State) urgentReserve(supply routing.Capacity, now time.Time) float64 {
 	busy := s.demand.busySlots(call.PriorityUrgent, now)
 	return min(math.Ceil(busy), math.Floor(supply.Slots/8))
 }
 
 // maxReportSlots is the number of slots that reports of this VM may hold.
-func (s *State) maxReportSlots(supply routing.Supply, now time.Time) float64 {
-	usableSlots := float64(supply.Own) + supply.Free
+func (s *State) maxReportSlots(supply routing.Capacity, now time.Time) float64 {
+	usableSlots := float64(supply.OwnInFlight) + supply.Free
 	share := usableSlots * s.reportShare
 	if s.policy == PolicyPriority {
 		return max(share, 1)
@@ -153,7 +153,7 @@
 }
 
 // expectedWait is the expected wait behind the given number of calls.
-func (s *State) expectedWait(ahead int, p call.Priority, supply routing.Supply, now time.Time) time.Duration {
+func (s *State) expectedWait(ahead int, p call.Priority, supply routing.Capacity, now time.Time) time.Duration {
 	rate := s.drainRate(p, supply, now)
 	return timeAtRate(float64(ahead+1), rate)
 }
@@ -161,12 +161,12 @@
 // drainRate is the number of waiting calls up to the priority that start per second:
 // the completion rate less the arrivals of higher priorities. Reports are further
 // limited to the slots that they may hold.
-func (s *State) drainRate(p call.Priority, supply routing.Supply, now time.Time) float64 {
+func (s *State) drainRate(p call.Priority, supply routing.Capacity, now time.Time) float64 {
 	completions := 0.0
 	for q, n := range s.inFlight {
-		completions += float64(n) / s.demand.slotSecondsOr(call.Priority(q), supply.Hold)
+		completions += float64(n) / s.demand.slotSecondsOr(call.Priority(q), supply.SlotTime)
 	}
-	completions = max(completions, 1/max(supply.Hold.Seconds(), minSlotSeconds))
+	completions = max(completions, 1/max(supply.SlotTime.Seconds(), minSlotSeconds))
 	rate := completions
 	if s.policy == PolicyFIFO {
 		return rate
@@ -175,7 +175,7 @@
 		rate -= s.demand.arrivalsPerSecond(q, now)
 	}
 	if p == call.PriorityReport {
-		rate = min(rate, s.maxReportSlots(supply, now)/s.demand.slotSecondsOr(p, supply.Hold))
+		rate = min(rate, s.maxReportSlots(supply, now)/s.demand.slotSecondsOr(p, supply.SlotTime))
 	}
 	return max(rate, minDrainShare*completions)
 }
@@ -184,7 +184,7 @@
 // spaced at the rate that new arrivals leave free, so that they do not add to the
 // overload together. A call that would have too little time left gets its deadline or
 // later, and no retry is scheduled for it.
-func (s *State) scheduleRetry(e queuedCall, retryAt time.Time, supply routing.Supply, now time.Time) time.Time {
+func (s *State) scheduleRetry(e queuedCall, retryAt time.Time, supply routing.Capacity, now time.Time) time.Time {
 	p := e.request.Priority
 	drain := s.drainRate(p, supply, now)
 	retryRate := max(drain-s.demand.arrivalsPerSecond(p, now), minRetryDrainShare*drain)
@@ -192,18 +192,18 @@
 		retryAt = next
 	}
 	r := e.request
-	r.FirstBy = time.Time{}
+	r.FirstTokenDeadline = time.Time{}
 	lastStart := latestStart(r, supply)
 	minTimeLeft := min(e.latestStart.Sub(e.arrivedAt), lastStart.Sub(e.arrivedAt)/2)
 	if retryAt.Add(minTimeLeft).After(lastStart) {
-		return moment.Later(retryAt, r.WholeBy)
+		return moment.Later(retryAt, r.Deadline)
 	}
 	s.lastRetryAt[p] = retryAt
 	return retryAt
 }
 
 // refuseNewIfLate refuses an arriving call that is expected to start too late.
-func (s *State) refuseNewIfLate(id uint64, p call.Priority, supply routing.Supply, now time.Time) {
+func (s *State) refuseNewIfLate(id uint64, p call.Priority, supply routing.Capacity, now time.Time) {
 	queue := &s.waiting[p]
 	index := queue.index(id)
 	if index < 0 {
@@ -216,7 +216,7 @@
 }
 
 // refuseQueuedIfLate refuses the waiting calls that are now expected to start too late.
-func (s *State) refuseQueuedIfLate(supply routing.Supply, now time.Time) {
+func (s *State) refuseQueuedIfLate(supply routing.Capacity, now time.Time) {
 	ahead := 0
 	for p := range s.waiting {
 		queue := &s.waiting[p]
@@ -233,7 +233,7 @@
 
 // startsTooLate reports whether a call behind so many others is expected to start too
 // late.
-func (s *State) startsTooLate(e queuedCall, ahead int, margin float64, supply routing.Supply, now time.Time) bool {
+func (s *State) startsTooLate(e queuedCall, ahead int, margin float64, supply routing.Capacity, now time.Time) bool {
 	if e.request.Priority == call.PriorityReport {
 		margin = reportMargin
 	}
--- a/admission/state.go
+++ b/admission/state.go
@@ -29,7 +29,7 @@
 	// Unsent is set on MessageDone if the call never reached its endpoint.
 	Unsent bool
 	// Supply is the current capacity of the endpoints.
-	Supply routing.Supply
+	Supply routing.Capacity
 }
 
 // ActionKind is the type of an action.
@@ -46,8 +46,8 @@
 	Kind ActionKind
 	ID   uint64
 	// Code and ComeBackAt are set on ActionRefuse.
-	Code       result.Code
-	ComeBackAt time.Time
+	Code    result.Code
+	RetryAt time.Time
 }
 
 const (
@@ -166,7 +166,7 @@
 
 // refuseExpired refuses the calls that could not meet their deadline even if they
 // started now.
-func (s *State) refuseExpired(supply routing.Supply, now time.Time) {
+func (s *State) refuseExpired(supply routing.Capacity, now time.Time) {
 	for p := range s.waiting {
 		queue := &s.waiting[p]
 		for len(queue.calls) > 0 {
@@ -181,9 +181,9 @@
 }
 
 // refuseLate refuses a call that cannot meet its deadline.
-func (s *State) refuseLate(e queuedCall, supply routing.Supply, now time.Time) {
+func (s *State) refuseLate(e queuedCall, supply routing.Capacity, now time.Time) {
 	code := result.DeadlineUnmeetable
-	if isPast(e.request.FirstBy, now) || isPast(e.request.WholeBy, now) {
+	if isPast(e.request.FirstTokenDeadline, now) || isPast(e.request.Deadline, now) {
 		code = result.DeadlinePassed
 	}
 	s.refuse(e.id, code, s.retryTime(e, supply, now))
@@ -191,18 +191,18 @@
 
 // retryTime returns when a call with as much time as e had on arrival could be
 // admitted; zero if never.
-func (s *State) retryTime(e queuedCall, supply routing.Supply, now time.Time) time.Time {
+func (s *State) retryTime(e queuedCall, supply routing.Capacity, now time.Time) time.Time {
 	timeToStart := e.latestStart.Sub(e.arrivedAt)
 	if timeToStart <= 0 {
 		return time.Time{}
 	}
 	wait := s.expectedWait(s.callsAhead(e.request.Priority), e.request.Priority, supply, now)
-	retryAt := now.Add(max(wait-timeToStart, supply.Hold/time.Duration(max(supply.Slots, 1))))
+	retryAt := now.Add(max(wait-timeToStart, supply.SlotTime/time.Duration(max(supply.Slots, 1))))
 	return s.scheduleRetry(e, retryAt, supply, now)
 }
 
 // startCalls assigns free slots to waiting calls.
-func (s *State) startCalls(supply *routing.Supply, now time.Time) {
+func (s *State) startCalls(supply *routing.Capacity, now time.Time) {
 	if supply.Endpoints == 0 {
 		s.startProbe(*supply, now)
 		return
@@ -214,14 +214,14 @@
 		}
 		s.startCall(s.waiting[p].removeAt(0), now)
 		supply.Free--
-		supply.Own++
+		supply.OwnInFlight++
 	}
 }
 
 // startProbe lets one call test an endpoint whose backoff has ended and refuses the
 // others.
-func (s *State) startProbe(supply routing.Supply, now time.Time) {
-	retryAt := supply.RetryAt
+func (s *State) startProbe(supply routing.Capacity, now time.Time) {
+	retryAt := supply.NextProbeAt
 	if !retryAt.IsZero() && !retryAt.After(now) {
 		for p := range s.waiting {
 			if len(s.waiting[p].calls) > 0 {
@@ -241,7 +241,7 @@
 }
 
 // nextPriority returns the priority whose first call starts next, if any may start now.
-func (s *State) nextPriority(supply routing.Supply, now time.Time) (call.Priority, bool) {
+func (s *State) nextPriority(supply routing.Capacity, now time.Time) (call.Priority, bool) {
 	if s.policy == PolicyFIFO {
 		return s.oldestPriority(supply)
 	}
@@ -255,7 +255,7 @@
 }
 
 // oldestPriority returns the priority of the call that has waited longest.
-func (s *State) oldestPriority(supply routing.Supply) (call.Priority, bool) {
+func (s *State) oldestPriority(supply routing.Capacity) (call.Priority, bool) {
 	found := false
 	var first call.Priority
 	for p := range s.waiting {
@@ -285,16 +285,16 @@
 
 func (s *State) refuse(id uint64, code result.Code, comeBackAt time.Time) {
 	s.actions = append(s.actions, Action{
-		Kind:       ActionRefuse,
-		ID:         id,
-		Code:       code,
-		ComeBackAt: comeBackAt,
+		Kind:    ActionRefuse,
+		ID:      id,
+		Code:    code,
+		RetryAt: comeBackAt,
 	})
 }
 
 // enforceLength refuses the last calls of the lowest priorities while the queue is too
 // long.
-func (s *State) enforceLength(supply routing.Supply, now time.Time) {
+func (s *State) enforceLength(supply routing.Capacity, now time.Time) {
 	excess := -s.length
 	for p := range s.waiting {
 		excess += len(s.waiting[p].calls)
--- a/admission/state_test.go
+++ b/admission/state_test.go
@@ -86,10 +86,10 @@
 	}
 	m.Supply.Endpoints += st.Endpoints
 	if st.Own > 0 {
-		m.Supply.Own = st.Own
+		m.Supply.OwnInFlight = st.Own
 	}
 	if st.Retry != "" {
-		m.Supply.RetryAt = timeAfter(t, now, st.Retry)
+		m.Supply.NextProbeAt = timeAfter(t, now, st.Retry)
 	}
 	switch {
 	case st.Arrive != 0:
@@ -98,10 +98,10 @@
 		m.Request.Priority, _ = call.ParsePriority(st.Priority)
 		m.Request.MaxTokens = st.Max
 		if st.First != "" {
-			m.Request.FirstBy = timeAfter(t, now, st.First)
+			m.Request.FirstTokenDeadline = timeAfter(t, now, st.First)
 		}
 		if st.Whole != "" {
-			m.Request.WholeBy = timeAfter(t, now, st.Whole)
+			m.Request.Deadline = timeAfter(t, now, st.Whole)
 		}
 	case st.Cancel != 0:
 		m.Kind = MessageCancel
@@ -113,17 +113,17 @@
 	return m
 }
 
-func supplyWithFree(free float64) routing.Supply {
-	return routing.Supply{
-		Endpoints:        1,
-		Slots:            4,
-		Free:             free,
-		Own:              int(4 - free),
-		Hold:             time.Second,
-		First:            20 * time.Millisecond,
-		TokensPerSecond:  50,
-		PrefillPerSecond: 4000,
-		AnswerShare:      0.5,
+func supplyWithFree(free float64) routing.Capacity {
+	return routing.Capacity{
+		Endpoints:      1,
+		Slots:          4,
+		Free:           free,
+		OwnInFlight:    int(4 - free),
+		SlotTime:       time.Second,
+		BaseTTFT:       20 * time.Millisecond,
+		DecodeRate:     50,
+		PrefillRate:    4000,
+		AnswerFraction: 0.5,
 	}
 }
 
@@ -141,8 +141,8 @@
 		return fmt.Sprintf("start %d", a.ID)
 	}
 	back := "never"
-	if !a.ComeBackAt.IsZero() {
-		back = a.ComeBackAt.Sub(now).Round(time.Millisecond).String()
+	if !a.RetryAt.IsZero() {
+		back = a.RetryAt.Sub(now).Round(time.Millisecond).String()
 	}
 	return fmt.Sprintf("refuse %d %d %s", a.ID, a.Code, back)
 }
@@ -195,9 +195,9 @@
 					Kind: MessageArrive,
 					ID:   lastID,
 					Request: Request{
-						Priority:  call.Priority(rapid.IntRange(0, 2).Draw(t, "priority")),
-						FirstBy:   now.Add(time.Duration(rapid.IntRange(-10, 5000).Draw(t, "first")) * time.Millisecond),
-						MaxTokens: rapid.IntRange(0, 500).Draw(t, "max"),
+						Priority:           call.Priority(rapid.IntRange(0, 2).Draw(t, "priority")),
+						FirstTokenDeadline: now.Add(time.Duration(rapid.IntRange(-10, 5000).Draw(t, "first")) * time.Millisecond),
+						MaxTokens:          rapid.IntRange(0, 500).Draw(t, "max"),
 					},
 				})
 			},
--- a/borrow/borrow.go
+++ b/borrow/borrow.go
@@ -28,10 +28,10 @@
 	TokensPerSecond float64
 	// Wait is the expected queueing time at the offering VM.
 	Wait time.Duration
-	// Until is when the offer expires.
-	Until time.Time
-	// OneWay is the network delay to the region, filled in by the receiver of the offer.
-	OneWay time.Duration
+	// ExpiresAt is when the offer expires.
+	ExpiresAt time.Time
+	// NetworkDelay is the network delay to the region, filled in by the receiver of the offer.
+	NetworkDelay time.Duration
 	// PrefillPerSecond is the prefill rate for an uncached prompt; zero means unknown.
 	PrefillPerSecond float64
 }
@@ -48,21 +48,21 @@
 	Allowed bool
 	// LocalWait is the expected time in the local queue. First is the expected time from
 	// there to the first token, and Service to the end of the answer.
-	LocalWait time.Duration
-	First     time.Duration
-	Service   time.Duration
+	LocalWait       time.Duration
+	UntilFirstToken time.Duration
+	Service         time.Duration
 	// Unavailable is set if the local region has no endpoint for the target.
 	Unavailable bool
-	// FirstBy and WholeBy are the deadlines for the first token and for the whole answer;
+	// FirstTokenDeadline and WholeBy are the deadlines for the first token and for the whole answer;
 	// zero means none.
-	FirstBy      time.Time
-	WholeBy      time.Time
-	PromptTokens int
-	MaxTokens    int
-	// Damper limits the rate of calls to other regions; nil means no limit.
-	Damper *Damper
-	// Draw is a random number that spreads calls over equivalent offers.
-	Draw uint64
+	FirstTokenDeadline time.Time
+	Deadline           time.Time
+	PromptTokens       int
+	MaxTokens          int
+	// RateLimiter limits the rate of calls to other regions; nil means no limit.
+	RateLimiter *RateLimiter
+	// Random is a random number that spreads calls over equivalent offers.
+	Random uint64
 }
 
 // Decide returns the offer to send the call to. It returns false if the call stays in its
@@ -79,7 +79,7 @@
 	if !ok || !r.rateLimited() {
 		return best, ok
 	}
-	return best, r.Damper.Allow(best, r.tokens(), now)
+	return best, r.RateLimiter.Allow(best, r.tokens(), now)
 }
 
 // bestOffer returns the offer with the earliest first token among those that meet the
@@ -88,11 +88,11 @@
 	var best Offer
 	found := false
 	for i := range offers {
-		o := offers[(i+int(r.Draw%uint64(len(offers))))%len(offers)]
+		o := offers[(i+int(r.Random%uint64(len(offers))))%len(offers)]
 		if !r.eligible(o, now) || (found && o.delay(r) >= best.delay(r)) {
 			continue
 		}
-		if r.rateLimited() && !r.Damper.HasCapacity(o, now) {
+		if r.rateLimited() && !r.RateLimiter.HasCapacity(o, now) {
 			continue
 		}
 		best = o
@@ -103,7 +103,7 @@
 
 // rateLimited reports whether the Damper applies to the call.
 func (r Request) rateLimited() bool {
-	return r.Policy != PolicyAlways && r.Damper != nil
+	return r.Policy != PolicyAlways && r.RateLimiter != nil
 }
 
 // eligible reports whether the offer can serve the call.
@@ -113,7 +113,7 @@
 		return false
 	case r.Policy == PolicyAlways:
 		return true
-	case !o.Until.After(now), o.TokensPerSecond <= 0:
+	case !o.ExpiresAt.After(now), o.TokensPerSecond <= 0:
 		return false
 	default:
 		return r.meetsDeadlines(now.Add(o.delay(r)))
@@ -129,15 +129,15 @@
 		rate = defaultPrefillPerSecond
 	}
 	prefill := time.Duration(float64(r.PromptTokens) / rate * float64(time.Second))
-	return 2*o.OneWay + o.Wait + prefill
+	return 2*o.NetworkDelay + o.Wait + prefill
 }
 
 // meetsDeadlines reports whether a call that starts at the given time meets its deadlines.
 func (r Request) meetsDeadlines(start time.Time) bool {
-	if !r.FirstBy.IsZero() && start.Add(r.First).After(r.FirstBy) {
+	if !r.FirstTokenDeadline.IsZero() && start.Add(r.UntilFirstToken).After(r.FirstTokenDeadline) {
 		return false
 	}
-	return r.WholeBy.IsZero() || !start.Add(r.Service).After(r.WholeBy)
+	return r.Deadline.IsZero() || !start.Add(r.Service).After(r.Deadline)
 }
 
 func (r Request) tokens() float64 {
--- a/borrow/borrow_test.go
+++ b/borrow/borrow_test.go
@@ -52,24 +52,24 @@
 					VM:              region,
 					Target:          target,
 					TokensPerSecond: rate,
-					Until:           start.Add(4 * time.Second),
-					OneWay:          duration(t, c.Way),
+					ExpiresAt:       start.Add(4 * time.Second),
+					NetworkDelay:    duration(t, c.Way),
 				})
 			}
 			now := start.Add(duration(t, c.At))
 			got, ok := borrow.Decide(borrow.Request{
-				Policy:       c.Policy,
-				Target:       cmp.Or(c.Target, target),
-				Regions:      c.Regions,
-				Allowed:      !c.Forbidden,
-				LocalWait:    duration(t, c.Wait),
-				First:        100 * time.Millisecond,
-				Service:      duration(t, cmp.Or(c.Service, "2s")),
-				Unavailable:  c.Unavailable,
-				FirstBy:      now.Add(firstTokenTimeout),
-				WholeBy:      now.Add(answerTimeout),
-				PromptTokens: c.Prompt,
-				Damper:       borrow.NewDamper(1),
+				Policy:             c.Policy,
+				Target:             cmp.Or(c.Target, target),
+				Regions:            c.Regions,
+				Allowed:            !c.Forbidden,
+				LocalWait:          duration(t, c.Wait),
+				UntilFirstToken:    100 * time.Millisecond,
+				Service:            duration(t, cmp.Or(c.Service, "2s")),
+				Unavailable:        c.Unavailable,
+				FirstTokenDeadline: now.Add(firstTokenTimeout),
+				Deadline:           now.Add(answerTimeout),
+				PromptTokens:       c.Prompt,
+				RateLimiter:        borrow.NewRateLimiter(1),
 			}, offers, now)
 			assert.Equal(t, got.Region, c.Want)
 			assert.Equal(t, ok, c.Want != "")
@@ -89,7 +89,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		const rate, size = 1000.0, 300.0
 		asking := rapid.IntRange(1, 8).Draw(t, "asking")
-		d := borrow.NewDamper(asking)
+		d := borrow.NewRateLimiter(asking)
 		o := borrow.Offer{
 			VM:              "v",
 			Target:          target,
@@ -127,7 +127,7 @@
 		const size = 100.0
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 300).Draw(t, "ms")) * time.Millisecond)
-			s := borrow.State{
+			s := borrow.RegionCapacity{
 				Slots:           32,
 				Free:            rapid.Float64Range(0, 32).Draw(t, "free"),
 				TokensPerSecond: 50,
@@ -136,7 +136,7 @@
 				VMs:             2,
 				Until:           now.Add(time.Second),
 			}
-			ok := g.Accept(s, size, now)
+			ok := g.Admit(s, size, now)
 			assert.Assert(t, !ok || (s.Waiting == 0 && s.Free >= 2))
 			if ok {
 				taken += size
--- a/borrow/damper.go
+++ b/borrow/damper.go
@@ -17,9 +17,9 @@
 	burstSeconds = 1.0
 )
 
-// Damper limits the rate of tokens sent to each offering VM, with additive increase and
+// RateLimiter limits the rate of tokens sent to each offering VM, with additive increase and
 // multiplicative decrease. It is safe for concurrent use.
-type Damper struct {
+type RateLimiter struct {
 	mu        sync.Mutex
 	borrowers int
 	buckets   map[bucketKey]*bucket
@@ -38,23 +38,23 @@
 	refilledAt time.Time
 }
 
-// NewDamper returns a Damper for offers shared by the given number of VMs.
-func NewDamper(borrowers int) *Damper {
-	return &Damper{
+// NewRateLimiter returns a Damper for offers shared by the given number of VMs.
+func NewRateLimiter(borrowers int) *RateLimiter {
+	return &RateLimiter{
 		borrowers: max(borrowers, 1),
 		buckets:   map[bucketKey]*bucket{},
 	}
 }
 
-// SetAsking sets the number of VMs that share the same offers.
-func (d *Damper) SetAsking(n int) {
+// SetBorrowers sets the number of VMs that share the same offers.
+func (d *RateLimiter) SetBorrowers(n int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.borrowers = max(n, 1)
 }
 
 // HasCapacity reports whether this VM's bucket for the offer is not empty.
-func (d *Damper) HasCapacity(o Offer, now time.Time) bool {
+func (d *RateLimiter) HasCapacity(o Offer, now time.Time) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.refill(o, now).tokens > 0
@@ -62,7 +62,7 @@
 
 // Allow takes a call's tokens from this VM's bucket for the offer. Any non-empty bucket
 // admits a call of any size, so that large calls are not blocked forever.
-func (d *Damper) Allow(o Offer, tokens float64, now time.Time) bool {
+func (d *RateLimiter) Allow(o Offer, tokens float64, now time.Time) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	b := d.refill(o, now)
@@ -74,7 +74,7 @@
 }
 
 // refill returns the bucket with the tokens accrued since the last refill.
-func (d *Damper) refill(o Offer, now time.Time) *bucket {
+func (d *RateLimiter) refill(o Offer, now time.Time) *bucket {
 	b := d.bucket(o, now)
 	rate := o.TokensPerSecond / float64(d.borrowers) * b.factor
 	b.tokens = min(b.tokens+rate*now.Sub(b.refilledAt).Seconds(), rate*burstSeconds)
@@ -83,7 +83,7 @@
 }
 
 // Served records that the offering VM served a call in time.
-func (d *Damper) Served(o Offer, now time.Time) {
+func (d *RateLimiter) Served(o Offer, now time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	b := d.bucket(o, now)
@@ -91,7 +91,7 @@
 }
 
 // Refused records that the offering VM refused a call or answered late.
-func (d *Damper) Refused(o Offer, now time.Time) {
+func (d *RateLimiter) Refused(o Offer, now time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	b := d.bucket(o, now)
@@ -99,7 +99,7 @@
 	b.tokens = min(b.tokens, 0)
 }
 
-func (d *Damper) bucket(o Offer, now time.Time) *bucket {
+func (d *RateLimiter) bucket(o Offer, now time.Time) *bucket {
 	key := bucketKey{
 		vm:     o.VM,
 		target: o.Target,
--- a/borrow/simulation_test.go
+++ b/borrow/simulation_test.go
@@ -86,7 +86,7 @@
 	name    string
 	pool    *routing.Pool
 	state   *admission.State
-	damper  *borrow.Damper
+	damper  *borrow.RateLimiter
 	gate    borrow.Gate
 	pending map[uint64]*job
 	// localDemand holds samples of the region's demand without calls of other regions.
@@ -142,11 +142,11 @@
 	others := func(counts [regions]float64) float64 { return counts[1] + counts[2] }
 	return map[string]float64{
 		"home_in_time_pct":   100 * r.inTime[0] / r.arrived[0],
-		"home_p99_ms":        r.firstToken[0].Milliseconds(99),
+		"home_p99_ms":        r.firstToken[0].PercentileMS(99),
 		"sent_away_pct":      100 * r.sent[0] / r.arrived[0],
 		"bounced_pct":        100 * r.refusedRemotely[0] / max(r.sent[0], 1),
 		"others_in_time_pct": 100 * others(r.inTime) / others(r.arrived),
-		"others_p99_ms":      r.firstToken[1].Milliseconds(99),
+		"others_p99_ms":      r.firstToken[1].PercentileMS(99),
 	}
 }
 
@@ -159,7 +159,7 @@
 			name:    fmt.Sprintf("r%d-v%d", region, v),
 			pool:    routing.New(routing.Options{Rand: r.random.Uint64}),
 			state:   admission.NewState(admission.Options{}),
-			damper:  borrow.NewDamper((regions - 1) * vmsPerRegion),
+			damper:  borrow.NewRateLimiter((regions - 1) * vmsPerRegion),
 			pending: map[uint64]*job{},
 			offers:  map[string]borrow.Offer{},
 		}
@@ -172,11 +172,11 @@
 	}
 	for i := range engines {
 		e := &enginetest.Engine{
-			Clock:    r.clock,
-			Slots:    engineSlots,
-			Speed:    100,
-			Prefill:  8000,
-			Prefixes: 20,
+			Clock:       r.clock,
+			Slots:       engineSlots,
+			DecodeRate:  100,
+			PrefillRate: 8000,
+			CacheSize:   20,
 		}
 		r.engines[endpointID(region, i)] = e
 		r.clock.Every(time.Second, func() {
@@ -209,13 +209,13 @@
 
 // publishOffer sends the VM's surplus to the VMs of other regions.
 func (r *simulation) publishOffer(m *vm) {
-	supply := m.pool.Supply(r.clock.Now())
+	supply := m.pool.Capacity(r.clock.Now())
 	m.localDemand = append(m.localDemand, supply.Slots-supply.Free-float64(m.remoteCalls*vmsPerRegion))
 	if len(m.localDemand) > demandSamples {
 		m.localDemand = m.localDemand[1:]
 	}
 	o := borrow.Surplus(r.capacityState(m), r.clock.Now())
-	o.OneWay = oneWay
+	o.NetworkDelay = oneWay
 	r.clock.After(oneWay, func() {
 		for _, other := range r.vms {
 			if other.region != m.region {
@@ -225,22 +225,22 @@
 	})
 }
 
-func (r *simulation) capacityState(m *vm) borrow.State {
+func (r *simulation) capacityState(m *vm) borrow.RegionCapacity {
 	now := r.clock.Now()
-	supply := m.pool.Supply(now)
+	supply := m.pool.Capacity(now)
 	wait, _ := m.pool.Estimate(routing.Request{}, now)
 	demand := 0.0
 	for _, slots := range m.localDemand {
 		demand += slots / float64(len(m.localDemand))
 	}
-	return borrow.State{
+	return borrow.RegionCapacity{
 		Region:           fmt.Sprint(m.region),
 		VM:               m.name,
 		Target:           target,
 		Slots:            supply.Slots,
 		Free:             supply.Free,
-		TokensPerSecond:  supply.SlotTokensPerSecond,
-		PrefillPerSecond: supply.PrefillPerSecond,
+		TokensPerSecond:  supply.SlotThroughput,
+		PrefillPerSecond: supply.PrefillRate,
 		Demand:           max(demand, 0),
 		Waiting:          len(m.pending),
 		Wait:             wait,
@@ -266,12 +266,12 @@
 
 func (j *job) request() admission.Request {
 	return admission.Request{
-		Priority:     call.PriorityChat,
-		FirstBy:      j.arrivedAt.Add(firstTokenTimeout),
-		WholeBy:      j.arrivedAt.Add(answerTimeout),
-		PrefixHash:   uint64(j.prefix) * 0x9e3779b97f4a7c15,
-		PromptTokens: promptTokens,
-		MaxTokens:    maxTokens,
+		Priority:           call.PriorityChat,
+		FirstTokenDeadline: j.arrivedAt.Add(firstTokenTimeout),
+		Deadline:           j.arrivedAt.Add(answerTimeout),
+		PrefixHash:         uint64(j.prefix) * 0x9e3779b97f4a7c15,
+		PromptTokens:       promptTokens,
+		MaxTokens:          maxTokens,
 	}
 }
 
@@ -288,7 +288,7 @@
 // step runs the VM's queue and executes the resulting actions.
 func (r *simulation) step(m *vm, msg admission.Message) {
 	now := r.clock.Now()
-	msg.Supply = m.pool.Supply(now)
+	msg.Supply = m.pool.Capacity(now)
 	for _, a := range slices.Clone(m.state.Step(msg, now)) {
 		j := m.pending[a.ID]
 		delete(m.pending, a.ID)
@@ -307,22 +307,22 @@
 		offers = append(offers, m.offers[name])
 	}
 	request := borrow.Request{
-		Policy:       r.policy,
-		Target:       target,
-		Regions:      []string{"0", "1", "2"},
-		Allowed:      true,
-		Unavailable:  true,
-		First:        30 * time.Millisecond,
-		Service:      2 * time.Second,
-		FirstBy:      j.request().FirstBy,
-		WholeBy:      j.request().WholeBy,
-		PromptTokens: promptTokens,
-		MaxTokens:    maxTokens,
-		Damper:       m.damper,
-		Draw:         r.random.Uint64(),
+		Policy:             r.policy,
+		Target:             target,
+		Regions:            []string{"0", "1", "2"},
+		Allowed:            true,
+		Unavailable:        true,
+		UntilFirstToken:    30 * time.Millisecond,
+		Service:            2 * time.Second,
+		FirstTokenDeadline: j.request().FirstTokenDeadline,
+		Deadline:           j.request().Deadline,
+		PromptTokens:       promptTokens,
+		MaxTokens:          maxTokens,
+		RateLimiter:        m.damper,
+		Random:             r.random.Uint64(),
 	}
 	if r.policy == policyUndamped {
-		request.Damper = nil
+		request.RateLimiter = nil
 	}
 	offer, ok := borrow.Decide(request, offers, r.clock.Now())
 	if !ok {
@@ -351,7 +351,7 @@
 		})
 	}
 	j.attempts++
-	if r.policy == borrow.PolicySurplus && !m.gate.Accept(r.capacityState(m), promptTokens+maxTokens, r.clock.Now()) {
+	if r.policy == borrow.PolicySurplus && !m.gate.Admit(r.capacityState(m), promptTokens+maxTokens, r.clock.Now()) {
 		j.onRefused()
 		return
 	}
@@ -393,8 +393,8 @@
 		PromptTokens: promptTokens,
 		Tokens:       j.tokens,
 		Priority:     call.PriorityChat,
-		First:        func() { firstAt = r.clock.Now() },
-		End: func(u call.Usage) {
+		OnFirstToken: func() { firstAt = r.clock.Now() },
+		OnEnd: func(u call.Usage) {
 			r.recordLatency(j, firstAt.Add(back), r.clock.Now().Add(back))
 			if j.remote {
 				j.release()
@@ -418,7 +418,7 @@
 		return
 	}
 	r.firstToken[min(j.home, 1)].Add(firstAt.Sub(j.arrivedAt))
-	if !firstAt.After(j.request().FirstBy) && !endAt.After(j.request().WholeBy) {
+	if !firstAt.After(j.request().FirstTokenDeadline) && !endAt.After(j.request().Deadline) {
 		r.inTime[j.home]++
 	}
 }
--- a/borrow/surplus.go
+++ b/borrow/surplus.go
@@ -16,8 +16,8 @@
 	minFreeSlots = 2
 )
 
-// State is a VM's view of its region's capacity for one target.
-type State struct {
+// RegionCapacity is a VM's view of its region's capacity for one target.
+type RegionCapacity struct {
 	Region string
 	VM     string
 	Target string
@@ -45,13 +45,13 @@
 // leave over. It does not consider currently free slots, which change faster than offers
 // propagate; Gate checks them. TokensPerSecond is zero if there is no surplus or local
 // calls are queued.
-func Surplus(s State, now time.Time) Offer {
+func Surplus(s RegionCapacity, now time.Time) Offer {
 	o := Offer{
 		Region:           s.Region,
 		VM:               s.VM,
 		Target:           s.Target,
 		Wait:             s.Wait,
-		Until:            s.Until,
+		ExpiresAt:        s.Until,
 		PrefillPerSecond: s.PrefillPerSecond,
 	}
 	if s.Waiting > 0 || !s.Until.After(now) {
@@ -70,10 +70,10 @@
 	refilledAt time.Time
 }
 
-// Accept reports whether a call of another region with the given number of tokens is
+// Admit reports whether a call of another region with the given number of tokens is
 // admitted. It needs the current State, and refuses calls while local calls are queued,
 // too few slots are free or the surplus is used up.
-func (g *Gate) Accept(s State, tokens float64, now time.Time) bool {
+func (g *Gate) Admit(s RegionCapacity, tokens float64, now time.Time) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	rate := Surplus(s, now).TokensPerSecond
--- a/call/answer.go
+++ b/call/answer.go
@@ -20,12 +20,12 @@
 	// Refusal is set for every code that is not of class done.
 	Refusal *result.Refusal
 	Usage   Usage
-	// FirstAt is when the first chunk arrived; zero if none did.
-	FirstAt time.Time
+	// FirstChunkAt is when the first chunk arrived; zero if none did.
+	FirstChunkAt time.Time
 	// Endpoint is the id of the endpoint that responded.
 	Endpoint string
-	// Ran is the number of endpoints that may have run the call.
-	Ran int
+	// EndpointsRun is the number of endpoints that may have run the call.
+	EndpointsRun int
 	// LongestGap is the longest time between two chunks delivered to the caller. It is set
 	// on routed calls that arrived at this process.
 	LongestGap time.Duration
--- a/call/call.go
+++ b/call/call.go
@@ -72,9 +72,9 @@
 	Priority   Priority
 	// Ticket is the caller's ticket for a non-idempotent call.
 	Ticket string
-	// FirstBy and WholeBy are the deadlines of the first token and the complete response.
-	FirstBy time.Time
-	WholeBy time.Time
+	// FirstTokenDeadline and WholeBy are the deadlines of the first token and the complete response.
+	FirstTokenDeadline time.Time
+	Deadline           time.Time
 	// PromptTokens is an estimate; MaxTokens limits the generated tokens.
 	PromptTokens int
 	MaxTokens    int
@@ -82,17 +82,17 @@
 	PrefixHash uint64
 	// Forwarded is set on a call from another VM, which is never forwarded again.
 	Forwarded bool
-	// Origin is the region that charged the call, set on calls overflowing from there.
-	Origin string
+	// ChargedRegion is the region that charged the call, set on calls overflowing from there.
+	ChargedRegion string
 	// Routed is set on calls of KindRouted only.
 	Routed *Routed
-	// Content is the result of ContentHash; zero until the call is served.
-	Content uint64
-	// Trial is set on a quarantined call that is let through to test whether it still
+	// ContentDigest is the result of ContentHash; zero until the call is served.
+	ContentDigest uint64
+	// QuarantineTrial is set on a quarantined call that is let through to test whether it still
 	// crashes endpoints.
-	Trial bool
-	// Trail collects the call's log lines; it may be nil.
-	Trail *logs.Trail
+	QuarantineTrial bool
+	// Log collects the call's log lines; it may be nil.
+	Log *logs.RequestLog
 }
 
 // ContentHash hashes the workspace, host, method, path and body. Retries of a call
--- a/call/routed.go
+++ b/call/routed.go
@@ -36,48 +36,48 @@
 	Resumable bool
 	// Homes are the regions that may serve the call; empty means all.
 	Homes []string
-	// Parts are the segments of the prompt in order. The last one is not shared with
+	// PromptParts are the segments of the prompt in order. The last one is not shared with
 	// other calls.
-	Parts []PromptPart
+	PromptParts []PromptPart
 	// ArrivedAt is when the call arrived at this VM.
 	ArrivedAt time.Time
-	// CallerBy is when the caller stops waiting; WholeBy may be earlier.
-	CallerBy time.Time
+	// CallerDeadline is when the caller stops waiting; WholeBy may be earlier.
+	CallerDeadline time.Time
 	// ResumeAfter is the id of the last stream event that the caller received.
 	ResumeAfter string
 	// AnswerTokens is the caller's estimate of the generated tokens. It is
 	// accurate in the median but often far off; zero means that there is none.
 	AnswerTokens int
-	// EventTokens is the number of generated tokens in one stream event.
-	EventTokens int
-	// Gap is the maximum time between events of a stream that meets its objective; zero
+	// TokensPerEvent is the number of generated tokens in one stream event.
+	TokensPerEvent int
+	// MaxEventGap is the maximum time between events of a stream that meets its objective; zero
 	// means no maximum.
-	Gap time.Duration
-	// Late is set when the first token is expected to miss its objective. Such a call
+	MaxEventGap time.Duration
+	// MissesObjective is set when the first token is expected to miss its objective. Such a call
 	// yields to calls that can still meet theirs.
-	Late bool
-	// Repeated is set when another VM already attempted the call.
-	Repeated bool
+	MissesObjective bool
+	// Retry is set when another VM already attempted the call.
+	Retry bool
 }
 
-// Turns is the number of levels in an endpoint's queue.
-const Turns = 10
+// QueueLevels is the number of levels in an endpoint's queue.
+const QueueLevels = 10
 
 // lateTurns is the number of levels for late calls, and the first of them.
-const lateTurns = Turns / 2
+const lateTurns = QueueLevels / 2
 
-// Turn returns the call's level in an endpoint's queue, 0 first: ordered by rank, with
+// QueueLevel returns the call's level in an endpoint's queue, 0 first: ordered by rank, with
 // late calls after all others.
-func (r *Routed) Turn() int {
+func (r *Routed) QueueLevel() int {
 	turn := min(max(r.Rank, 0), lateTurns-1)
-	if r.Late {
+	if r.MissesObjective {
 		turn += lateTurns
 	}
 	return turn
 }
 
-// Yields reports whether a queue level is for late calls.
-func Yields(turn int) bool {
+// IsLateLevel reports whether a queue level is for late calls.
+func IsLateLevel(turn int) bool {
 	return turn >= lateTurns
 }
 
@@ -115,9 +115,9 @@
 	return d.Sum64()
 }
 
-// Answer is a complete response that is buffered until it is known whether another
+// BufferedResponse is a complete response that is buffered until it is known whether another
 // attempt follows.
-type Answer struct {
+type BufferedResponse struct {
 	Status int
 	Header http.Header
 	Body   []byte
--- a/caller/caller.go
+++ b/caller/caller.go
@@ -38,22 +38,22 @@
 	IssueTicket func(workspace string, goodUntil time.Time) string
 	// Stopping reports whether this VM is draining.
 	Stopping func() bool
-	Bounds   Bounds
+	Limits   Limits
 }
 
-// Bounds limit the resources that callers may use.
-type Bounds struct {
+// Limits limit the resources that callers may use.
+type Limits struct {
 	MaxBodyBytes             int
 	MaxHeaderBytes           int
 	MaxConnections           int
 	MaxConnectionsPerAddress int
-	HeaderWithin             time.Duration
-	BodyWithin               time.Duration
-	IdleWithin               time.Duration
-	// WriteWithin is the timeout of a single write.
-	WriteWithin    time.Duration
-	TicketGoodFor  time.Duration
-	EntriesGoodFor time.Duration
+	HeaderTimeout            time.Duration
+	BodyTimeout              time.Duration
+	IdleTimeout              time.Duration
+	// WriteTimeout is the timeout of a single write.
+	WriteTimeout time.Duration
+	TicketTTL    time.Duration
+	EntriesTTL   time.Duration
 }
 
 // Server serves the caller API.
@@ -69,9 +69,9 @@
 	}
 	s.http = &http.Server{
 		Handler:           s.mux(),
-		ReadHeaderTimeout: o.Bounds.HeaderWithin,
-		IdleTimeout:       o.Bounds.IdleWithin,
-		MaxHeaderBytes:    o.Bounds.MaxHeaderBytes,
+		ReadHeaderTimeout: o.Limits.HeaderTimeout,
+		IdleTimeout:       o.Limits.IdleTimeout,
+		MaxHeaderBytes:    o.Limits.MaxHeaderBytes,
 	}
 	return s
 }
@@ -90,8 +90,8 @@
 // the configured limits are closed immediately.
 func (s *Server) Serve(ln net.Listener) error {
 	return s.http.Serve(listen.New(ln, listen.Options{
-		Max:           s.options.Bounds.MaxConnections,
-		MaxPerAddress: s.options.Bounds.MaxConnectionsPerAddress,
+		Max:           s.options.Limits.MaxConnections,
+		MaxPerAddress: s.options.Limits.MaxConnectionsPerAddress,
 	}))
 }
 
--- a/caller/caller_test.go
+++ b/caller/caller_test.go
@@ -146,17 +146,17 @@
 		},
 		IssueTicket: func(workspace string, _ time.Time) string { return "t-" + workspace },
 		Stopping:    func() bool { return row.Stopping },
-		Bounds: Bounds{
+		Limits: Limits{
 			MaxBodyBytes:             maxBody,
 			MaxHeaderBytes:           maxHeader,
 			MaxConnections:           8,
 			MaxConnectionsPerAddress: 8,
-			HeaderWithin:             time.Minute,
-			BodyWithin:               bodyTimeout,
-			IdleWithin:               time.Minute,
-			WriteWithin:              time.Minute,
-			TicketGoodFor:            time.Minute,
-			EntriesGoodFor:           time.Minute,
+			HeaderTimeout:            time.Minute,
+			BodyTimeout:              bodyTimeout,
+			IdleTimeout:              time.Minute,
+			WriteTimeout:             time.Minute,
+			TicketTTL:                time.Minute,
+			EntriesTTL:               time.Minute,
 		},
 	})
 }
--- a/caller/chat.go
+++ b/caller/chat.go
@@ -69,7 +69,7 @@
 	c.MaxTokens = s.maxTokens(&chat)
 	c.PrefixHash = prefixHash(&chat)
 	if !c.Stream {
-		c.FirstBy = c.WholeBy
+		c.FirstTokenDeadline = c.Deadline
 	}
 	return c, nil
 }
--- a/caller/entries.go
+++ b/caller/entries.go
@@ -40,7 +40,7 @@
 	writeJSON(q.w, http.StatusOK, EntriesResponse{
 		Workspace:    q.contract.Workspace,
 		ViewRevision: view.Revision,
-		ExpiresAt:    s.options.Now().Add(s.options.Bounds.EntriesGoodFor),
+		ExpiresAt:    s.options.Now().Add(s.options.Limits.EntriesTTL),
 		Entries:      newEntries(vms),
 	})
 }
@@ -48,7 +48,7 @@
 // handleTickets issues a ticket whose executor is this VM.
 func (s *Server) handleTickets(q *request) {
 	view := s.options.View()
-	if _, ok := q.contract.Terms(view.Self.Region); !ok {
+	if _, ok := q.contract.LimitsIn(view.Self.Region); !ok {
 		s.refuse(q, result.Refuse(result.WrongRegion, "the contract of workspace %s does not allow region %s", q.contract.Workspace, view.Self.Region))
 		return
 	}
@@ -56,7 +56,7 @@
 		s.refuse(q, result.Refuse(result.Stopping, "VM %s is stopping", s.options.VM))
 		return
 	}
-	expiresAt := s.options.Now().Add(s.options.Bounds.TicketGoodFor)
+	expiresAt := s.options.Now().Add(s.options.Limits.TicketTTL)
 	setResult(q.w.Header(), result.Done)
 	writeJSON(q.w, http.StatusOK, TicketResponse{
 		Ticket:    s.options.IssueTicket(q.contract.Workspace, expiresAt),
@@ -78,14 +78,14 @@
 // entriesFor returns the entry VMs of a workspace, in this region if the
 // contract allows it, otherwise in the workspace's home region.
 func (s *Server) entriesFor(c *contract.Contract, view *membership.View) []fleet.VM {
-	terms, ok := c.Terms(view.Self.Region)
+	terms, ok := c.LimitsIn(view.Self.Region)
 	if ok {
-		vms := view.Entries(c.Workspace)
-		return entry.Order(c.Workspace, vms, entry.Spread(terms, len(vms)), s.rotationSeed())
+		vms := view.OwnersByRank(c.Workspace)
+		return entry.Order(c.Workspace, vms, entry.EntryVMCount(terms, len(vms)), s.rotationSeed())
 	}
-	terms, _ = c.Terms(c.Home)
-	vms := view.EntriesIn(c.Home, c.Workspace)
-	return entry.Order(c.Workspace, vms, entry.Spread(terms, len(vms)), s.rotationSeed())
+	terms, _ = c.LimitsIn(c.Home)
+	vms := view.VMsByRank(c.Home, c.Workspace)
+	return entry.Order(c.Workspace, vms, entry.EntryVMCount(terms, len(vms)), s.rotationSeed())
 }
 
 // rotationSeed returns a new seed for each response, so that the callers of a
--- a/caller/request.go
+++ b/caller/request.go
@@ -25,12 +25,12 @@
 
 // readBody reads the body within the size limit and the read timeout.
 func (s *Server) readBody(q *request) ([]byte, *result.Refusal) {
-	limit := int64(s.options.Bounds.MaxBodyBytes)
+	limit := int64(s.options.Limits.MaxBodyBytes)
 	if q.r.ContentLength > limit {
 		return nil, result.Refuse(result.BodyTooLarge, "the body is over %d bytes", limit)
 	}
 	control := http.NewResponseController(q.w)
-	_ = control.SetReadDeadline(time.Now().Add(s.options.Bounds.BodyWithin))
+	_ = control.SetReadDeadline(time.Now().Add(s.options.Limits.BodyTimeout))
 	body, err := io.ReadAll(http.MaxBytesReader(q.w, q.r.Body, limit))
 	_ = control.SetReadDeadline(time.Time{})
 	if err == nil {
@@ -42,9 +42,9 @@
 	case errors.As(err, &tooLarge):
 		return nil, result.Refuse(result.BodyTooLarge, "the body is over %d bytes", limit)
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		return nil, result.Refuse(result.BodyTooSlow, "the body did not arrive in time").Because(err)
+		return nil, result.Refuse(result.BodyTooSlow, "the body did not arrive in time").WithCause(err)
 	default:
-		return nil, result.Refuse(result.BadRequest, "the body could not be read").Because(err)
+		return nil, result.Refuse(result.BadRequest, "the body could not be read").WithCause(err)
 	}
 }
 
@@ -107,24 +107,24 @@
 // header can only shorten them.
 func (s *Server) setDeadlines(c *call.Call, q *request) *result.Refusal {
 	now := s.options.Now()
-	c.FirstBy, c.WholeBy = deadlines(q.contract.Answer, c.Priority, now)
+	c.FirstTokenDeadline, c.Deadline = deadlines(q.contract.Latency, c.Priority, now)
 	text := q.r.Header.Get(HeaderDeadline)
 	if text == "" {
 		return nil
 	}
 	requested, err := time.Parse(time.RFC3339Nano, text)
 	if err != nil {
-		return result.Refuse(result.BadRequest, "header %s must be an RFC 3339 time", HeaderDeadline).Because(err)
+		return result.Refuse(result.BadRequest, "header %s must be an RFC 3339 time", HeaderDeadline).WithCause(err)
 	}
 	if !requested.After(now) {
 		return result.Refuse(result.DeadlinePassed, "the deadline had passed when the call arrived")
 	}
-	c.WholeBy = earlier(c.WholeBy, requested)
-	c.FirstBy = earlier(c.FirstBy, requested)
+	c.Deadline = earlier(c.Deadline, requested)
+	c.FirstTokenDeadline = earlier(c.FirstTokenDeadline, requested)
 	return nil
 }
 
-func deadlines(a contract.Answer, p call.Priority, now time.Time) (firstBy, wholeBy time.Time) {
+func deadlines(a contract.LatencyTargets, p call.Priority, now time.Time) (firstBy, wholeBy time.Time) {
 	if p == call.PriorityReport {
 		by := now.Add(a.ReportWithin.Duration)
 		return by, by
--- a/caller/response.go
+++ b/caller/response.go
@@ -90,7 +90,7 @@
 		Name:    r.Code.String(),
 		Class:   r.Code.Class(),
 		Message: r.Message,
-		RetryAt: r.ComeBackAt,
+		RetryAt: r.RetryAt,
 	}
 	if q.contract == nil {
 		return e
@@ -99,16 +99,16 @@
 	case result.WrongVM, result.WrongRegion, result.Stopping, result.LimitNoShare, result.PeerUnreachable, result.PeerLost, result.ExecutorGone, result.NotReady:
 		e.SuggestedVMs = newEntries(s.entriesFor(q.contract, s.options.View()))
 	case result.TicketRequired:
-		e.Ticket = s.options.IssueTicket(q.contract.Workspace, s.options.Now().Add(s.options.Bounds.TicketGoodFor))
+		e.Ticket = s.options.IssueTicket(q.contract.Workspace, s.options.Now().Add(s.options.Limits.TicketTTL))
 	}
 	return e
 }
 
 func (s *Server) setRetryAfter(h http.Header, r *result.Refusal) {
-	if r.ComeBackAt.IsZero() {
+	if r.RetryAt.IsZero() {
 		return
 	}
-	wait := r.ComeBackAt.Sub(s.options.Now())
+	wait := r.RetryAt.Sub(s.options.Now())
 	seconds := int64((wait + time.Second - 1) / time.Second)
 	h.Set("Retry-After", strconv.FormatInt(max(seconds, 0), 10))
 }
@@ -185,7 +185,7 @@
 }
 
 func (w *responseWriter) write(data []byte) error {
-	_ = w.control.SetWriteDeadline(time.Now().Add(w.server.options.Bounds.WriteWithin))
+	_ = w.control.SetWriteDeadline(time.Now().Add(w.server.options.Limits.WriteTimeout))
 	if _, err := w.request.w.Write(data); err != nil {
 		return err
 	}
--- a/caller/service.go
+++ b/caller/service.go
@@ -102,6 +102,6 @@
 	c.Path = servicePath(q.r)
 	c.Body = body
 	c.Idempotent = policy.idempotent
-	c.FirstBy = c.WholeBy
+	c.FirstTokenDeadline = c.Deadline
 	return c, nil
 }
--- a/caller/ticket_outcome.go
+++ b/caller/ticket_outcome.go
@@ -21,5 +21,5 @@
 	if q.dispatched || q.r.Header.Get(HeaderTicket) == "" || !transientCodes[r.Code] {
 		return r
 	}
-	return result.Refuse(result.ExecutorGone, "the ticket's executor was not asked: %s", r.Message).Because(r)
+	return result.Refuse(result.ExecutorGone, "the ticket's executor was not asked: %s", r.Message).WithCause(r)
 }
--- a/common/clock/clock.go
+++ b/common/clock/clock.go
@@ -66,8 +66,8 @@
 	return now.Round(0), now.Sub(c.startTime)
 }
 
-// OnWake sets the function that is called in its own goroutine after each suspension.
-func (c *Clock) OnWake(onWake func(suspended time.Duration)) {
+// OnResume sets the function that is called in its own goroutine after each suspension.
+func (c *Clock) OnResume(onWake func(suspended time.Duration)) {
 	c.onWake.Store(&onWake)
 }
 
--- a/common/clock/clock_test.go
+++ b/common/clock/clock_test.go
@@ -30,7 +30,7 @@
 	Set       int64
 	// Want is the expected time since the start, in milliseconds.
 	Want int64
-	// Woken is the suspension passed to OnWake, in milliseconds.
+	// Woken is the suspension passed to OnResume, in milliseconds.
 	Woken int64
 }
 
@@ -48,7 +48,7 @@
 				SinceBoot: func() (time.Duration, error) { return m.boot, nil },
 			})
 			woken := make(chan time.Duration, len(c.Steps))
-			clock.OnWake(func(d time.Duration) { woken <- d })
+			clock.OnResume(func(d time.Duration) { woken <- d })
 			start := clock.Now()
 			for i, s := range c.Steps {
 				m.monotonic += time.Duration(s.Runs) * time.Millisecond
--- a/common/datatest/datatest.go
+++ b/common/datatest/datatest.go
@@ -23,13 +23,13 @@
 	return value
 }
 
-// Do runs one command of a script and returns its output.
-type Do func(t *testing.T, name string, words []string) string
+// CommandFunc runs one command of a script and returns its output.
+type CommandFunc func(t *testing.T, name string, words []string) string
 
-// Scripts runs each script of the txtar archives that match pattern as a subtest,
+// RunScripts runs each script of the txtar archives that match pattern as a subtest,
 // with a Do of its own. A line "command -> text" expects that output; a line
 // without an arrow expects none.
-func Scripts(t *testing.T, pattern string, newDo func() Do) {
+func RunScripts(t *testing.T, pattern string, newDo func() CommandFunc) {
 	t.Helper()
 	files, err := filepath.Glob(pattern)
 	assert.NilError(t, err)
@@ -43,7 +43,7 @@
 	}
 }
 
-func runScript(t *testing.T, text string, do Do) {
+func runScript(t *testing.T, text string, do CommandFunc) {
 	for line := range strings.Lines(text) {
 		command, want, _ := strings.Cut(strings.TrimSpace(line), "->")
 		words := strings.Fields(command)
--- a/common/jsonc/verify.go
+++ b/common/jsonc/verify.go
@@ -26,8 +26,8 @@
 	return v.first
 }
 
-// That reports a problem unless ok is true; the format describes what was expected.
-func (v *Verifier) That(ok bool, pointer, format string, args ...any) {
+// Require reports a problem unless ok is true; the format describes what was expected.
+func (v *Verifier) Require(ok bool, pointer, format string, args ...any) {
 	v.checkKind(ok, pointer, KindValue, format, args...)
 }
 
@@ -42,35 +42,35 @@
 // a lower-case letter, a digit or a hyphen.
 func (v *Verifier) Name(pointer, name string) {
 	ok := name != "" && len(name) <= maxNameLength && strings.Trim(name, nameCharacters) == ""
-	v.That(ok, pointer, "a name of 1 to %d characters from a-z, 0-9 and -", maxNameLength)
+	v.Require(ok, pointer, "a name of 1 to %d characters from a-z, 0-9 and -", maxNameLength)
 }
 
 // OneOf reports a value that is not in values.
 func (v *Verifier) OneOf(pointer, value string, values []string) {
-	v.That(slices.Contains(values, value), pointer, "one of %s", strings.Join(values, ", "))
+	v.Require(slices.Contains(values, value), pointer, "one of %s", strings.Join(values, ", "))
 }
 
-// Whole reports an integer that is out of range.
-func (v *Verifier) Whole(pointer string, value, low, high int) {
-	v.That(value >= low && value <= high, pointer, "a whole number from %d to %d", low, high)
+// IntRange reports an integer that is out of range.
+func (v *Verifier) IntRange(pointer string, value, low, high int) {
+	v.Require(value >= low && value <= high, pointer, "a whole number from %d to %d", low, high)
 }
 
 // Number reports a number that is out of range.
 func (v *Verifier) Number(pointer string, value, low, high float64) {
-	v.That(value >= low && value <= high, pointer, "a number from %g to %g", low, high)
+	v.Require(value >= low && value <= high, pointer, "a number from %g to %g", low, high)
 }
 
 // Duration reports a duration that is out of range.
 func (v *Verifier) Duration(pointer string, value Duration, low, high time.Duration) {
 	ok := value.Duration >= low && value.Duration <= high
-	v.That(ok, pointer, "a duration from %s to %s", low, high)
+	v.Require(ok, pointer, "a duration from %s to %s", low, high)
 }
 
-// Names is the set of names that occurred in a document.
-type Names map[string]bool
+// NameSet is the set of names that occurred in a document.
+type NameSet map[string]bool
 
-// Once reports a duplicate name, and adds the name to seen.
-func (v *Verifier) Once(seen Names, pointer, name string) {
+// Unique reports a duplicate name, and adds the name to seen.
+func (v *Verifier) Unique(seen NameSet, pointer, name string) {
 	v.checkKind(!seen[name], pointer, KindDuplicate, "each name once; %q stands twice", name)
 	seen[name] = true
 }
--- a/common/listen/listen.go
+++ b/common/listen/listen.go
@@ -12,8 +12,8 @@
 	// Max and MaxPerAddress limit the open connections; both are at least 1.
 	Max           int
 	MaxPerAddress int
-	// Refused is called for each connection closed over a limit; it may be nil.
-	Refused func()
+	// OnReject is called for each connection closed over a limit; it may be nil.
+	OnReject func()
 }
 
 // Listener closes connections over its limits right after it accepts them.
@@ -28,8 +28,8 @@
 
 // New returns a Listener that accepts from ln.
 func New(ln net.Listener, o Options) *Listener {
-	if o.Refused == nil {
-		o.Refused = func() {}
+	if o.OnReject == nil {
+		o.OnReject = func() {}
 	}
 	return &Listener{
 		Listener:   ln,
@@ -53,7 +53,7 @@
 			}, nil
 		}
 		_ = conn.Close()
-		l.options.Refused()
+		l.options.OnReject()
 	}
 }
 
--- a/common/listen/listen_test.go
+++ b/common/listen/listen_test.go
@@ -17,7 +17,7 @@
 	ln := New(inner, Options{
 		Max:           3,
 		MaxPerAddress: 2,
-		Refused:       func() { refused <- struct{}{} },
+		OnReject:      func() { refused <- struct{}{} },
 	})
 	defer func() { _ = ln.Close() }()
 	accepted := make(chan net.Conn)
--- a/common/listen/stopping.go
+++ b/common/listen/stopping.go
@@ -5,10 +5,10 @@
 	"sync"
 )
 
-// Stopping is a listener that can stop accepting connections while its server keeps
+// StoppableListener is a listener that can stop accepting connections while its server keeps
 // serving the open ones. http.Server.Shutdown alone drops requests that it reads after
 // the call, such as the first request of a connection that was just accepted.
-type Stopping struct {
+type StoppableListener struct {
 	net.Listener
 
 	stopOnce  sync.Once
@@ -17,9 +17,9 @@
 	closed    chan struct{}
 }
 
-// NewStopping returns a Stopping that accepts from ln.
-func NewStopping(ln net.Listener) *Stopping {
-	return &Stopping{
+// NewStoppableListener returns a Stopping that accepts from ln.
+func NewStoppableListener(ln net.Listener) *StoppableListener {
+	return &StoppableListener{
 		Listener: ln,
 		stopped:  make(chan struct{}),
 		closed:   make(chan struct{}),
@@ -27,7 +27,7 @@
 }
 
 // Accept returns the next connection. After Stop it blocks until Close.
-func (l *Stopping) Accept() (net.Conn, error) {
+func (l *StoppableListener) Accept() (net.Conn, error) {
 	conn, err := l.Listener.Accept()
 	if err == nil {
 		return conn, nil
@@ -41,7 +41,7 @@
 }
 
 // Stop stops accepting connections.
-func (l *Stopping) Stop() error {
+func (l *StoppableListener) Stop() error {
 	var err error
 	l.stopOnce.Do(func() {
 		close(l.stopped)
@@ -51,7 +51,7 @@
 }
 
 // Close stops the listener and unblocks Accept.
-func (l *Stopping) Close() error {
+func (l *StoppableListener) Close() error {
 	err := l.Stop()
 	l.closeOnce.Do(func() { close(l.closed) })
 	return err
--- a/common/listen/stopping_test.go
+++ b/common/listen/stopping_test.go
@@ -15,7 +15,7 @@
 func TestStopping(t *testing.T) {
 	inner, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
-	ln := NewStopping(inner)
+	ln := NewStoppableListener(inner)
 	accepted := make(chan struct{}, 1)
 	server := &http.Server{
 		Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "whole") }),
--- a/common/mailbox/mailbox.go
+++ b/common/mailbox/mailbox.go
@@ -30,8 +30,8 @@
 	}
 }
 
-// Offer queues a message if there is room. It never blocks.
-func (m Mailbox[M]) Offer(message M) bool {
+// TrySend queues a message if there is room. It never blocks.
+func (m Mailbox[M]) TrySend(message M) bool {
 	select {
 	case m.messages <- message:
 		return true
@@ -40,9 +40,9 @@
 	}
 }
 
-// Ask sends a request message and waits for the owner's reply. It returns ctx.Err()
+// Call sends a request message and waits for the owner's reply. It returns ctx.Err()
 // if ctx ends first.
-func Ask[T, M any](ctx context.Context, m Mailbox[M], newMessage func(reply chan<- T) M) (T, error) {
+func Call[T, M any](ctx context.Context, m Mailbox[M], newMessage func(reply chan<- T) M) (T, error) {
 	var zero T
 	reply := make(chan T, 1)
 	if !m.Send(ctx, newMessage(reply)) {
--- a/common/tcp/tcp.go
+++ b/common/tcp/tcp.go
@@ -39,8 +39,8 @@
 	return config.Listen(ctx, "tcp", addr)
 }
 
-// Reach checks that an address accepts connections.
-func Reach(ctx context.Context, addr string) error {
+// Probe checks that an address accepts connections.
+func Probe(ctx context.Context, addr string) error {
 	conn, err := new(net.Dialer).DialContext(ctx, "tcp", addr)
 	if err != nil {
 		return err
--- a/common/worker/worker.go
+++ b/common/worker/worker.go
@@ -20,9 +20,9 @@
 	})
 }
 
-// AddStop adds a goroutine that calls stop when ctx ends, and then ends the group.
+// AddShutdown adds a goroutine that calls stop when ctx ends, and then ends the group.
 // It closes stopped afterwards, also if the group ends for another reason.
-func AddStop(ctx context.Context, group *run.Group, stopped chan<- struct{}, stop func()) {
+func AddShutdown(ctx context.Context, group *run.Group, stopped chan<- struct{}, stop func()) {
 	aborted, abort := context.WithCancel(context.Background())
 	group.Add(func() error {
 		defer close(stopped)
--- a/configuration/bench_test.go
+++ b/configuration/bench_test.go
@@ -72,7 +72,7 @@
 func BenchmarkPublish(b *testing.B) {
 	for _, count := range sizes {
 		b.Run(fmt.Sprintf("workspaces=%d", count), func(b *testing.B) {
-			docs := Judge(bucketDocuments(count, bucketsFor(count), 1))
+			docs := Validate(bucketDocuments(count, bucketsFor(count), 1))
 			s := New(Options{})
 			s.Offer(docs)
 			b.ReportAllocs()
@@ -112,7 +112,7 @@
 	buckets := bucketsFor(15_000)
 	s := New(Options{})
 	s.Offer(bucketDocuments(15_000, buckets, 1))
-	docs := Judge(bucketDocuments(15_000, 2*buckets, 1000))
+	docs := Validate(bucketDocuments(15_000, 2*buckets, 1000))
 	s.Offer(docs[:len(docs)/2+1])
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
--- a/configuration/configuration.go
+++ b/configuration/configuration.go
@@ -34,9 +34,9 @@
 	refusal *result.Refusal
 }
 
-// Judge validates documents ahead of Offer. Validation is the most expensive part of
+// Validate validates documents ahead of Offer. Validation is the most expensive part of
 // accepting a document, and Judge keeps it off the goroutine that owns the Store.
-func Judge(docs []Document) []Document {
+func Validate(docs []Document) []Document {
 	out := slices.Clone(docs)
 	for i := range out {
 		out[i].validation = validate(contract.Parse, out[i])
--- a/configuration/order_test.go
+++ b/configuration/order_test.go
@@ -168,7 +168,7 @@
 
 func offerJudged(s *Store, docs []testDocument) {
 	for _, d := range docs {
-		s.Offer(Judge([]Document{d.document()}))
+		s.Offer(Validate([]Document{d.document()}))
 	}
 }
 
--- a/configuration/relay.go
+++ b/configuration/relay.go
@@ -21,11 +21,11 @@
 	return ids(ranked[:min(len(ranked), watchersPerDataCentre)])
 }
 
-// Sources returns the IDs of the VMs to pull documents from, in order of preference:
+// PullSources returns the IDs of the VMs to pull documents from, in order of preference:
 // watchers before others, and among these the own data centre before the rest of the
 // own region before other regions. vms are the reachable VMs of all data centres,
 // including self.
-func Sources(self string, vms []fleet.VM) []string {
+func PullSources(self string, vms []fleet.VM) []string {
 	i := slices.IndexFunc(vms, func(vm fleet.VM) bool { return vm.ID == self })
 	var own fleet.VM
 	if i >= 0 {
@@ -110,27 +110,27 @@
 	takeoverPeriod = 2 * time.Minute
 )
 
-// Relay selects the duty of one VM. A watcher can be alive but cut off from the
+// DutySelector selects the duty of one VM. A watcher can be alive but cut off from the
 // platform, or read from a stale replica, which heartbeats don't show. The other VMs of
 // the data centre therefore probe the platform, together about once per interval. A VM
 // whose probe finds something new watches for a while too.
-type Relay struct {
+type DutySelector struct {
 	self        string
 	rand        func() uint64
 	nextProbeAt time.Time
 	watchUntil  time.Time
 }
 
-// RelayOptions configures a Relay.
-type RelayOptions struct {
+// DutySelectorOptions configures a Relay.
+type DutySelectorOptions struct {
 	Self string
 	// Rand returns random bits.
 	Rand func() uint64
 }
 
-// NewRelay returns a Relay for one VM.
-func NewRelay(o RelayOptions) *Relay {
-	return &Relay{
+// NewDutySelector returns a Relay for one VM.
+func NewDutySelector(o DutySelectorOptions) *DutySelector {
+	return &DutySelector{
 		self: o.Self,
 		rand: o.Rand,
 	}
@@ -138,7 +138,7 @@
 
 // Duty returns the duty for now. vms are the reachable VMs of the own data centre,
 // including this one. A VM that isn't among them watches, as it knows no other.
-func (r *Relay) Duty(vms []fleet.VM, now time.Time) Duty {
+func (r *DutySelector) Duty(vms []fleet.VM, now time.Time) Duty {
 	if r.isWatcher(vms) || now.Before(r.watchUntil) {
 		return DutyWatch
 	}
@@ -155,21 +155,21 @@
 }
 
 // Next returns when Duty may change if the VMs don't.
-func (r *Relay) Next() time.Time {
+func (r *DutySelector) Next() time.Time {
 	if r.watchUntil.After(r.nextProbeAt) {
 		return r.watchUntil
 	}
 	return r.nextProbeAt
 }
 
-// Probed records whether a probe returned anything new.
-func (r *Relay) Probed(changed bool, now time.Time) {
+// RecordProbe records whether a probe returned anything new.
+func (r *DutySelector) RecordProbe(changed bool, now time.Time) {
 	if changed {
 		r.watchUntil = now.Add(takeoverPeriod)
 	}
 }
 
-func (r *Relay) isWatcher(vms []fleet.VM) bool {
+func (r *DutySelector) isWatcher(vms []fleet.VM) bool {
 	known := slices.ContainsFunc(vms, func(vm fleet.VM) bool { return vm.ID == r.self })
 	return !known || slices.Contains(Watchers(vms), r.self)
 }
--- a/configuration/relay_test.go
+++ b/configuration/relay_test.go
@@ -44,7 +44,7 @@
 			for range len(vms) + 1 {
 				own := slices.DeleteFunc(slices.Clone(vms), func(vm fleet.VM) bool { return vm.DataCentre != "a-1" })
 				assert.DeepEqual(t, Watchers(own), row.Watchers)
-				assert.DeepEqual(t, Sources(row.Self, vms), row.Sources)
+				assert.DeepEqual(t, PullSources(row.Self, vms), row.Sources)
 				if len(vms) > 0 {
 					vms = append(vms[1:], vms[0])
 				}
@@ -54,17 +54,17 @@
 }
 
 // newDataCentre returns n VMs of one data centre and a Relay for each.
-func newDataCentre(n int) ([]fleet.VM, []*Relay) {
+func newDataCentre(n int) ([]fleet.VM, []*DutySelector) {
 	random := rand.New(rand.NewPCG(1, uint64(n)))
 	var vms []fleet.VM
-	var relays []*Relay
+	var relays []*DutySelector
 	for i := range n {
 		vms = append(vms, fleet.VM{
 			ID:         fmt.Sprintf("a%d", i),
 			DataCentre: "a-1",
 			State:      fleet.StateLive,
 		})
-		relays = append(relays, NewRelay(RelayOptions{
+		relays = append(relays, NewDutySelector(DutySelectorOptions{
 			Self: vms[i].ID,
 			Rand: random.Uint64,
 		}))
@@ -102,12 +102,12 @@
 func TestSilentWatchers(t *testing.T) {
 	vms, relays := newDataCentre(8)
 	now := time.Unix(0, 0)
-	var found *Relay
+	var found *DutySelector
 	for deadline := now.Add(6 * probeInterval); found == nil; now = now.Add(time.Second) {
 		assert.Assert(t, now.Before(deadline), "no VM probed in time")
 		for _, r := range relays {
 			if r.Duty(vms, now) == DutyProbe {
-				r.Probed(true, now)
+				r.RecordProbe(true, now)
 				found = r
 				break
 			}
--- a/console/console.go
+++ b/console/console.go
@@ -28,8 +28,8 @@
 // maxResponseBytes limits the size of a response body.
 const maxResponseBytes = 256 << 20
 
-// AnswerError is returned when a VM responds with a status other than 200.
-type AnswerError struct {
+// ResponseError is returned when a VM responds with a status other than 200.
+type ResponseError struct {
 	Addr string
 	Path string
 	// Status is the HTTP status, such as "404 Not Found".
@@ -39,7 +39,7 @@
 }
 
 // Error returns the address, the status and the result code.
-func (e *AnswerError) Error() string {
+func (e *ResponseError) Error() string {
 	text := e.Addr + e.Path + " answered " + e.Status
 	if e.Result == "" {
 		return text
@@ -117,7 +117,7 @@
 	}
 	defer func() { _ = response.Body.Close() }()
 	if response.StatusCode != http.StatusOK {
-		return nil, &AnswerError{
+		return nil, &ResponseError{
 			Addr:   addr,
 			Path:   path,
 			Status: response.Status,
--- a/console/fleet.go
+++ b/console/fleet.go
@@ -12,8 +12,8 @@
 
 // Fleet holds the statuses of many VMs, in the order of the queried addresses.
 type Fleet struct {
-	VMs       []operator.Status `json:"vms"`
-	Unreached []UnreachableVM   `json:"unreached"`
+	VMs         []operator.Status `json:"vms"`
+	Unreachable []UnreachableVM   `json:"unreached"`
 }
 
 // UnreachableVM is a VM whose query failed.
@@ -28,12 +28,12 @@
 		return c.Status(ctx, addr)
 	})
 	fleet := Fleet{
-		VMs:       []operator.Status{},
-		Unreached: []UnreachableVM{},
+		VMs:         []operator.Status{},
+		Unreachable: []UnreachableVM{},
 	}
 	for _, r := range responses {
 		if r.err != nil {
-			fleet.Unreached = append(fleet.Unreached, UnreachableVM{
+			fleet.Unreachable = append(fleet.Unreachable, UnreachableVM{
 				Addr:  r.addr,
 				Error: r.err.Error(),
 			})
@@ -74,8 +74,8 @@
 func compareDocumentStates(a, b DocumentState) int {
 	return cmp.Or(
 		cmp.Compare(a.Key, b.Key),
-		cmp.Compare(a.InForce, b.InForce),
-		cmp.Compare(a.Refused, b.Refused),
+		cmp.Compare(a.Active, b.Active),
+		cmp.Compare(a.Rejected, b.Rejected),
 		cmp.Compare(a.Reason, b.Reason),
 	)
 }
@@ -103,11 +103,11 @@
 	return s.Documents[i]
 }
 
-// Agreed reports whether all VMs that responded have the same revision of every
+// Converged reports whether all VMs that responded have the same revision of every
 // document and none has rejected one.
-func (f *Fleet) Agreed() bool {
+func (f *Fleet) Converged() bool {
 	states := f.DocumentStates()
-	refused := slices.ContainsFunc(states, func(state DocumentState) bool { return state.Refused != 0 })
+	refused := slices.ContainsFunc(states, func(state DocumentState) bool { return state.Rejected != 0 })
 	return !refused && len(states) == len(f.keys())
 }
 
@@ -120,7 +120,7 @@
 		if err != nil {
 			continue
 		}
-		if len(merged.Unreached) == 0 {
+		if len(merged.Unreachable) == 0 {
 			return Timeline{
 				Timeline: *merged,
 			}
@@ -152,10 +152,10 @@
 	for _, e := range events {
 		present[e.VM] = true
 	}
-	missing := slices.DeleteFunc(slices.Clone(merged.Unreached), func(vm string) bool { return present[vm] })
+	missing := slices.DeleteFunc(slices.Clone(merged.Unreachable), func(vm string) bool { return present[vm] })
 	return operator.Timeline{
-		Events:    timeline.Merge(events),
-		Unreached: append(missing, failed...),
+		Events:      timeline.Merge(events),
+		Unreachable: append(missing, failed...),
 	}
 }
 
--- a/console/table.go
+++ b/console/table.go
@@ -29,9 +29,9 @@
 	t.row("")
 	t.row("DOCUMENT", "IN FORCE", "REFUSED", "VMS", "REASON")
 	for _, state := range f.DocumentStates() {
-		t.row(state.Key, formatNumber(state.InForce), formatNumber(state.Refused), f.formatVMs(state.VMs), state.Reason)
+		t.row(state.Key, formatNumber(state.Active), formatNumber(state.Rejected), f.formatVMs(state.VMs), state.Reason)
 	}
-	for _, u := range f.Unreached {
+	for _, u := range f.Unreachable {
 		t.row("")
 		t.row("NOT REACHED", u.Addr, u.Error)
 	}
@@ -78,9 +78,9 @@
 		}
 		t.row(at, e.VM, e.Kind, orEmptyCell(e.Request), orEmptyCell(e.Workspace), orEmptyCell(e.Peer), orEmptyCell(e.Endpoint), code, e.Detail)
 	}
-	if len(tl.Unreached) > 0 {
+	if len(tl.Unreachable) > 0 {
 		t.row("")
-		t.row("NOT REACHED", strings.Join(tl.Unreached, ","))
+		t.row("NOT REACHED", strings.Join(tl.Unreachable, ","))
 	}
 	return t.flush()
 }
--- a/contract/bucket.go
+++ b/contract/bucket.go
@@ -18,15 +18,15 @@
 	return int(xxhash.Sum64String(workspace) % uint64(buckets))
 }
 
-// Terms returns the limits in a region; ok is false if the region may not serve the
+// LimitsIn returns the limits in a region; ok is false if the region may not serve the
 // workspace.
-func (c *Contract) Terms(region string) (terms RegionTerms, ok bool) {
-	if c.Bound && region != c.Home {
-		return RegionTerms{}, false
+func (c *Contract) LimitsIn(region string) (terms RegionLimits, ok bool) {
+	if c.HomeOnly && region != c.Home {
+		return RegionLimits{}, false
 	}
-	i := slices.IndexFunc(c.Regions, func(t RegionTerms) bool { return t.Region == region })
+	i := slices.IndexFunc(c.Regions, func(t RegionLimits) bool { return t.Region == region })
 	if i < 0 {
-		return RegionTerms{}, false
+		return RegionLimits{}, false
 	}
 	return c.Regions[i], true
 }
--- a/contract/contract.go
+++ b/contract/contract.go
@@ -16,14 +16,14 @@
 	Keys []Key `json:"keys"`
 	// Home is the workspace's home region. It must be listed in Regions.
 	Home string `json:"home"`
-	// Bound restricts the workspace's data to its home region.
-	Bound bool `json:"bound,omitempty"`
+	// HomeOnly restricts the workspace's data to its home region.
+	HomeOnly bool `json:"bound,omitempty"`
 	// Regions lists the regions that may serve the workspace, with the limits of each.
-	Regions []RegionTerms `json:"regions"`
+	Regions []RegionLimits `json:"regions"`
 	// Models and Services list what the workspace may call.
-	Models   []string `json:"models,omitempty"`
-	Services []string `json:"services,omitempty"`
-	Answer   Answer   `json:"answer"`
+	Models   []string       `json:"models,omitempty"`
+	Services []string       `json:"services,omitempty"`
+	Latency  LatencyTargets `json:"answer"`
 }
 
 // Key is an API key of a workspace, published only as a hash of its secret.
@@ -34,9 +34,9 @@
 	NotAfter time.Time `json:"not_after,omitzero"`
 }
 
-// RegionTerms holds a contract's limits in one region. A limit of zero admits
+// RegionLimits holds a contract's limits in one region. A limit of zero admits
 // nothing.
-type RegionTerms struct {
+type RegionLimits struct {
 	Region            string  `json:"region"`
 	RequestsPerSecond float64 `json:"requests_per_second"`
 	// TokensPerSecond counts prompt and generated tokens together.
@@ -50,9 +50,9 @@
 	BorrowShare float64 `json:"borrow_share,omitempty"`
 }
 
-// Answer holds a workspace's latency targets. They are relative to a call's
+// LatencyTargets holds a workspace's latency targets. They are relative to a call's
 // arrival, when they are converted to absolute deadlines.
-type Answer struct {
+type LatencyTargets struct {
 	FirstTokenWithin Duration `json:"first_token_within"`
 	WholeWithin      Duration `json:"whole_within"`
 	// ReportWithin applies to calls of priority "report", which tolerate delay.
--- a/contract/verify.go
+++ b/contract/verify.go
@@ -31,17 +31,17 @@
 }
 
 func (v *verifier) format(format int) {
-	v.That(format == FormatVersion, "/format", "format %d", FormatVersion)
+	v.Require(format == FormatVersion, "/format", "format %d", FormatVersion)
 }
 
 // requireList rejects a missing list; an empty one is valid.
 func (v *verifier) requireList(present bool, pointer string) {
-	v.That(present, pointer, "a list, which may be empty")
+	v.Require(present, pointer, "a list, which may be empty")
 }
 
-func (v *verifier) uniqueName(seen jsonc.Names, pointer, name string) {
+func (v *verifier) uniqueName(seen jsonc.NameSet, pointer, name string) {
 	v.Name(pointer, name)
-	v.Once(seen, pointer, name)
+	v.Unique(seen, pointer, name)
 }
 
 func (v *verifier) amount(pointer string, value float64) {
@@ -55,19 +55,19 @@
 func (v *verifier) bucket(b *Bucket) {
 	v.format(b.Format)
 	index, _ := bucketIndex(v.File)
-	v.That(b.Bucket == index, "/bucket", "%d, as in the document's key", index)
-	v.Whole("/buckets", b.Buckets, b.Bucket+1, MaxBuckets)
+	v.Require(b.Bucket == index, "/bucket", "%d, as in the document's key", index)
+	v.IntRange("/buckets", b.Buckets, b.Bucket+1, MaxBuckets)
 	v.requireList(b.Contracts != nil, "/contracts")
 	if v.Problem() != nil {
 		return
 	}
-	seen := jsonc.Names{}
+	seen := jsonc.NameSet{}
 	for i := range b.Contracts {
 		c := &b.Contracts[i]
 		at := elementPointer("/contracts", i)
 		v.uniqueName(seen, at+"/workspace", c.Workspace)
 		owner := BucketOf(c.Workspace, b.Buckets)
-		v.That(owner == b.Bucket, at+"/workspace", "a workspace of this bucket; %q belongs in %s%d of %d", c.Workspace, KeyBucketPrefix, owner, b.Buckets)
+		v.Require(owner == b.Bucket, at+"/workspace", "a workspace of this bucket; %q belongs in %s%d of %d", c.Workspace, KeyBucketPrefix, owner, b.Buckets)
 		v.contract(at, c)
 	}
 }
@@ -78,78 +78,78 @@
 	v.terms(at, c)
 	v.names(at+"/models", c.Models)
 	v.names(at+"/services", c.Services)
-	v.answer(at+"/answer", c.Answer)
+	v.answer(at+"/answer", c.Latency)
 }
 
 func (v *verifier) keys(at string, keys []Key) {
 	v.requireList(keys != nil, at)
-	seen := jsonc.Names{}
+	seen := jsonc.NameSet{}
 	for i, k := range keys {
 		pointer := elementPointer(at, i) + "/sha256"
 		ok := len(k.SHA256) == hashLength && strings.Trim(k.SHA256, hexDigits) == ""
-		v.That(ok, pointer, "the SHA-256 of the secret as %d lower-case hex digits", hashLength)
-		v.Once(seen, pointer, k.SHA256)
+		v.Require(ok, pointer, "the SHA-256 of the secret as %d lower-case hex digits", hashLength)
+		v.Unique(seen, pointer, k.SHA256)
 	}
 }
 
 func (v *verifier) terms(at string, c *Contract) {
-	seen := jsonc.Names{}
+	seen := jsonc.NameSet{}
 	for i, t := range c.Regions {
 		pointer := elementPointer(at+"/regions", i)
 		v.uniqueName(seen, pointer+"/region", t.Region)
-		v.That(!c.Bound || t.Region == c.Home, pointer+"/region", "%q, the only region of a workspace bound to its home", c.Home)
+		v.Require(!c.HomeOnly || t.Region == c.Home, pointer+"/region", "%q, the only region of a workspace bound to its home", c.Home)
 		v.amount(pointer+"/requests_per_second", t.RequestsPerSecond)
 		v.amount(pointer+"/tokens_per_second", t.TokensPerSecond)
 		v.amount(pointer+"/spend_per_hour", t.SpendPerHour)
-		v.Whole(pointer+"/concurrency", t.Concurrency, 0, maxConcurrency)
+		v.IntRange(pointer+"/concurrency", t.Concurrency, 0, maxConcurrency)
 		v.Number(pointer+"/borrow_share", t.BorrowShare, 0, 1)
-		v.That(!c.Bound || t.BorrowShare == 0, pointer+"/borrow_share", "0, because a workspace bound to its home cannot borrow")
+		v.Require(!c.HomeOnly || t.BorrowShare == 0, pointer+"/borrow_share", "0, because a workspace bound to its home cannot borrow")
 	}
-	v.That(seen[c.Home], at+"/regions", "a list that includes the home region %q", c.Home)
+	v.Require(seen[c.Home], at+"/regions", "a list that includes the home region %q", c.Home)
 }
 
 func (v *verifier) names(at string, names []string) {
-	seen := jsonc.Names{}
+	seen := jsonc.NameSet{}
 	for i, name := range names {
 		v.uniqueName(seen, elementPointer(at, i), name)
 	}
 }
 
-func (v *verifier) answer(at string, a Answer) {
+func (v *verifier) answer(at string, a LatencyTargets) {
 	v.positiveDuration(at+"/first_token_within", a.FirstTokenWithin)
 	v.positiveDuration(at+"/whole_within", a.WholeWithin)
 	v.positiveDuration(at+"/report_within", a.ReportWithin)
-	v.That(a.FirstTokenWithin.Duration <= a.WholeWithin.Duration, at+"/first_token_within", "at most whole_within, which is %s", a.WholeWithin)
+	v.Require(a.FirstTokenWithin.Duration <= a.WholeWithin.Duration, at+"/first_token_within", "at most whole_within, which is %s", a.WholeWithin)
 }
 
 func (v *verifier) models(m *Models) {
 	v.format(m.Format)
 	v.requireList(m.Models != nil, "/models")
 	v.requireList(m.Services != nil, "/services")
-	seen := jsonc.Names{}
+	seen := jsonc.NameSet{}
 	for i, model := range m.Models {
 		at := elementPointer("/models", i)
 		v.uniqueName(seen, at+"/model", model.Model)
 		v.amount(at+"/prompt_price", model.PromptPrice)
 		v.amount(at+"/generated_price", model.GeneratedPrice)
-		v.Whole(at+"/max_tokens", model.MaxTokens, 1, maxTokens)
+		v.IntRange(at+"/max_tokens", model.MaxTokens, 1, maxTokens)
 	}
-	seen = jsonc.Names{}
+	seen = jsonc.NameSet{}
 	for i := range m.Services {
 		v.service(elementPointer("/services", i), &m.Services[i], seen)
 	}
 }
 
-func (v *verifier) service(at string, s *Service, seen jsonc.Names) {
+func (v *verifier) service(at string, s *Service, seen jsonc.NameSet) {
 	v.uniqueName(seen, at+"/service", s.Service)
 	v.amount(at+"/call_price", s.CallPrice)
 	v.requireList(s.Calls != nil, at+"/calls")
-	calls := jsonc.Names{}
+	calls := jsonc.NameSet{}
 	for i, call := range s.Calls {
 		pointer := elementPointer(at+"/calls", i)
 		v.OneOf(pointer+"/method", call.Method, methods)
 		v.pathPrefix(pointer+"/path_prefix", call.PathPrefix)
-		v.Once(calls, pointer+"/path_prefix", call.Method+" "+call.PathPrefix)
+		v.Unique(calls, pointer+"/path_prefix", call.Method+" "+call.PathPrefix)
 		if call.Priority != "" {
 			v.OneOf(pointer+"/priority", call.Priority, priorities)
 		}
@@ -162,7 +162,7 @@
 	ok := strings.HasPrefix(path, "/") && len(path) <= maxPathLength
 	ok = ok && !strings.Contains(path, "//") && !slices.ContainsFunc(strings.Split(path, "/"), isDotSegment)
 	ok = ok && !strings.ContainsFunc(path, isInvalidPathRune)
-	v.That(ok, pointer, `a path such as "/slots/", of letters, digits and -._~/ only`)
+	v.Require(ok, pointer, `a path such as "/slots/", of letters, digits and -._~/ only`)
 }
 
 func isDotSegment(segment string) bool {
@@ -180,13 +180,13 @@
 
 func (v *verifier) regions(r *Regions) {
 	v.format(r.Format)
-	v.That(len(r.Regions) > 0, "/regions", "a list of at least one region")
-	regions := jsonc.Names{}
-	centres := jsonc.Names{}
+	v.Require(len(r.Regions) > 0, "/regions", "a list of at least one region")
+	regions := jsonc.NameSet{}
+	centres := jsonc.NameSet{}
 	for i, region := range r.Regions {
 		at := elementPointer("/regions", i)
 		v.uniqueName(regions, at+"/region", region.Region)
-		v.That(len(region.DataCentres) > 0, at+"/data_centres", "a list of at least one data centre")
+		v.Require(len(region.DataCentres) > 0, at+"/data_centres", "a list of at least one data centre")
 		for j, centre := range region.DataCentres {
 			v.uniqueName(centres, elementPointer(at+"/data_centres", j), centre)
 		}
@@ -196,12 +196,12 @@
 	}
 }
 
-func (v *verifier) links(at string, region Region, regions jsonc.Names) {
-	seen := jsonc.Names{}
+func (v *verifier) links(at string, region Region, regions jsonc.NameSet) {
+	seen := jsonc.NameSet{}
 	for i, link := range region.Links {
 		pointer := elementPointer(at, i)
-		v.That(regions[link.To] && link.To != region.Region, pointer+"/to", "another region of this document")
-		v.Once(seen, pointer+"/to", link.To)
+		v.Require(regions[link.To] && link.To != region.Region, pointer+"/to", "another region of this document")
+		v.Unique(seen, pointer+"/to", link.To)
 		v.positiveDuration(pointer+"/one_way", link.OneWay)
 	}
 }
--- a/discovery/cold_test.go
+++ b/discovery/cold_test.go
@@ -53,18 +53,18 @@
 							to:        to,
 							deliverAt: now.Add(parseDuration(t, c.Way)),
 							remaining: ready.ColdUntil.Sub(now),
-							number:    ready.ColdNumber,
+							number:    ready.ColdReportNumber,
 						})
 					}
 				}
 			}
-			if states[0].Cold("a", start.Add(parseDuration(t, c.Cold)), start) {
+			if states[0].ReportCold("a", start.Add(parseDuration(t, c.Cold)), start) {
 				broadcast(0, start)
 			}
 			end := start.Add(parseDuration(t, c.WarmAfter))
 			for now := start.Add(step); !now.After(end); now = now.Add(step) {
 				if c.Again != "" && now.Equal(start.Add(parseDuration(t, c.After))) {
-					if states[0].Cold("a", now.Add(parseDuration(t, c.Again)), now) {
+					if states[0].ReportCold("a", now.Add(parseDuration(t, c.Again)), now) {
 						broadcast(0, now)
 					}
 				}
@@ -74,7 +74,7 @@
 					switch {
 					case m.deliverAt.After(now):
 						undelivered = append(undelivered, m)
-					case states[m.to].HeardCold("a", m.number, now.Add(m.remaining), now):
+					case states[m.to].ReportColdFromPeer("a", m.number, now.Add(m.remaining), now):
 						changed = append(changed, m.to)
 					}
 				}
@@ -96,24 +96,24 @@
 func TestExtendedColdPropagates(t *testing.T) {
 	now := time.Unix(1e9, 0)
 	states := newStates(2, now)
-	assert.Assert(t, states[0].Cold("a", now.Add(time.Second), now))
+	assert.Assert(t, states[0].ReportCold("a", now.Add(time.Second), now))
 	first := states[0].Endpoints(now)[0]
-	assert.Assert(t, states[1].HeardCold("a", first.ColdNumber, first.ColdUntil, now))
-	assert.Assert(t, states[0].Cold("a", now.Add(3*time.Second), now))
+	assert.Assert(t, states[1].ReportColdFromPeer("a", first.ColdReportNumber, first.ColdUntil, now))
+	assert.Assert(t, states[0].ReportCold("a", now.Add(3*time.Second), now))
 	second := states[0].Endpoints(now)[0]
-	assert.Assert(t, states[1].HeardCold("a", second.ColdNumber, second.ColdUntil, now))
+	assert.Assert(t, states[1].ReportColdFromPeer("a", second.ColdReportNumber, second.ColdUntil, now))
 	assert.Assert(t, states[1].Endpoints(now)[0].ColdUntil.Equal(now.Add(3*time.Second)))
 	// A restarted VM numbers its reports from 1 again. They are accepted once the old
 	// report is no longer retained.
 	later := now.Add(3 * time.Second).Add(coldReportRetention)
-	assert.Assert(t, states[1].HeardCold("a", 1, later.Add(time.Second), later))
+	assert.Assert(t, states[1].ReportColdFromPeer("a", 1, later.Add(time.Second), later))
 }
 
 func newStates(count int, now time.Time) []*State {
 	states := make([]*State, count)
 	for i := range states {
 		states[i] = New(Options{Grace: 2 * time.Second})
-		states[i].Take(Change{Endpoint: &Endpoint{
+		states[i].Apply(Change{Endpoint: &Endpoint{
 			Endpoint: fleet.Endpoint{
 				ID:    "a",
 				State: fleet.StateLive,
--- a/discovery/discovery.go
+++ b/discovery/discovery.go
@@ -99,9 +99,9 @@
 	return !was
 }
 
-// StoreBack records a successful read of the store and reports whether it ends an
+// StoreRecovered records a successful read of the store and reports whether it ends an
 // outage. It must be called before the changes that were read are applied.
-func (s *State) StoreBack(now time.Time) bool {
+func (s *State) StoreRecovered(now time.Time) bool {
 	if !s.storeLost {
 		return false
 	}
@@ -110,23 +110,23 @@
 	return true
 }
 
-// Settling returns the rest of the grace period for entries that expired in an outage.
-func (s *State) Settling(now time.Time) time.Duration {
+// GraceRemaining returns the rest of the grace period for entries that expired in an outage.
+func (s *State) GraceRemaining(now time.Time) time.Duration {
 	if s.storeLost {
 		return s.grace
 	}
 	return max(s.graceEndsAt.Sub(now), 0)
 }
 
-// SettleUntil extends the grace period to that of the peer that removals come from.
-func (s *State) SettleUntil(at time.Time) {
+// ExtendGrace extends the grace period to that of the peer that removals come from.
+func (s *State) ExtendGrace(at time.Time) {
 	if at.After(s.graceEndsAt) {
 		s.graceEndsAt = at
 	}
 }
 
-// Take applies a change and reports whether it modified the state.
-func (s *State) Take(c Change, now time.Time) bool {
+// Apply applies a change and reports whether it modified the state.
+func (s *State) Apply(c Change, now time.Time) bool {
 	switch {
 	case c.Table != nil:
 		return s.applyTable(c.Table)
@@ -176,9 +176,9 @@
 	return true
 }
 
-// Cold records an endpoint's own report to this VM that it is cold, and returns whether
+// ReportCold records an endpoint's own report to this VM that it is cold, and returns whether
 // the report is new. The store reports it too, but not during an outage.
-func (s *State) Cold(id string, until, now time.Time) bool {
+func (s *State) ReportCold(id string, until, now time.Time) bool {
 	k, ok := s.endpoints[id]
 	if !ok || !until.After(now) || !k.extendCold(until) {
 		return false
@@ -187,10 +187,10 @@
 	return true
 }
 
-// HeardCold records a cold report that a peer forwarded, and returns whether it is new.
+// ReportColdFromPeer records a cold report that a peer forwarded, and returns whether it is new.
 // A known report never extends the cold period: network latency shifts its end, so VMs
 // would forward it to each other forever.
-func (s *State) HeardCold(id string, number uint64, until, now time.Time) bool {
+func (s *State) ReportColdFromPeer(id string, number uint64, until, now time.Time) bool {
 	k, ok := s.endpoints[id]
 	if !ok || !until.After(now) {
 		return false
@@ -202,9 +202,9 @@
 	return k.extendCold(until)
 }
 
-// Unreached records that an endpoint did not answer the VM of the region that probes it,
+// ReportUnreachable records that an endpoint did not answer the VM of the region that probes it,
 // and returns whether this is new. The endpoint gets no calls until the given time.
-func (s *State) Unreached(id string, until, now time.Time) bool {
+func (s *State) ReportUnreachable(id string, until, now time.Time) bool {
 	k, ok := s.endpoints[id]
 	if !ok || !until.After(now) || until.Sub(k.unreachableUntil) < minUnreachableExtension {
 		return false
@@ -270,8 +270,8 @@
 	s.versions[id] = version
 }
 
-// Step removes endpoints whose grace period is over and expired versions.
-func (s *State) Step(now time.Time) {
+// RemoveExpired removes endpoints whose grace period is over and expired versions.
+func (s *State) RemoveExpired(now time.Time) {
 	for id, k := range s.endpoints {
 		if !k.removeAt.IsZero() && !now.Before(k.removeAt) {
 			s.deleteEndpoint(id, now)
@@ -284,9 +284,9 @@
 	}
 }
 
-// Next returns the earliest time after now at which an endpoint is removed, becomes warm
+// NextChange returns the earliest time after now at which an endpoint is removed, becomes warm
 // or counts as reachable again; zero means never.
-func (s *State) Next(now time.Time) time.Time {
+func (s *State) NextChange(now time.Time) time.Time {
 	var next time.Time
 	for _, k := range s.endpoints {
 		for _, at := range []time.Time{k.removeAt, k.coldUntil, k.unreachableUntil} {
@@ -303,21 +303,21 @@
 	return s.table
 }
 
-// Ready is an endpoint that accepts new calls, at a low rate while it is cold.
-type Ready struct {
+// AvailableEndpoint is an endpoint that accepts new calls, at a low rate while it is cold.
+type AvailableEndpoint struct {
 	fleet.Endpoint
 	// ColdUntil is zero for a warm endpoint.
 	ColdUntil time.Time
-	// ColdNumber is the number of the endpoint's own cold report; zero means none.
-	ColdNumber uint64
-	// UnreachedUntil is zero for a reachable endpoint.
-	UnreachedUntil time.Time
+	// ColdReportNumber is the number of the endpoint's own cold report; zero means none.
+	ColdReportNumber uint64
+	// UnreachableUntil is zero for a reachable endpoint.
+	UnreachableUntil time.Time
 }
 
-// Held returns the endpoints of Endpoints that are cold or unreachable, in no particular
+// Degraded returns the endpoints of Endpoints that are cold or unreachable, in no particular
 // order.
-func (s *State) Held(now time.Time) []Ready {
-	var out []Ready
+func (s *State) Degraded(now time.Time) []AvailableEndpoint {
+	var out []AvailableEndpoint
 	for _, k := range s.endpoints {
 		if s.acceptsCalls(k) && (k.coldUntil.After(now) || k.unreachableUntil.After(now)) {
 			out = append(out, k.ready(now))
@@ -330,28 +330,28 @@
 	return k.State == fleet.StateLive && !s.evacuated[k.DataCentre]
 }
 
-func (k *endpointState) ready(now time.Time) Ready {
-	r := Ready{
+func (k *endpointState) ready(now time.Time) AvailableEndpoint {
+	r := AvailableEndpoint{
 		Endpoint: k.Endpoint,
 	}
 	if k.coldUntil.After(now) {
 		r.ColdUntil = k.coldUntil
-		r.ColdNumber = k.coldReportNumber
+		r.ColdReportNumber = k.coldReportNumber
 	}
 	if k.unreachableUntil.After(now) {
-		r.UnreachedUntil = k.unreachableUntil
+		r.UnreachableUntil = k.unreachableUntil
 	}
 	return r
 }
 
 // Endpoints returns the endpoints that accept new calls, sorted by id.
-func (s *State) Endpoints(now time.Time) []Ready {
-	out := make([]Ready, 0, len(s.endpoints))
+func (s *State) Endpoints(now time.Time) []AvailableEndpoint {
+	out := make([]AvailableEndpoint, 0, len(s.endpoints))
 	for _, k := range s.endpoints {
 		if s.acceptsCalls(k) {
 			out = append(out, k.ready(now))
 		}
 	}
-	slices.SortFunc(out, func(a, b Ready) int { return cmp.Compare(a.ID, b.ID) })
+	slices.SortFunc(out, func(a, b AvailableEndpoint) int { return cmp.Compare(a.ID, b.ID) })
 	return out
 }
--- a/discovery/discovery_test.go
+++ b/discovery/discovery_test.go
@@ -43,7 +43,7 @@
 			s := New(Options{Grace: 2 * time.Second})
 			for _, step := range c.Steps {
 				now = applyStep(t, s, step, now)
-				s.Step(now)
+				s.RemoveExpired(now)
 			}
 			got := []string{}
 			for _, e := range s.Endpoints(now) {
@@ -51,7 +51,7 @@
 				if !e.ColdUntil.IsZero() {
 					name += " cold"
 				}
-				if !e.UnreachedUntil.IsZero() {
+				if !e.UnreachableUntil.IsZero() {
 					name += " unreached"
 				}
 				got = append(got, name)
@@ -68,27 +68,27 @@
 	t.Helper()
 	switch {
 	case step.Put != "":
-		s.Take(Change{Endpoint: newEndpoint(t, step)}, now)
+		s.Apply(Change{Endpoint: newEndpoint(t, step)}, now)
 	case step.Unreadable != "":
-		s.Take(Change{Unreadable: true, Endpoint: &Endpoint{Endpoint: fleet.Endpoint{ID: step.Unreadable}}}, now)
+		s.Apply(Change{Unreadable: true, Endpoint: &Endpoint{Endpoint: fleet.Endpoint{ID: step.Unreadable}}}, now)
 	case step.Unreached != "":
-		s.Unreached(step.Unreached, now.Add(parseDuration(t, step.Long)), now)
+		s.ReportUnreachable(step.Unreached, now.Add(parseDuration(t, step.Long)), now)
 	case step.SaysCold != "":
-		s.Cold(step.SaysCold, now.Add(parseDuration(t, step.Cold)), now)
+		s.ReportCold(step.SaysCold, now.Add(parseDuration(t, step.Cold)), now)
 	case step.Remove != "":
-		s.Take(Change{Removed: true, Endpoint: &Endpoint{Endpoint: fleet.Endpoint{ID: step.Remove}}}, now)
+		s.Apply(Change{Removed: true, Endpoint: &Endpoint{Endpoint: fleet.Endpoint{ID: step.Remove}}}, now)
 	case step.Store == "lost":
 		s.StoreLost()
 	case step.Store == "back":
-		s.StoreBack(now)
+		s.StoreRecovered(now)
 	case step.Evacuate != "":
-		s.Take(Change{Evacuated: step.Evacuate}, now)
+		s.Apply(Change{Evacuated: step.Evacuate}, now)
 	case step.TakeBack != "":
-		s.Take(Change{Evacuated: step.TakeBack, Removed: true}, now)
+		s.Apply(Change{Evacuated: step.TakeBack, Removed: true}, now)
 	case step.Table > 0:
-		s.Take(Change{Table: route.New(route.Options{Version: step.Table})}, now)
+		s.Apply(Change{Table: route.New(route.Options{Version: step.Table})}, now)
 	case step.OtherKey:
-		s.Take(Change{Key: "other", Removed: true}, now)
+		s.Apply(Change{Key: "other", Removed: true}, now)
 	case step.Wait != "":
 		return now.Add(parseDuration(t, step.Wait))
 	}
--- a/discovery/mirror.go
+++ b/discovery/mirror.go
@@ -113,9 +113,9 @@
 	}
 }
 
-// Since returns the changes after a revision for a peer. If removals may be missing, it
+// ChangesSince returns the changes after a revision for a peer. If removals may be missing, it
 // returns all items and full is true.
-func (m *Mirror) Since(after uint64) (items []Item, full bool) {
+func (m *Mirror) ChangesSince(after uint64) (items []Item, full bool) {
 	full = after == 0 || after < m.compactedRevision
 	for _, item := range m.items {
 		if full || item.Revision > after {
--- a/discovery/mirror_test.go
+++ b/discovery/mirror_test.go
@@ -60,15 +60,15 @@
 		m.Apply([]Item{{Key: "k", Revision: 2*i + 1}}, 2*i+1)
 		m.Apply([]Item{{Key: "k", Revision: 2*i + 2, Removed: true}}, 2*i+2)
 	}
-	_, full := m.Since(2)
+	_, full := m.ChangesSince(2)
 	assert.Assert(t, full)
-	items, full := m.Since(m.Revision() - 2)
+	items, full := m.ChangesSince(m.Revision() - 2)
 	assert.Assert(t, !full)
 	assert.Equal(t, len(items), 1)
 }
 
 func syncFrom(peer, reader *Mirror) {
-	items, full := reader.Since(peer.Revision())
+	items, full := reader.ChangesSince(peer.Revision())
 	if full {
 		peer.Replace(items, reader.Revision())
 		return
--- a/endpoint/dialect.go
+++ b/endpoint/dialect.go
@@ -75,7 +75,7 @@
 		Deadline:    effectiveDeadline(a.Call),
 		Now:         c.now(),
 		Workspace:   a.Call.Workspace,
-		Priority:    a.Call.Routed.Turn(),
+		Priority:    a.Call.Routed.QueueLevel(),
 		ResumeAfter: resume,
 		FetchFrom:   a.FetchFrom,
 		ID:          a.ID,
@@ -95,9 +95,9 @@
 
 // effectiveDeadline returns the earlier of the call's and the caller's deadline.
 func effectiveDeadline(c *call.Call) time.Time {
-	by := c.WholeBy
-	if !c.Routed.CallerBy.IsZero() && c.Routed.CallerBy.Before(by) {
-		by = c.Routed.CallerBy
+	by := c.Deadline
+	if !c.Routed.CallerDeadline.IsZero() && c.Routed.CallerDeadline.Before(by) {
+		by = c.Routed.CallerDeadline
 	}
 	return by
 }
--- a/endpoint/endpoint.go
+++ b/endpoint/endpoint.go
@@ -64,11 +64,11 @@
 	// ID is unique per attempt and consists of letters, digits, '-', '_' and '.'.
 	// The endpoint must echo it.
 	ID string
-	// AnswerID replaces ID in the chat response sent to the caller, so that a
+	// CallerResponseID replaces ID in the chat response sent to the caller, so that a
 	// resumed stream keeps its id; empty means ID.
-	AnswerID string
-	Endpoint fleet.Endpoint
-	Call     *call.Call
+	CallerResponseID string
+	Endpoint         fleet.Endpoint
+	Call             *call.Call
 	// ResumeFrom is the number of generated tokens that earlier attempts
 	// forwarded. If it is positive, Sink.Head is not called again.
 	ResumeFrom int
@@ -77,16 +77,16 @@
 	ResumeAfter string
 	// FetchFrom is the address of an engine that has cached more of the prompt.
 	FetchFrom string
-	// Began, if set, is called when the first part of the response arrives.
-	Began func()
-	// Paced, if set, receives the time between two events of a routed stream and
+	// OnFirstByte, if set, is called when the first part of the response arrives.
+	OnFirstByte func()
+	// OnEventGap, if set, receives the time between two events of a routed stream and
 	// the number of tokens in the later one.
-	Paced func(gap time.Duration, tokens int)
-	// Rated, if set, receives the rate limit from the head of a verified response.
-	Rated func(fleet.Rate)
-	// Sending, if set, is called once, right before the first byte is written.
+	OnEventGap func(gap time.Duration, tokens int)
+	// OnRateLimit, if set, receives the rate limit from the head of a verified response.
+	OnRateLimit func(fleet.Rate)
+	// BeforeSend, if set, is called once, right before the first byte is written.
 	// An error stops the attempt with nothing sent.
-	Sending func() error
+	BeforeSend func() error
 }
 
 // Sink receives a response for the caller. An error from a function ends the attempt.
@@ -110,25 +110,25 @@
 	Delivered int
 	// Sent is false only if no byte of the request was written.
 	Sent bool
-	// FirstAt is when the first part of the response was forwarded.
-	FirstAt time.Time
+	// FirstByteAt is when the first part of the response was forwarded.
+	FirstByteAt time.Time
 	// Load is the endpoint's load according to the response headers; nil if absent.
 	Load *Load
-	// ComeBackAt is the retry time requested by a refusing endpoint; zero if none.
-	ComeBackAt time.Time
+	// RetryAt is the retry time requested by a refusing endpoint; zero if none.
+	RetryAt time.Time
 	// Err is the reason for any code other than Done.
 	Err error
 	// Resumable reports whether another endpoint can continue the call so that the
 	// caller still receives one complete response.
 	Resumable bool
-	// CallerGone reports whether the caller's side ended the attempt, so that the
+	// CallerDisconnected reports whether the caller's side ended the attempt, so that the
 	// endpoint is not at fault.
-	CallerGone bool
+	CallerDisconnected bool
 	// LastEvent is the id of the last event that this attempt forwarded.
 	LastEvent string
-	// Held is a server error from the endpoint, forwarded if no further attempt
+	// ErrorResponse is a server error from the endpoint, forwarded if no further attempt
 	// is made.
-	Held *call.Answer
+	ErrorResponse *call.BufferedResponse
 	// InstanceMismatch reports whether the address now belongs to another endpoint.
 	InstanceMismatch bool
 	// ClosesConnection reports whether the endpoint closes the connection after
@@ -140,8 +140,8 @@
 // response is complete or broken, or when the call's deadline expires.
 func (c *Client) Send(ctx context.Context, a Attempt, sink Sink) Outcome {
 	cancel := func() {}
-	if !a.Call.WholeBy.IsZero() {
-		ctx, cancel = clock.WithDeadline(ctx, c.now(), a.Call.WholeBy)
+	if !a.Call.Deadline.IsZero() {
+		ctx, cancel = clock.WithDeadline(ctx, c.now(), a.Call.Deadline)
 	}
 	defer cancel()
 	x := exchange{
--- a/endpoint/endpoint_test.go
+++ b/endpoint/endpoint_test.go
@@ -120,14 +120,14 @@
 
 func (r outcomeCase) attempt() Attempt {
 	a := Attempt{
-		ID:         "own",
-		AnswerID:   r.AnswerID,
-		Endpoint:   fleet.Endpoint{Addr: "127.0.0.1:1"},
-		Call:       r.call(r.Call),
-		ResumeFrom: r.ResumeFrom,
+		ID:               "own",
+		CallerResponseID: r.AnswerID,
+		Endpoint:         fleet.Endpoint{Addr: "127.0.0.1:1"},
+		Call:             r.call(r.Call),
+		ResumeFrom:       r.ResumeFrom,
 	}
 	if r.Denied {
-		a.Sending = func() error { return result.Refuse(result.TicketExpired, "the ticket was released") }
+		a.BeforeSend = func() error { return result.Refuse(result.TicketExpired, "the ticket was released") }
 	}
 	return a
 }
@@ -144,7 +144,7 @@
 		Header:     http.Header{"Idempotency-Key": {"op"}},
 		Body:       []byte(`{"a":1}`),
 		Idempotent: true,
-		WholeBy:    time.Now().Add(in),
+		Deadline:   time.Now().Add(in),
 	}
 	switch kind {
 	case "stream", "chat":
@@ -190,7 +190,7 @@
 	assert.Equal(t, o.Delivered, w.Delivered)
 	assert.Equal(t, o.Usage.GeneratedTokens, w.Generated)
 	assert.Equal(t, o.Resumable, w.Resumable)
-	assert.Equal(t, o.CallerGone, w.CallerGone)
+	assert.Equal(t, o.CallerDisconnected, w.CallerGone)
 	id := r.AnswerID
 	if id == "" {
 		id = "own"
--- a/endpoint/exchange.go
+++ b/endpoint/exchange.go
@@ -85,7 +85,7 @@
 	if err := x.ctx.Err(); err != nil {
 		return err
 	}
-	by := x.attempt.Call.WholeBy
+	by := x.attempt.Call.Deadline
 	if !by.IsZero() && !x.client.now().Before(by) {
 		return context.DeadlineExceeded
 	}
@@ -96,10 +96,10 @@
 	if err := x.checkDeadline(); err != nil {
 		return err
 	}
-	if x.attempt.Sending == nil {
+	if x.attempt.BeforeSend == nil {
 		return nil
 	}
-	return x.attempt.Sending()
+	return x.attempt.BeforeSend()
 }
 
 // transportRefusal classifies an attempt that received no response.
@@ -117,7 +117,7 @@
 	case x.ctx.Err() != nil:
 		return notSentRefusal(x.ctx.Err())
 	default:
-		return result.Refuse(result.EndpointRefused, "the endpoint was not reached").Because(err)
+		return result.Refuse(result.EndpointRefused, "the endpoint was not reached").WithCause(err)
 	}
 }
 
@@ -126,13 +126,13 @@
 	if errors.As(err, &refusal) {
 		return refusal
 	}
-	return result.Refuse(result.DeadlinePassed, "nothing was sent").Because(err)
+	return result.Refuse(result.DeadlinePassed, "nothing was sent").WithCause(err)
 }
 
 // readRefusal classifies an error after the request was sent.
 func (x *exchange) readRefusal(err error) *result.Refusal {
 	if x.ctx.Err() != nil {
-		return result.Refuse(result.EndpointTimeout, "the answer did not end in time").Because(x.ctx.Err())
+		return result.Refuse(result.EndpointTimeout, "the answer did not end in time").WithCause(x.ctx.Err())
 	}
 	var netErr net.Error
 	cut := errors.Is(err, io.EOF) ||
@@ -140,9 +140,9 @@
 		errors.Is(err, syscall.ECONNRESET) ||
 		errors.As(err, &netErr)
 	if cut {
-		return result.Refuse(result.EndpointCut, "the connection broke off").Because(err)
+		return result.Refuse(result.EndpointCut, "the connection broke off").WithCause(err)
 	}
-	return result.Refuse(result.EndpointFailed, "the answer is malformed").Because(err)
+	return result.Refuse(result.EndpointFailed, "the answer is malformed").WithCause(err)
 }
 
 // handleResponse verifies the head of a response and forwards the rest.
@@ -157,7 +157,7 @@
 	switch resp.StatusCode {
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable:
 		if resp.Header.Get(headerRun) == runNone {
-			x.outcome.ComeBackAt = parseRetryAfter(resp.Header, x.client.now())
+			x.outcome.RetryAt = parseRetryAfter(resp.Header, x.client.now())
 			return result.Refuse(result.EndpointRefused, "the endpoint refused with status %d", resp.StatusCode)
 		}
 		return result.Refuse(result.EndpointFailed, "the endpoint answered status %d", resp.StatusCode)
@@ -206,9 +206,9 @@
 		return nil
 	}
 	x.headForwarded = true
-	x.outcome.FirstAt = x.client.now()
-	if x.attempt.Began != nil {
-		x.attempt.Began()
+	x.outcome.FirstByteAt = x.client.now()
+	if x.attempt.OnFirstByte != nil {
+		x.attempt.OnFirstByte()
 	}
 	if x.attempt.ResumeFrom > 0 || x.attempt.ResumeAfter != "" {
 		return nil
@@ -225,7 +225,7 @@
 		return nil
 	}
 	x.sinkFailed = true
-	return result.Refuse(result.EndpointTimeout, "the caller went away").Because(err)
+	return result.Refuse(result.EndpointTimeout, "the caller went away").WithCause(err)
 }
 
 // finish fills in the outcome.
@@ -237,7 +237,7 @@
 	}
 	o.Code = refusal.Code
 	o.Err = refusal
-	o.CallerGone = x.sinkFailed || errors.Is(x.ctx.Err(), context.Canceled)
+	o.CallerDisconnected = x.sinkFailed || errors.Is(x.ctx.Err(), context.Canceled)
 	o.Resumable = x.resumable(refusal.Code)
 	if o.Delivered > 0 {
 		o.Usage = call.Usage{
--- a/endpoint/load.go
+++ b/endpoint/load.go
@@ -40,9 +40,9 @@
 	Incarnation int64 `json:"-"`
 }
 
-// Report requests an endpoint's load. It fails if the connection, the status or
+// FetchLoad requests an endpoint's load. It fails if the connection, the status or
 // the format of the report is bad.
-func (c *Client) Report(ctx context.Context, e fleet.Endpoint) (Load, error) {
+func (c *Client) FetchLoad(ctx context.Context, e fleet.Endpoint) (Load, error) {
 	path, decode := c.reportFormat()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+e.Addr+path, nil)
 	if err != nil {
@@ -70,9 +70,9 @@
 	return load, nil
 }
 
-// ColdFor requests an endpoint's remaining cold-start time. The health check
+// FetchColdStart requests an endpoint's remaining cold-start time. The health check
 // occupies a slot like any request.
-func (c *Client) ColdFor(ctx context.Context, e fleet.Endpoint, path string) (time.Duration, error) {
+func (c *Client) FetchColdStart(ctx context.Context, e fleet.Endpoint, path string) (time.Duration, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+e.Addr+path, nil)
 	if err != nil {
 		return 0, merry.Wrap(err)
--- a/endpoint/relay.go
+++ b/endpoint/relay.go
@@ -43,7 +43,7 @@
 		x.reportRateLimit(resp.Header)
 	}
 	if head.NotRun {
-		x.outcome.ComeBackAt = head.RetryAt
+		x.outcome.RetryAt = head.RetryAt
 		x.outcome.InstanceMismatch = head.InstanceMismatch
 		return result.Refuse(result.EndpointRefused, "the endpoint refused with status %d", resp.StatusCode)
 	}
@@ -58,8 +58,8 @@
 
 // reportRateLimit passes the rate limit in a verified response to Attempt.Rated.
 func (x *exchange) reportRateLimit(h http.Header) {
-	if x.attempt.Rated != nil && x.client.dialect.ReadRateLimit != nil {
-		x.attempt.Rated(x.client.dialect.ReadRateLimit(h))
+	if x.attempt.OnRateLimit != nil && x.client.dialect.ReadRateLimit != nil {
+		x.attempt.OnRateLimit(x.client.dialect.ReadRateLimit(h))
 	}
 }
 
@@ -87,7 +87,7 @@
 		header.Set("Content-Length", strconv.Itoa(body.Len()))
 	}
 	if resp.StatusCode >= http.StatusInternalServerError {
-		x.outcome.Held = &call.Answer{
+		x.outcome.ErrorResponse = &call.BufferedResponse{
 			Status: resp.StatusCode,
 			Header: header,
 			Body:   bytes.Clone(body.Bytes()),
@@ -146,8 +146,8 @@
 // returns the current time.
 func (x *exchange) reportEventGap(lastAt time.Time) time.Time {
 	now := x.client.now()
-	if x.attempt.Paced != nil && !lastAt.IsZero() {
-		x.attempt.Paced(now.Sub(lastAt), x.attempt.Call.Routed.EventTokens)
+	if x.attempt.OnEventGap != nil && !lastAt.IsZero() {
+		x.attempt.OnEventGap(now.Sub(lastAt), x.attempt.Call.Routed.TokensPerEvent)
 	}
 	return now
 }
@@ -155,7 +155,7 @@
 // finishRelay completes a stream that ended on an event boundary.
 func (x *exchange) finishRelay(resp *http.Response) *result.Refusal {
 	x.outcome.Usage.PromptTokens = x.attempt.Call.PromptTokens
-	x.outcome.Usage.GeneratedTokens = x.outcome.Delivered * x.attempt.Call.Routed.EventTokens
+	x.outcome.Usage.GeneratedTokens = x.outcome.Delivered * x.attempt.Call.Routed.TokensPerEvent
 	return x.forwardHead(resp.StatusCode, endToEndHeader(resp.Header))
 }
 
--- a/endpoint/relay_test.go
+++ b/endpoint/relay_test.go
@@ -70,7 +70,7 @@
 			header := http.Header{}
 			rated := "none"
 			attempt := routedCall(addr, c.Resume)
-			attempt.Rated = func(r fleet.Rate) { rated = strconv.FormatBool(r.Named) }
+			attempt.OnRateLimit = func(r fleet.Rate) { rated = strconv.FormatBool(r.Named) }
 			out := newRelayClient(t).Send(t.Context(), attempt, Sink{
 				Head: func(s int, h http.Header) error {
 					status = s
@@ -95,7 +95,7 @@
 				assert.Equal(t, header.Get(name), value)
 			}
 			if c.Held > 0 {
-				assert.Equal(t, out.Held.Status, c.Held)
+				assert.Equal(t, out.ErrorResponse.Status, c.Held)
 			}
 		})
 	}
@@ -118,12 +118,12 @@
 			Addr: addr,
 		},
 		Call: &call.Call{
-			ID:      "attempt-1",
-			Kind:    call.KindRouted,
-			Method:  http.MethodPost,
-			Path:    "/a%2Fb/?q=%20x",
-			Body:    []byte("body"),
-			WholeBy: time.Now().Add(time.Minute),
+			ID:       "attempt-1",
+			Kind:     call.KindRouted,
+			Method:   http.MethodPost,
+			Path:     "/a%2Fb/?q=%20x",
+			Body:     []byte("body"),
+			Deadline: time.Now().Add(time.Minute),
 			Routed: &call.Routed{
 				Host: "h.example",
 			},
--- a/endpoint/request.go
+++ b/endpoint/request.go
@@ -59,14 +59,14 @@
 	}
 	target, err := url.ParseRequestURI(a.Call.Path)
 	if err != nil {
-		return nil, result.Refuse(result.BadRequest, "the path is malformed").Because(err)
+		return nil, result.Refuse(result.BadRequest, "the path is malformed").WithCause(err)
 	}
 	target.Scheme = "http"
 	target.Host = a.Endpoint.Addr
 	target.User = nil
 	req, err := http.NewRequestWithContext(ctx, a.Call.Method, target.String(), nil)
 	if err != nil {
-		return nil, result.Refuse(result.BadRequest, "the request is malformed").Because(err)
+		return nil, result.Refuse(result.BadRequest, "the request is malformed").WithCause(err)
 	}
 	req.Header = requestHeader(a)
 	setBody(req, a.Call.Body)
@@ -78,7 +78,7 @@
 func (c *Client) newRoutedRequest(ctx context.Context, a Attempt) (*http.Request, *result.Refusal) {
 	req, err := http.NewRequestWithContext(ctx, a.Call.Method, "http://"+a.Endpoint.Addr, nil)
 	if err != nil {
-		return nil, result.Refuse(result.BadRequest, "the request is malformed").Because(err)
+		return nil, result.Refuse(result.BadRequest, "the request is malformed").WithCause(err)
 	}
 	req.URL.Opaque = a.Call.Path
 	req.Host = a.Call.Routed.Host
@@ -104,8 +104,8 @@
 	h.Set("User-Agent", userAgent)
 	h.Set(headerRequestID, a.ID)
 	h.Set(headerPriority, strconv.Itoa(int(a.Call.Priority)))
-	if !a.Call.WholeBy.IsZero() {
-		h.Set(headerDeadline, strconv.FormatInt(a.Call.WholeBy.UnixMilli(), 10))
+	if !a.Call.Deadline.IsZero() {
+		h.Set(headerDeadline, strconv.FormatInt(a.Call.Deadline.UnixMilli(), 10))
 	}
 	if a.ResumeFrom > 0 {
 		h.Set(headerResumeFrom, strconv.Itoa(a.ResumeFrom))
--- a/endpoint/response.go
+++ b/endpoint/response.go
@@ -128,7 +128,7 @@
 func (x *exchange) validateCompletion(data []byte) *result.Refusal {
 	var c completion
 	if err := json.Unmarshal(data, &c); err != nil {
-		return result.Refuse(result.EndpointFailed, "the answer is malformed").Because(err)
+		return result.Refuse(result.EndpointFailed, "the answer is malformed").WithCause(err)
 	}
 	if refusal := x.verifyCompletionID(c.ID); refusal != nil {
 		return refusal
@@ -165,10 +165,10 @@
 
 // rewriteCompletionID replaces the attempt's id with the one sent to the caller.
 func (x *exchange) rewriteCompletionID(data []byte) []byte {
-	if x.attempt.AnswerID == "" || x.attempt.AnswerID == x.attempt.ID {
+	if x.attempt.CallerResponseID == "" || x.attempt.CallerResponseID == x.attempt.ID {
 		return data
 	}
-	own, known := quotedCompletionID(x.attempt.ID), quotedCompletionID(x.attempt.AnswerID)
+	own, known := quotedCompletionID(x.attempt.ID), quotedCompletionID(x.attempt.CallerResponseID)
 	return bytes.Replace(data, []byte(own), []byte(known), 1)
 }
 
--- a/endpoint/stream.go
+++ b/endpoint/stream.go
@@ -150,7 +150,7 @@
 	s.chunk.reset()
 	if err := s.decoder.decode(data, &s.chunk); err != nil {
 		s.decoder = newJSONDecoder()
-		return result.Refuse(result.EndpointFailed, "a chunk is malformed").Because(err)
+		return result.Refuse(result.EndpointFailed, "a chunk is malformed").WithCause(err)
 	}
 	if refusal := x.verifyCompletionID(s.chunk.ID); refusal != nil {
 		return refusal
--- a/entry/elsewhere.go
+++ b/entry/elsewhere.go
@@ -2,13 +2,13 @@
 
 import "slices"
 
-// Elsewhere returns the regions whose VMs a client may use while no VM of its own region
+// FallbackRegions returns the regions whose VMs a client may use while no VM of its own region
 // accepts calls. own is the region of the VM that answers the client, reached lists the
 // regions with VMs that accept calls, and bound holds the home regions of each route
 // restricted to some. Calls of such a route must not reach a VM outside the client's
 // region and the route's homes. Elsewhere therefore returns the regions that are homes of
 // the most routes, or only own if it is one of them.
-func Elsewhere(own string, bound [][]string, reached []string) []string {
+func FallbackRegions(own string, bound [][]string, reached []string) []string {
 	var best []string
 	maxCount := 0
 	for _, region := range reached {
--- a/entry/elsewhere_test.go
+++ b/entry/elsewhere_test.go
@@ -17,7 +17,7 @@
 		Want    []string
 	}](t, "testdata/elsewhere.json") {
 		t.Run(c.Name, func(t *testing.T) {
-			assert.DeepEqual(t, Elsewhere("a", c.Bound, c.Reached), c.Want)
+			assert.DeepEqual(t, FallbackRegions("a", c.Bound, c.Reached), c.Want)
 		})
 	}
 }
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -81,9 +81,9 @@
 	return ids[first]
 }
 
-// First returns the highest ranked VM for a hash, and false if there are none. It does not
+// HighestRanked returns the highest ranked VM for a hash, and false if there are none. It does not
 // allocate.
-func First(hash uint64, vms []fleet.VM) (fleet.VM, bool) {
+func HighestRanked(hash uint64, vms []fleet.VM) (fleet.VM, bool) {
 	first := highestScore(hash, len(vms), func(i int) string { return vms[i].ID })
 	if first < 0 {
 		return fleet.VM{}, false
@@ -106,9 +106,9 @@
 	return first
 }
 
-// Spread returns the number of entry VMs of a workspace. It depends only on the contract
+// EntryVMCount returns the number of entry VMs of a workspace. It depends only on the contract
 // and the number of VMs, so that all VMs agree.
-func Spread(terms contract.RegionTerms, vms int) int {
+func EntryVMCount(terms contract.RegionLimits, vms int) int {
 	k := vms
 	if needed := math.Ceil(terms.RequestsPerSecond / RequestsPerSecondPerVM); needed < float64(vms) {
 		k = int(needed)
--- a/entry/entry_test.go
+++ b/entry/entry_test.go
@@ -36,12 +36,12 @@
 
 // zipfTerms returns contracts whose request rates follow a Zipf distribution with exponent
 // 1, with an average of perVM requests per second for each VM.
-func zipfTerms(vms int, perVM float64) []contract.RegionTerms {
+func zipfTerms(vms int, perVM float64) []contract.RegionLimits {
 	sum := 0.0
 	for i := range workspaces {
 		sum += 1 / float64(i+1)
 	}
-	terms := make([]contract.RegionTerms, workspaces)
+	terms := make([]contract.RegionLimits, workspaces)
 	for i := range terms {
 		terms[i].RequestsPerSecond = perVM * float64(vms) / sum / float64(i+1)
 	}
@@ -50,14 +50,14 @@
 
 // relativeLoad returns the load of each VM relative to the mean, if every workspace uses
 // its full contract.
-func relativeLoad(list []fleet.VM, terms []contract.RegionTerms, seed, spread int) []float64 {
+func relativeLoad(list []fleet.VM, terms []contract.RegionLimits, seed, spread int) []float64 {
 	sums := make(map[string]float64)
 	total := 0.0
 	names := ids(list)
 	for i, t := range terms {
 		k := spread
 		if k == 0 {
-			k = Spread(t, len(list))
+			k = EntryVMCount(t, len(list))
 		}
 		if k <= MinEntryVMs {
 			sums[Owner(fmt.Sprintf("ws-%d-%d", seed, i), names)] += t.RequestsPerSecond
@@ -115,16 +115,16 @@
 		ranked := Rank(w, shuffled)
 		assert.DeepEqual(t, ranked, Rank(w, list))
 		assert.Equal(t, Owner(w, ids(shuffled)), ranked[0].ID)
-		first, ok := First(Hash(w), shuffled)
+		first, ok := HighestRanked(Hash(w), shuffled)
 		assert.Assert(t, ok)
 		assert.Equal(t, first, ranked[0])
 	}
 	assert.Equal(t, Owner("ws", nil), "")
-	_, ok := First(Hash("ws"), nil)
+	_, ok := HighestRanked(Hash("ws"), nil)
 	assert.Assert(t, !ok)
 	names := ids(list)
 	assert.Equal(t, testing.AllocsPerRun(100, func() { Owner("ws-1", names) }), 0.0)
-	assert.Equal(t, testing.AllocsPerRun(100, func() { First(7, list) }), 0.0)
+	assert.Equal(t, testing.AllocsPerRun(100, func() { HighestRanked(7, list) }), 0.0)
 }
 
 func TestSpread(t *testing.T) {
@@ -140,8 +140,8 @@
 		{rate: 100, vms: 1, want: 1},
 		{rate: 100, vms: 0, want: 0},
 	} {
-		terms := contract.RegionTerms{RequestsPerSecond: c.rate}
-		assert.Equal(t, Spread(terms, c.vms), c.want, "rate %v, %d VMs", c.rate, c.vms)
+		terms := contract.RegionLimits{RequestsPerSecond: c.rate}
+		assert.Equal(t, EntryVMCount(terms, c.vms), c.want, "rate %v, %d VMs", c.rate, c.vms)
 	}
 }
 
--- a/entry/near.go
+++ b/entry/near.go
@@ -11,12 +11,12 @@
 // remaining ones would be overloaded.
 const minLocalFraction = 0.75
 
-// Near returns at most limit VMs for a client to use. It prefers the VMs of
+// SelectVMs returns at most limit VMs for a client to use. It prefers the VMs of
 // the client's data centre, to avoid traffic between data centres, if enough of them
 // accept calls, and uses all data centres otherwise. If there are too many VMs, each
 // client gets its own stable selection, since clients close connections to VMs that are no
 // longer listed.
-func Near(client, dataCentre string, vms []fleet.VM, limit int) []fleet.VM {
+func SelectVMs(client, dataCentre string, vms []fleet.VM, limit int) []fleet.VM {
 	local := inDataCentre(dataCentre, vms)
 	if average := float64(len(vms)) / float64(countDataCentres(vms)); float64(len(local)) >= minLocalFraction*average {
 		vms = local
--- a/entry/near_test.go
+++ b/entry/near_test.go
@@ -30,9 +30,9 @@
 			clientsByVM := make(map[string]int)
 			for i := range 300 {
 				client := fmt.Sprintf("10.0.0.%d", i)
-				near := Near(client, "a", list, c.Most)
+				near := SelectVMs(client, "a", list, c.Most)
 				assert.Equal(t, len(near), c.Each)
-				assert.DeepEqual(t, Near(client, "a", list, c.Most), near)
+				assert.DeepEqual(t, SelectVMs(client, "a", list, c.Most), near)
 				for _, vm := range near {
 					clientsByVM[vm.ID]++
 				}
@@ -52,8 +52,8 @@
 // TestNearIsStable checks that the loss of a VM does not change a client's other VMs.
 func TestNearIsStable(t *testing.T) {
 	list := vmsIn(map[string]int{"a": 100})
-	before := Near("10.0.0.1", "a", list, 64)
-	after := Near("10.0.0.1", "a", slices.DeleteFunc(slices.Clone(list), func(vm fleet.VM) bool { return vm.ID == before[3].ID }), 64)
+	before := SelectVMs("10.0.0.1", "a", list, 64)
+	after := SelectVMs("10.0.0.1", "a", slices.DeleteFunc(slices.Clone(list), func(vm fleet.VM) bool { return vm.ID == before[3].ID }), 64)
 	for _, vm := range before {
 		if vm.ID != before[3].ID {
 			assert.Assert(t, slices.Contains(after, vm), vm.ID)
--- a/explain/explain.go
+++ b/explain/explain.go
@@ -27,8 +27,8 @@
 	Event string
 	// Fields are the line's other fields, in their original order.
 	Fields []Field
-	// IsBelief is set if the line is about the process's state, not the request.
-	IsBelief bool
+	// IsProcessState is set if the line is about the process's state, not the request.
+	IsProcessState bool
 }
 
 // Field is one field of a line.
@@ -143,7 +143,7 @@
 	for _, l := range lines {
 		isProcessState := l.field(fieldRequest) == "" && vms[l.VM]
 		if isProcessState && !l.At.Before(from) && !l.At.After(to) {
-			l.IsBelief = true
+			l.IsProcessState = true
 			out = append(out, l)
 		}
 	}
--- a/explain/explain_test.go
+++ b/explain/explain_test.go
@@ -23,7 +23,7 @@
 	var got []string
 	for _, l := range Request(lines, "r1") {
 		text := l.VM + " " + l.Event
-		if l.IsBelief {
+		if l.IsProcessState {
 			text += " (state)"
 		}
 		got = append(got, text)
--- a/gateway/platform.go
+++ b/gateway/platform.go
@@ -51,9 +51,9 @@
 	reloadSignals := make(chan os.Signal, 1)
 	signal.Notify(reloadSignals, syscall.SIGHUP)
 	logWriter := logs.New(logs.Options{
-		To:    stdout,
-		Lines: gatewaySettings.LogLines,
-		Level: parseLevel(gatewaySettings.LogLevel),
+		Output:      stdout,
+		BufferLines: gatewaySettings.LogLines,
+		Level:       parseLevel(gatewaySettings.LogLevel),
 	})
 	defer closeLogs(logWriter)
 	logger := logWriter.Logger()
--- a/limit/account.go
+++ b/limit/account.go
@@ -80,7 +80,7 @@
 	}
 }
 
-func refillRates(t *contract.RegionTerms) vector {
+func refillRates(t *contract.RegionLimits) vector {
 	return vector{
 		requests: t.RequestsPerSecond,
 		tokens:   t.TokensPerSecond,
@@ -152,30 +152,30 @@
 	}
 	a.refilledAt = now
 	switch {
-	case r.Base > 0 && !r.BaseSince.IsZero():
-		a.refilledAt = r.BaseSince
-	case !r.Since.IsZero():
-		a.refilledAt = r.Since
+	case r.PreviousShare > 0 && !r.PreviousShareSince.IsZero():
+		a.refilledAt = r.PreviousShareSince
+	case !r.ShareSince.IsZero():
+		a.refilledAt = r.ShareSince
 	}
 }
 
 // heldShare returns the smallest share held since the last refill, and the integral of the
 // share over that time in seconds.
 func (a *account) heldShare(r *Request, now time.Time) (minShare, shareSeconds float64) {
-	if r.Since.IsZero() {
+	if r.ShareSince.IsZero() {
 		minShare = min(a.share, r.Share)
 		return minShare, minShare * secondsBetween(a.refilledAt, now)
 	}
-	since := moment.Later(a.refilledAt, r.Since)
+	since := moment.Later(a.refilledAt, r.ShareSince)
 	shareSeconds = r.Share * secondsBetween(since, now)
-	if !a.refilledAt.Before(r.Since) {
+	if !a.refilledAt.Before(r.ShareSince) {
 		return r.Share, shareSeconds
 	}
-	shareSeconds += r.Base * secondsBetween(moment.Later(a.refilledAt, r.BaseSince), since)
-	if a.refilledAt.Before(r.BaseSince) {
+	shareSeconds += r.PreviousShare * secondsBetween(moment.Later(a.refilledAt, r.PreviousShareSince), since)
+	if a.refilledAt.Before(r.PreviousShareSince) {
 		return 0, shareSeconds
 	}
-	return r.Base, shareSeconds
+	return r.PreviousShare, shareSeconds
 }
 
 func secondsBetween(from, to time.Time) float64 {
@@ -196,9 +196,9 @@
 
 func (s *shortage) refusal() *result.Refusal {
 	return &result.Refusal{
-		Code:       s.code,
-		Message:    s.message,
-		ComeBackAt: s.retryAt,
+		Code:    s.code,
+		Message: s.message,
+		RetryAt: s.retryAt,
 	}
 }
 
--- a/limit/bench_test.go
+++ b/limit/bench_test.go
@@ -14,17 +14,17 @@
 func benchmarkRequest(workspace string) Request {
 	return Request{
 		Workspace: workspace,
-		Terms: contract.RegionTerms{
+		Terms: contract.RegionLimits{
 			RequestsPerSecond: 1e9,
 			TokensPerSecond:   1e12,
 			SpendPerHour:      1e15,
 			Concurrency:       1 << 30,
 			BorrowShare:       0.5,
 		},
-		Share: 1,
-		Since: origin,
-		VMs:   8,
-		Owner: true,
+		Share:      1,
+		ShareSince: origin,
+		VMs:        8,
+		Owner:      true,
 		Cost: Amounts{
 			Requests:    1,
 			Tokens:      100,
--- a/limit/fleet_test.go
+++ b/limit/fleet_test.go
@@ -74,7 +74,7 @@
 	linkFaults []linkFault
 	list       *fleet.List
 	listLag    time.Duration
-	terms      contract.RegionTerms
+	terms      contract.RegionLimits
 	workspaces []string
 	// leases lets VMs that are not the owner admit calls from leases.
 	leases bool
@@ -118,7 +118,7 @@
 		variant:    v,
 		list:       &fleet.List{Revision: 1},
 		workspaces: []string{"tee-times", "care-reports"},
-		terms: contract.RegionTerms{
+		terms: contract.RegionLimits{
 			RequestsPerSecond: 100,
 			TokensPerSecond:   2000,
 		},
--- a/limit/lease.go
+++ b/limit/lease.go
@@ -153,11 +153,11 @@
 	}
 }
 
-// Want returns the lease request to send to the owner: the amounts wanted for one lease
+// LeaseRequest returns the lease request to send to the owner: the amounts wanted for one lease
 // term, and the unused amounts returned. Returned amounts are deducted at once, even if
 // the message is lost, so that they cannot be spent twice. ask is false when no request is
 // due.
-func (l *Ledger) Want(workspace string, terms contract.RegionTerms, now time.Time) (want, unused Amounts, ask bool) {
+func (l *Ledger) LeaseRequest(workspace string, terms contract.RegionLimits, now time.Time) (want, unused Amounts, ask bool) {
 	s := l.shard(workspace)
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -281,7 +281,7 @@
 func (l *Ledger) Grant(r Request, want, unused Amounts, now time.Time) (Amounts, *result.Refusal) {
 	s, a := l.lockAndRefill(&r, now)
 	defer s.mu.Unlock()
-	a.creditReturned(r.From, unused, now)
+	a.creditReturned(r.Borrower, unused, now)
 	if r.Share <= 0 {
 		short := a.shortage(&r, now)
 		return Amounts{}, short.refusal()
@@ -308,10 +308,10 @@
 
 func (a *account) grant(r *Request, want Amounts, now time.Time) Amounts {
 	l := a.leaseState()
-	g := l.outgoing[r.From]
+	g := l.outgoing[r.Borrower]
 	if g == nil {
 		g = &outgoingLease{}
-		l.outgoing[r.From] = g
+		l.outgoing[r.Borrower] = g
 	}
 	g.slots = 0
 	free := concurrencyLimit(r.Terms.Concurrency, r.Share) - a.inFlight - l.grantedSlots(now)
--- a/limit/limit.go
+++ b/limit/limit.go
@@ -56,15 +56,15 @@
 // Request describes a call to charge to a workspace's limits.
 type Request struct {
 	Workspace string
-	Terms     contract.RegionTerms
+	Terms     contract.RegionLimits
 	// Share is the fraction of Terms, from 0 to 1, that this VM may currently use.
 	Share float64
-	// Since, Base and BaseSince are the history of Share, as in membership.Holding.
+	// ShareSince, Base and BaseSince are the history of Share, as in membership.Holding.
 	// Without them an account starts empty, and a share counts from the first request that
 	// carries it.
-	Since     time.Time
-	Base      float64
-	BaseSince time.Time
+	ShareSince         time.Time
+	PreviousShare      float64
+	PreviousShareSince time.Time
 	// VMs is the number of VMs listed in the region.
 	VMs int
 	// Owner is set if this VM owns the workspace according to its own view.
@@ -74,8 +74,8 @@
 	Burst Amounts
 	// InitialFill is the fill level of a new account's buckets, from 0 to 1.
 	InitialFill float64
-	// From is the VM that requests a lease; it is only used by Grant.
-	From string
+	// Borrower is the VM that requests a lease; it is only used by Grant.
+	Borrower string
 	// Cost is the estimated usage of the call.
 	Cost Amounts
 }
@@ -141,9 +141,9 @@
 		return
 	}
 	// A fixed share counts as held since the epoch.
-	r.Base = r.Share
-	r.Since = time.Unix(0, 0)
-	r.BaseSince = r.Since
+	r.PreviousShare = r.Share
+	r.ShareSince = time.Unix(0, 0)
+	r.PreviousShareSince = r.ShareSince
 }
 
 // lockAndRefill locks the shard of the workspace and returns it with the refilled account.
--- a/limit/network_test.go
+++ b/limit/network_test.go
@@ -17,13 +17,13 @@
 		return
 	}
 	sentAt := p.local(n.now)
-	want, unused, ask := p.ledger.Want(workspace, n.terms, sentAt)
+	want, unused, ask := p.ledger.LeaseRequest(workspace, n.terms, sentAt)
 	if !ask {
 		return
 	}
 	n.send(p, owner.ID, func(q *process) {
 		r := n.request(q, workspace)
-		r.From = p.vm.ID
+		r.Borrower = p.vm.ID
 		granted, refusal := q.ledger.Grant(r, want, unused, q.local(n.now))
 		if refusal != nil {
 			return
@@ -39,14 +39,14 @@
 	held := n.holding(p, workspace, now)
 	owner, _ := p.view.Owner(workspace)
 	return limit.Request{
-		Workspace: workspace,
-		Terms:     n.terms,
-		Share:     held.Share,
-		Since:     held.Since,
-		Base:      held.Base,
-		BaseSince: held.BaseSince,
-		VMs:       len(n.list.VMs),
-		Owner:     owner.ID == p.vm.ID,
+		Workspace:          workspace,
+		Terms:              n.terms,
+		Share:              held.Share,
+		ShareSince:         held.Since,
+		PreviousShare:      held.Base,
+		PreviousShareSince: held.BaseSince,
+		VMs:                len(n.list.VMs),
+		Owner:              owner.ID == p.vm.ID,
 		Cost: limit.Amounts{
 			Requests: 1,
 			Tokens:   20,
@@ -55,13 +55,13 @@
 }
 
 // holding returns the process's share as computed by the variant.
-func (n *network) holding(p *process, workspace string, now time.Time) membership.Holding {
-	held := p.view.Hold(workspace, now)
+func (n *network) holding(p *process, workspace string, now time.Time) membership.ShareHistory {
+	held := p.view.ShareHistory(workspace, now)
 	switch n.variant {
 	case visibleShare:
-		held = membership.Holding{}
-		if owner, ok := p.view.Owner(workspace); ok && owner.ID == p.vm.ID && p.view.LendsFrom.Before(now) {
-			held.Share = float64(len(p.view.Entries(workspace))) / float64(p.view.VMs)
+		held = membership.ShareHistory{}
+		if owner, ok := p.view.Owner(workspace); ok && owner.ID == p.vm.ID && p.view.GrantsFrom.Before(now) {
+			held.Share = float64(len(p.view.OwnersByRank(workspace))) / float64(p.view.VMs)
 			held.Since = time.Unix(0, 0)
 		}
 	case forgetPast:
@@ -75,11 +75,11 @@
 func (n *network) heartbeat(p *process, to string) {
 	sentAt := p.local(n.now)
 	beat := p.state.Beat(sentAt)
-	held := p.state.HeldLoan(to)
+	held := p.state.HeldLeaseID(to)
 	answered := false
 	n.send(p, to, func(q *process) {
 		now := q.local(n.now)
-		q.state.Heard(beat, time.Time{}, now)
+		q.state.HandleBeat(beat, time.Time{}, now)
 		n.acknowledge(q, p.vm.ID, held)
 		loan := n.lend(q, p.vm.ID, beat.ViewHash, now)
 		q.lastLoan[p.vm.ID] = loan.ID
@@ -92,7 +92,7 @@
 	})
 	n.deliver(p, n.now+heartbeatInterval, func() {
 		if !answered {
-			p.state.Missed(to, p.local(n.now))
+			p.state.RecordMiss(to, p.local(n.now))
 			p.changed = true
 		}
 	})
@@ -100,31 +100,31 @@
 
 func (n *network) acknowledge(q *process, from string, held uint64) {
 	if n.variant == acknowledgeAnyHeartbeat {
-		q.state.Acknowledge(from, q.lastLoan[from])
+		q.state.AcknowledgeLease(from, q.lastLoan[from])
 		// A loan ID that was never issued acknowledges nothing.
 		held = q.lastLoan[from] + 1
 	}
-	q.state.Acknowledge(from, held)
+	q.state.AcknowledgeLease(from, held)
 }
 
-func (n *network) receiveReply(p *process, from string, reply membership.Beat, loan membership.Loan, sentAt time.Time) {
+func (n *network) receiveReply(p *process, from string, reply membership.Beat, loan membership.Lease, sentAt time.Time) {
 	now := p.local(n.now)
 	if n.variant == countFromReceipt {
 		sentAt = now
 	}
-	p.state.Heard(reply, sentAt, now)
-	p.state.Borrowed(from, loan, sentAt, now)
+	p.state.HandleBeat(reply, sentAt, now)
+	p.state.AcceptLease(from, loan, sentAt, now)
 	p.changed = true
 }
 
-func (n *network) lend(q *process, to string, theirHash uint64, now time.Time) membership.Loan {
+func (n *network) lend(q *process, to string, theirHash uint64, now time.Time) membership.Lease {
 	switch n.variant {
 	case lendAtOnce:
 		ids := viewIDs(q.view)
-		if !slices.Contains(ids, to) || q.view.LendsFrom.After(now) {
-			return membership.Loan{}
+		if !slices.Contains(ids, to) || q.view.GrantsFrom.After(now) {
+			return membership.Lease{}
 		}
-		return membership.Loan{
+		return membership.Lease{
 			Term:    leaseTerm,
 			Members: ids,
 		}
@@ -132,20 +132,20 @@
 		ids := viewIDs(q.view)
 		if !slices.Equal(ids, q.lentView) {
 			if n.now < q.lentViewExpires {
-				return membership.Loan{}
+				return membership.Lease{}
 			}
 			q.lentView = ids
 		}
 		q.lentViewExpires = n.now + leaseTerm + leaseTerm/50
-		return q.state.Lend(to, theirHash, now)
+		return q.state.GrantLease(to, theirHash, now)
 	default:
-		return q.state.Lend(to, theirHash, now)
+		return q.state.GrantLease(to, theirHash, now)
 	}
 }
 
 func viewIDs(v *membership.View) []string {
 	var ids []string
-	for _, vm := range v.Entries("any") {
+	for _, vm := range v.OwnersByRank("any") {
 		ids = append(ids, vm.ID)
 	}
 	slices.Sort(ids)
--- a/limit/script_test.go
+++ b/limit/script_test.go
@@ -17,7 +17,7 @@
 type script struct {
 	ledgers map[string]*Ledger
 	policy  string
-	terms   contract.RegionTerms
+	terms   contract.RegionLimits
 	held    map[string]Request
 	open    map[string]Reservation
 	now     time.Time
@@ -26,7 +26,7 @@
 var origin = time.Unix(1e9, 0)
 
 func TestLedgerScripts(t *testing.T) {
-	datatest.Scripts(t, "testdata/ledger/*.txtar", func() datatest.Do {
+	datatest.RunScripts(t, "testdata/ledger/*.txtar", func() datatest.CommandFunc {
 		s := &script{
 			ledgers: make(map[string]*Ledger),
 			held:    make(map[string]Request),
@@ -51,7 +51,7 @@
 	case "at":
 		s.now = origin.Add(duration(vm))
 	case "terms":
-		s.terms = contract.RegionTerms{
+		s.terms = contract.RegionLimits{
 			RequestsPerSecond: args["requests"],
 			TokensPerSecond:   args["tokens"],
 			SpendPerHour:      args["spend"],
@@ -67,7 +67,7 @@
 	case "cancel":
 		l.Cancel(s.open[words[1]], s.now)
 	case "want":
-		want, unused, ask := l.Want("ws", s.terms, s.now)
+		want, unused, ask := l.LeaseRequest("ws", s.terms, s.now)
 		return fmt.Sprintf("%v want %s unused %s", ask, formatAmounts(want), formatAmounts(unused))
 	case "grant":
 		given, refusal := l.Grant(s.request(vm, words[1]), amounts(args), parseUnused(words), s.now)
@@ -97,7 +97,7 @@
 	r.Workspace = "ws"
 	r.Terms = s.terms
 	r.VMs = 4
-	r.From = from
+	r.Borrower = from
 	return r
 }
 
@@ -115,7 +115,7 @@
 // describeRefusal formats a refusal, after checking on a copy of the account that its
 // retry time is the earliest that admits the call.
 func (s *script) describeRefusal(l *Ledger, r Request, refusal *result.Refusal) string {
-	if refusal.ComeBackAt.IsZero() {
+	if refusal.RetryAt.IsZero() {
 		return strconv.Itoa(int(refusal.Code))
 	}
 	l.applyPolicy(&r)
@@ -124,15 +124,15 @@
 		at   time.Time
 		free bool
 	}{
-		{at: refusal.ComeBackAt.Add(-time.Millisecond)},
-		{at: refusal.ComeBackAt, free: true},
+		{at: refusal.RetryAt.Add(-time.Millisecond)},
+		{at: refusal.RetryAt, free: true},
 	} {
 		probe.refill(&r, c.at)
 		if short := probe.shortage(&r, c.at); short.isZero() != c.free {
 			return fmt.Sprintf("admitted at %v: %v", c.at.Sub(origin), short.isZero())
 		}
 	}
-	return fmt.Sprintf("%d at %v", refusal.Code, refusal.ComeBackAt.Sub(origin).Round(time.Millisecond))
+	return fmt.Sprintf("%d at %v", refusal.Code, refusal.RetryAt.Sub(origin).Round(time.Millisecond))
 }
 
 func parseArgs(words []string) map[string]float64 {
@@ -169,16 +169,16 @@
 
 func parseShare(words []string, args map[string]float64) Request {
 	r := Request{
-		Share: args["now"],
-		Base:  args["base"],
-		Owner: args["now"] > 0,
+		Share:         args["now"],
+		PreviousShare: args["base"],
+		Owner:         args["now"] > 0,
 	}
 	for _, w := range words {
 		switch key, value, _ := strings.Cut(w, "="); key {
 		case "since":
-			r.Since = origin.Add(duration(value))
+			r.ShareSince = origin.Add(duration(value))
 		case "base_since":
-			r.BaseSince = origin.Add(duration(value))
+			r.PreviousShareSince = origin.Add(duration(value))
 		}
 	}
 	return r
--- a/logs/logs.go
+++ b/logs/logs.go
@@ -23,10 +23,10 @@
 
 // Options configure a Writer.
 type Options struct {
-	// To is the destination, for example standard output.
-	To io.Writer
-	// Lines is the buffer's capacity in lines; zero means DefaultBufferLines.
-	Lines int
+	// Output is the destination, for example standard output.
+	Output io.Writer
+	// BufferLines is the buffer's capacity in lines; zero means DefaultBufferLines.
+	BufferLines int
 	// Level is the minimum level that is written.
 	Level slog.Leveler
 }
@@ -43,12 +43,12 @@
 
 // New returns a Writer and starts its goroutine; Close stops it.
 func New(o Options) *Writer {
-	if o.Lines <= 0 {
-		o.Lines = DefaultBufferLines
+	if o.BufferLines <= 0 {
+		o.BufferLines = DefaultBufferLines
 	}
 	w := &Writer{
-		output: o.To,
-		lines:  make(chan []byte, o.Lines),
+		output: o.Output,
+		lines:  make(chan []byte, o.BufferLines),
 		done:   make(chan struct{}),
 	}
 	w.logger = slog.New(slog.NewJSONHandler(bufferWriter{writer: w}, &slog.HandlerOptions{
--- a/logs/logs_test.go
+++ b/logs/logs_test.go
@@ -32,7 +32,7 @@
 // and that dropped lines are counted and reported.
 func TestStalledOutput(t *testing.T) {
 	out := &stalledWriter{unblock: make(chan struct{})}
-	w := New(Options{To: out, Lines: 8})
+	w := New(Options{Output: out, BufferLines: 8})
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
@@ -66,7 +66,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			var out bytes.Buffer
-			trail := NewTrail(slog.New(slog.NewJSONHandler(&out, nil)), "r1", c.sampled)
+			trail := NewRequestLog(slog.New(slog.NewJSONHandler(&out, nil)), "r1", c.sampled)
 			trail.Add("arrived")
 			trail.Add("chosen", slog.Int("attempt", 1))
 			if c.fails {
@@ -76,7 +76,7 @@
 			assert.Equal(t, strings.Join(events(t, &out), " "), c.want)
 		})
 	}
-	var none *Trail
+	var none *RequestLog
 	none.Add("nothing")
 	none.Fail("nothing")
 }
@@ -101,14 +101,14 @@
 // BenchmarkRequest measures the cost of logging one request when logging is off,
 // when its lines are buffered and discarded, and when they are written.
 func BenchmarkRequest(b *testing.B) {
-	w := New(Options{To: io.Discard})
+	w := New(Options{Output: io.Discard})
 	for _, c := range []struct {
 		name  string
-		trail func() *Trail
+		trail func() *RequestLog
 	}{
-		{name: "off", trail: func() *Trail { return nil }},
-		{name: "sampled_out", trail: func() *Trail { return NewTrail(w.Logger(), "r", false) }},
-		{name: "full", trail: func() *Trail { return NewTrail(w.Logger(), "r", true) }},
+		{name: "off", trail: func() *RequestLog { return nil }},
+		{name: "sampled_out", trail: func() *RequestLog { return NewRequestLog(w.Logger(), "r", false) }},
+		{name: "full", trail: func() *RequestLog { return NewRequestLog(w.Logger(), "r", true) }},
 	} {
 		b.Run(c.name, func(b *testing.B) {
 			b.ReportAllocs()
--- a/logs/trail.go
+++ b/logs/trail.go
@@ -10,10 +10,10 @@
 // maxBufferedRecords limits the memory of a request's buffered log records.
 const maxBufferedRecords = 32
 
-// Trail is the log of one request. Its lines are written immediately if the
+// RequestLog is the log of one request. Its lines are written immediately if the
 // request is sampled; otherwise they are buffered, and written only if the request
 // fails. All methods may be called on a nil Trail.
-type Trail struct {
+type RequestLog struct {
 	logger  *slog.Logger
 	request string
 
@@ -22,9 +22,9 @@
 	buffered   []slog.Record
 }
 
-// NewTrail returns the log of a request. If sampled is set, nothing is buffered.
-func NewTrail(logger *slog.Logger, request string, sampled bool) *Trail {
-	return &Trail{
+// NewRequestLog returns the log of a request. If sampled is set, nothing is buffered.
+func NewRequestLog(logger *slog.Logger, request string, sampled bool) *RequestLog {
+	return &RequestLog{
 		logger:     logger,
 		request:    request,
 		unbuffered: sampled,
@@ -32,7 +32,7 @@
 }
 
 // Add logs a decision and its inputs at level info.
-func (t *Trail) Add(event string, attrs ...slog.Attr) {
+func (t *RequestLog) Add(event string, attrs ...slog.Attr) {
 	if t == nil {
 		return
 	}
@@ -50,7 +50,7 @@
 
 // Fail logs a failure at level warn, after all buffered lines. Lines that follow
 // are written immediately.
-func (t *Trail) Fail(event string, attrs ...slog.Attr) {
+func (t *RequestLog) Fail(event string, attrs ...slog.Attr) {
 	if t == nil {
 		return
 	}
@@ -65,14 +65,14 @@
 	t.write(r)
 }
 
-func (t *Trail) record(level slog.Level, event string, attrs []slog.Attr) slog.Record {
+func (t *RequestLog) record(level slog.Level, event string, attrs []slog.Attr) slog.Record {
 	r := slog.NewRecord(time.Now(), level, event, 0)
 	r.AddAttrs(slog.String("request", t.request))
 	r.AddAttrs(attrs...)
 	return r
 }
 
-func (t *Trail) write(r slog.Record) {
+func (t *RequestLog) write(r slog.Record) {
 	// bufferWriter never returns an error.
 	_ = t.logger.Handler().Handle(context.Background(), r)
 }
--- a/membership/bench_test.go
+++ b/membership/bench_test.go
@@ -50,17 +50,17 @@
 		Ready:        true,
 		ListRevision: 1,
 	}
-	s.Heard(b, time.Time{}, now)
-	s.Lend(id, s.candidates.hash, now)
-	s.Heard(b, now, now)
-	s.Borrowed(id, Loan{Term: 30 * time.Second, Hash: s.candidates.hash}, now, now)
+	s.HandleBeat(b, time.Time{}, now)
+	s.GrantLease(id, s.candidates.hash, now)
+	s.HandleBeat(b, now, now)
+	s.AcceptLease(id, Lease{Term: 30 * time.Second, Hash: s.candidates.hash}, now, now)
 }
 
 func TestHoldDoesNotAllocate(t *testing.T) {
 	s, now := newHealthyState(8, 10)
 	v := s.View(now)
 	got := testing.AllocsPerRun(1000, func() {
-		v.Hold("ws-1", now)
+		v.ShareHistory("ws-1", now)
 		v.Owner("ws-1")
 	})
 	assert.Equal(t, got, 0.0)
@@ -88,7 +88,7 @@
 				v := s.View(now)
 				b.ReportAllocs()
 				for b.Loop() {
-					v.Hold("ws-1", now)
+					v.ShareHistory("ws-1", now)
 				}
 			})
 		}
--- a/membership/catchup.go
+++ b/membership/catchup.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Known holds the revisions of the documents and the list that a VM has.
-type Known struct {
+// Revisions holds the revisions of the documents and the list that a VM has.
+type Revisions struct {
 	DocumentsRevision uint64
 	ListRevision      uint64
 }
@@ -16,7 +16,7 @@
 //
 // Revisions of peers that aren't ready themselves are ignored, so VMs that start
 // together don't wait for each other.
-func (s *State) CaughtUp(k Known, now time.Time) bool {
+func (s *State) CaughtUp(k Revisions, now time.Time) bool {
 	if s.list == nil {
 		return false
 	}
@@ -33,7 +33,7 @@
 
 // checkPeers reports whether any peer answered, and whether no peer is pending or has a
 // newer revision.
-func checkPeers(peers []*peer, k Known) (heard, settled bool) {
+func checkPeers(peers []*peer, k Revisions) (heard, settled bool) {
 	settled = true
 	for _, p := range peers {
 		switch {
@@ -47,6 +47,6 @@
 	return heard, settled
 }
 
-func (p *peer) hasNewerThan(k Known) bool {
+func (p *peer) hasNewerThan(k Revisions) bool {
 	return p.beat.DocumentsRevision > k.DocumentsRevision || p.beat.ListRevision > k.ListRevision
 }
--- a/membership/catchup_test.go
+++ b/membership/catchup_test.go
@@ -46,7 +46,7 @@
 			if row.AfterHold {
 				now = s.grantFrom
 			}
-			got := s.CaughtUp(Known{
+			got := s.CaughtUp(Revisions{
 				DocumentsRevision: 5,
 				ListRevision:      3,
 			}, now)
@@ -73,12 +73,12 @@
 
 func (p catchUpVM) apply(s *State, id string, now time.Time) {
 	for i := range p.Missed {
-		s.Missed(id, now.Add(time.Duration(i)*s.heartbeatInterval))
+		s.RecordMiss(id, now.Add(time.Duration(i)*s.heartbeatInterval))
 	}
 	if !p.Answers {
 		return
 	}
-	s.Heard(Beat{
+	s.HandleBeat(Beat{
 		VM:                id,
 		Incarnation:       7,
 		Ready:             p.Ready,
--- a/membership/held_lease.go
+++ b/membership/held_lease.go
@@ -36,8 +36,8 @@
 	from    time.Time
 }
 
-// Borrowed accepts the lease from the reply to a heartbeat sent at sentAt.
-func (s *State) Borrowed(from string, l Loan, sentAt, now time.Time) {
+// AcceptLease accepts the lease from the reply to a heartbeat sent at sentAt.
+func (s *State) AcceptLease(from string, l Lease, sentAt, now time.Time) {
 	s.advance(now)
 	if s.leaving || sentAt.Before(s.resumedAt) {
 		return
@@ -57,9 +57,9 @@
 	}
 }
 
-// HeldLoan returns the number of the last lease accepted from a VM's current
+// HeldLeaseID returns the number of the last lease accepted from a VM's current
 // incarnation, which the next heartbeat to it acknowledges. Zero means none.
-func (s *State) HeldLoan(from string) uint64 {
+func (s *State) HeldLeaseID(from string) uint64 {
 	l := s.heldLeases[from]
 	if l == nil || l.grantorIncarnation != s.grantorIncarnation(from) {
 		return 0
@@ -128,7 +128,7 @@
 
 // resolveMembers returns the lease's member set. If the lease has only a hash, the set
 // is looked up among the own recent ones.
-func (s *State) resolveMembers(l Loan) *memberSet {
+func (s *State) resolveMembers(l Lease) *memberSet {
 	if len(l.Members) > 0 {
 		return newMemberSet(slices.Clone(l.Members))
 	}
--- a/membership/lease.go
+++ b/membership/lease.go
@@ -7,10 +7,10 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Loan is a lease of the grantor's share of every workspace whose owner among Members
+// Lease is a lease of the grantor's share of every workspace whose owner among Members
 // is the holder. It starts when the holder sent the request. A zero Term means that
 // nothing was granted.
-type Loan struct {
+type Lease struct {
 	// ID increases with each lease of a grantor.
 	ID   uint64
 	Term time.Duration
@@ -167,20 +167,20 @@
 	}
 }
 
-// Lend answers the heartbeat of a VM in the own region. Its beat must have been passed
+// GrantLease answers the heartbeat of a VM in the own region. Its beat must have been passed
 // to Heard first. The grantor counts the lease for a margin longer than the holder
 // does, since their clocks may run at different rates.
-func (s *State) Lend(to string, theirHash uint64, now time.Time) Loan {
+func (s *State) GrantLease(to string, theirHash uint64, now time.Time) Lease {
 	s.advance(now)
 	p := s.peers[to]
 	if p == nil || p.requestIncarnation != p.beat.Incarnation {
-		return Loan{}
+		return Lease{}
 	}
 	members, id, ok := s.grantLease(p.beat.process(), now)
 	if !ok {
-		return Loan{}
+		return Lease{}
 	}
-	l := Loan{
+	l := Lease{
 		ID:   id,
 		Term: s.leaseTerm,
 		Hash: members.hash,
@@ -191,9 +191,9 @@
 	return l
 }
 
-// Acknowledge processes the lease number that a VM reported in the heartbeat last
+// AcknowledgeLease processes the lease number that a VM reported in the heartbeat last
 // passed to Heard.
-func (s *State) Acknowledge(from string, id uint64) {
+func (s *State) AcknowledgeLease(from string, id uint64) {
 	p := s.peers[from]
 	if p == nil || p.requestIncarnation != p.beat.Incarnation {
 		return
--- a/membership/membership.go
+++ b/membership/membership.go
@@ -69,7 +69,7 @@
 	grantFrom      time.Time
 	leaving        bool
 	ready          bool
-	// adoptedRights maps a VM ID to the execution rights it holds, as set by SetRights.
+	// adoptedRights maps a VM ID to the execution rights it holds, as set by SetAdoptedRights.
 	adoptedRights map[string][]Adoption
 
 	advancedAt time.Time
@@ -225,10 +225,10 @@
 	return peers
 }
 
-// Heard processes a peer's beat. sentAt is when this VM sent the request that the beat
+// HandleBeat processes a peer's beat. sentAt is when this VM sent the request that the beat
 // answers. It is zero if the beat came with the peer's own request, which doesn't show
 // that the peer can be reached.
-func (s *State) Heard(b Beat, sentAt, now time.Time) {
+func (s *State) HandleBeat(b Beat, sentAt, now time.Time) {
 	s.advance(now)
 	p := s.peers[b.VM]
 	if p == nil {
@@ -249,14 +249,14 @@
 	s.candidatesStale = true
 }
 
-// Missed records a heartbeat or forwarded call that the VM didn't answer.
-func (s *State) Missed(vm string, now time.Time) {
+// RecordMiss records a heartbeat or forwarded call that the VM didn't answer.
+func (s *State) RecordMiss(vm string, now time.Time) {
 	s.recordMiss(vm, 1, now)
 }
 
-// Refused records a refused connection. It counts as two misses, as the process is
+// RecordRefused records a refused connection. It counts as two misses, as the process is
 // gone.
-func (s *State) Refused(vm string, now time.Time) {
+func (s *State) RecordRefused(vm string, now time.Time) {
 	s.recordMiss(vm, missesUntilUnreachable, now)
 }
 
--- a/membership/rights.go
+++ b/membership/rights.go
@@ -2,10 +2,10 @@
 
 import "github.com/fuchsianotch/fuchsianotch/fleet"
 
-// SetRights records the execution rights of other incarnations that a VM holds. They
+// SetAdoptedRights records the execution rights of other incarnations that a VM holds. They
 // are known directly: this VM adopted them, or transferred them to the VM. It replaces
 // the VM's earlier entry.
-func (s *State) SetRights(vm string, rights []Adoption) {
+func (s *State) SetAdoptedRights(vm string, rights []Adoption) {
 	if len(rights) == 0 {
 		delete(s.adoptedRights, vm)
 		return
@@ -17,7 +17,7 @@
 }
 
 // findRightsHolders returns the VM that holds the rights of each incarnation that gave
-// them up. Rights set by SetRights take precedence over beats. Beats of leaving VMs
+// them up. Rights set by SetAdoptedRights take precedence over beats. Beats of leaving VMs
 // count least, since those may have transferred the rights since.
 func (s *State) findRightsHolders() map[process]rightsHolder {
 	adopted := make(map[process]rightsHolder)
--- a/membership/rights_test.go
+++ b/membership/rights_test.go
@@ -16,7 +16,7 @@
 	Name string `json:"name"`
 	// Beats are the beats received, in order.
 	Beats []rightsBeat `json:"beats"`
-	// Rights names the VMs passed to SetRights.
+	// Rights names the VMs passed to SetAdoptedRights.
 	Rights []string `json:"rights"`
 	// Want is the VM to ask. Empty means none.
 	Want string `json:"want"`
@@ -71,12 +71,12 @@
 		if said.Adopted {
 			b.Adopted = rights
 		}
-		s.Heard(b, now, now)
+		s.HandleBeat(b, now, now)
 	}
 	for _, vm := range c.Rights {
-		s.SetRights(vm, rights)
+		s.SetAdoptedRights(vm, rights)
 	}
-	vm, ok := s.View(now).Executor("b", 1)
+	vm, ok := s.View(now).TicketExecutor("b", 1)
 	assert.Equal(t, vm.ID, c.Want)
 	assert.Equal(t, ok, c.Want != "")
 }
--- a/membership/script_test.go
+++ b/membership/script_test.go
@@ -28,7 +28,7 @@
 var origin = time.Unix(1e9, 0)
 
 func TestScripts(t *testing.T) {
-	datatest.Scripts(t, "testdata/*.txtar", func() datatest.Do {
+	datatest.RunScripts(t, "testdata/*.txtar", func() datatest.CommandFunc {
 		s := &script{
 			state:      newState(parseVM("a")),
 			now:        origin,
@@ -81,15 +81,15 @@
 	case "beat":
 		s.setBeat(words)
 	case "request":
-		s.state.Heard(s.beats[words[0]], time.Time{}, s.now)
+		s.state.HandleBeat(s.beats[words[0]], time.Time{}, s.now)
 	case "reply":
-		s.state.Heard(s.beats[words[0]], s.sentAt(words), s.now)
+		s.state.HandleBeat(s.beats[words[0]], s.sentAt(words), s.now)
 	case "missed":
-		s.state.Missed(words[0], s.now)
+		s.state.RecordMiss(words[0], s.now)
 	case "refused":
-		s.state.Refused(words[0], s.now)
+		s.state.RecordRefused(words[0], s.now)
 	case "lend":
-		l := s.state.Lend(words[0], s.state.candidates.hash, s.now)
+		l := s.state.GrantLease(words[0], s.state.candidates.hash, s.now)
 		s.grantedIDs[words[0]] = append(s.grantedIDs[words[0]], l.ID)
 		return fmt.Sprintf("%v %s", l.Term, strings.Join(l.Members, " "))
 	case "publish":
@@ -97,24 +97,24 @@
 	case "acknowledge":
 		n, err := strconv.Atoi(words[1])
 		assert.NilError(t, err)
-		s.state.Acknowledge(words[0], s.grantedIDs[words[0]][n-1])
+		s.state.AcknowledgeLease(words[0], s.grantedIDs[words[0]][n-1])
 	case "borrow":
-		s.state.Borrowed(words[0], Loan{Term: 300 * time.Millisecond, Members: words[2:]}, parseTime(words[1]), s.now)
+		s.state.AcceptLease(words[0], Lease{Term: 300 * time.Millisecond, Members: words[2:]}, parseTime(words[1]), s.now)
 	case "borrow_number":
 		id, err := strconv.ParseUint(words[1], 10, 64)
 		assert.NilError(t, err)
-		l := Loan{
+		l := Lease{
 			ID:      id,
 			Term:    300 * time.Millisecond,
 			Members: words[3:],
 		}
-		s.state.Borrowed(words[0], l, parseTime(words[2]), s.now)
+		s.state.AcceptLease(words[0], l, parseTime(words[2]), s.now)
 	case "held":
-		return strconv.FormatUint(s.state.HeldLoan(words[0]), 10)
+		return strconv.FormatUint(s.state.HeldLeaseID(words[0]), 10)
 	case "acknowledge_number":
 		id, err := strconv.ParseUint(words[1], 10, 64)
 		assert.NilError(t, err)
-		s.state.Acknowledge(words[0], id)
+		s.state.AcknowledgeLease(words[0], id)
 	case "leave":
 		s.state.Leave(s.now)
 	default:
@@ -128,21 +128,21 @@
 	v := s.state.View(s.now)
 	switch name {
 	case "entries":
-		vms := v.Entries("ws")
+		vms := v.OwnersByRank("ws")
 		owner, _ := v.Owner("ws")
 		assert.Assert(t, len(vms) == 0 || vms[0] == owner)
 		return joinIDs(vms)
 	case "entries_in":
-		return joinIDs(v.EntriesIn(words[0], "ws"))
+		return joinIDs(v.VMsByRank(words[0], "ws"))
 	case "hold":
-		h := v.Hold("ws", s.now)
+		h := v.ShareHistory("ws", s.now)
 		if h.Share == 0 {
 			return "0"
 		}
 		return fmt.Sprintf("%.3g since %v", h.Share, h.Since.Sub(origin))
 	case "executor":
 		incarnation, _ := strconv.ParseUint(words[1], 10, 64)
-		found, ok := v.Executor(words[0], incarnation)
+		found, ok := v.TicketExecutor(words[0], incarnation)
 		return fmt.Sprint(found.ID, " ", ok)
 	case "surplus":
 		out := ""
--- a/membership/share.go
+++ b/membership/share.go
@@ -8,10 +8,10 @@
 	"github.com/fuchsianotch/fuchsianotch/fleet"
 )
 
-// Holding is the share of a workspace's limit that this VM may use as owner. Its
+// ShareHistory is the share of a workspace's limit that this VM may use as owner. Its
 // history is reduced to two steps: Base since BaseSince, then Share since Since. Shares
 // held earlier, or with a gap, are left out.
-type Holding struct {
+type ShareHistory struct {
 	Share     float64
 	Since     time.Time
 	Base      float64
@@ -51,9 +51,9 @@
 	stackSets  = 32
 )
 
-// Lenders returns the number of VMs, including this one, whose leases this VM holds
+// HeldLeases returns the number of VMs, including this one, whose leases this VM holds
 // now. If it is below View.VMs, this VM can't use part of the limits.
-func (v *View) Lenders(now time.Time) int {
+func (v *View) HeldLeases(now time.Time) int {
 	n := 0
 	for _, l := range v.shares.leases {
 		if now.Before(l.expiresAt) {
@@ -166,15 +166,15 @@
 // Share returns the fraction, from 0 to 1, of the region's limit of a workspace that
 // this VM may use as owner now.
 func (v *View) Share(workspace string, now time.Time) float64 {
-	return v.Hold(workspace, now).Share
+	return v.ShareHistory(workspace, now).Share
 }
 
-// Hold returns the share with its history, so that a limit accumulates only for the
+// ShareHistory returns the share with its history, so that a limit accumulates only for the
 // time in which the share was held.
-func (v *View) Hold(workspace string, now time.Time) Holding {
+func (v *View) ShareHistory(workspace string, now time.Time) ShareHistory {
 	h := &v.shares
 	if len(h.leases) == 0 {
-		return Holding{}
+		return ShareHistory{}
 	}
 	var words [stackWords]uint64
 	var marks [stackSets]bool
@@ -202,8 +202,8 @@
 	return buf
 }
 
-func (h *shareIndex) evaluate(owned []bool, now time.Time) Holding {
-	var out Holding
+func (h *shareIndex) evaluate(owned []bool, now time.Time) ShareHistory {
+	var out ShareHistory
 	count, base := 0, 0
 	for _, l := range h.leases {
 		since, ok := l.assignedSince(owned)
--- a/membership/view.go
+++ b/membership/view.go
@@ -43,9 +43,9 @@
 	Peers int
 	// Leaving is set permanently once this VM is stopping.
 	Leaving bool
-	// LendsFrom is when this VM begins to grant leases after a start, a pause or its
+	// GrantsFrom is when this VM begins to grant leases after a start, a pause or its
 	// listing.
-	LendsFrom time.Time
+	GrantsFrom time.Time
 
 	entryVMs      []entryVM
 	rightsHolders map[process]rightsHolder
@@ -77,7 +77,7 @@
 		Self:          s.self,
 		VMs:           s.shareDivisor(),
 		Leaving:       s.leaving,
-		LendsFrom:     s.grantFrom,
+		GrantsFrom:    s.grantFrom,
 		entryVMs:      s.entryVMs(),
 		rightsHolders: s.findRightsHolders(),
 		surplus:       s.surplusByTarget(),
@@ -157,9 +157,9 @@
 	return offers
 }
 
-// Entries returns the region's VMs that may own workspaces, in the workspace's rank
+// OwnersByRank returns the region's VMs that may own workspaces, in the workspace's rank
 // order.
-func (v *View) Entries(workspace string) []fleet.VM {
+func (v *View) OwnersByRank(workspace string) []fleet.VM {
 	vms := make([]fleet.VM, 0, len(v.entryVMs))
 	for _, e := range v.entryVMs {
 		vms = append(vms, e.vm)
@@ -185,11 +185,11 @@
 	return v.entryVMs[owner].vm, true
 }
 
-// EntriesIn returns the live VMs of a region in the workspace's rank order. For another
+// VMsByRank returns the live VMs of a region in the workspace's rank order. For another
 // region it omits leaving VMs and puts unreachable ones last.
-func (v *View) EntriesIn(region, workspace string) []fleet.VM {
+func (v *View) VMsByRank(region, workspace string) []fleet.VM {
 	if region == v.Self.Region {
-		return v.Entries(workspace)
+		return v.OwnersByRank(workspace)
 	}
 	var reached, rest []fleet.VM
 	for _, m := range v.Others {
@@ -208,9 +208,9 @@
 	return append(entry.Rank(workspace, reached), entry.Rank(workspace, rest)...)
 }
 
-// Executor returns the VM that accepts tickets of an incarnation: the one that adopted
+// TicketExecutor returns the VM that accepts tickets of an incarnation: the one that adopted
 // its rights, or the VM itself unless it is known to run another incarnation.
-func (v *View) Executor(vm string, incarnation uint64) (fleet.VM, bool) {
+func (v *View) TicketExecutor(vm string, incarnation uint64) (fleet.VM, bool) {
 	of := process{
 		vm:          vm,
 		incarnation: incarnation,
--- a/metering/calls_test.go
+++ b/metering/calls_test.go
@@ -97,9 +97,9 @@
 
 func (sim *simulation) take(v *vm, ws *route.Workspace, cost float64) {
 	verdict := v.meter.Take(ws, cost, sim.fleet(v), sim.clock())
-	coordinator := verdict.Keeper
+	coordinator := verdict.Coordinator
 	if sim.strategy == strategySynchronous && verdict.Refusal == nil && coordinator == nil {
-		v.meter.GiveBack(ws, cost, sim.fleet(v), sim.clock())
+		v.meter.Refund(ws, cost, sim.fleet(v), sim.clock())
 		assigned := v.meter.coordinator(ws.Name, sim.fleet(v))
 		coordinator = &assigned
 	}
@@ -110,12 +110,12 @@
 	}
 	sim.synchronousCalls++
 	sim.send(v, sim.byID(coordinator.ID), Note{
-		Uses: []Use{{Workspace: ws.Name, Wanted: cost}},
+		Usage: []Usage{{Workspace: ws.Name, Requested: cost}},
 	}, 150*time.Millisecond, func(r *Reply) {
-		if r != nil && len(r.Answers) == 1 && r.Answers[0].Kept {
-			sim.recordAdmitted(v, ws, cost, v.meter.Answered(ws, cost, r.Answers[0]).Refusal == nil)
+		if r != nil && len(r.Answers) == 1 && r.Answers[0].IsCoordinator {
+			sim.recordAdmitted(v, ws, cost, v.meter.ApplyAnswer(ws, cost, r.Answers[0]).Refusal == nil)
 			return
 		}
-		sim.recordAdmitted(v, ws, cost, v.meter.TakeAlone(ws, *coordinator, cost, sim.clock()).Refusal == nil)
+		sim.recordAdmitted(v, ws, cost, v.meter.TakeFallback(ws, *coordinator, cost, sim.clock()).Refusal == nil)
 	})
 }
--- a/metering/coordinator.go
+++ b/metering/coordinator.go
@@ -76,7 +76,7 @@
 // of the region's VMs that it reaches. Coordinators in other partitions of the region hold
 // the rest.
 func (m *Meter) vmShare(s *limitState, f Fleet, now time.Time) float64 {
-	return m.census.Part(now) * m.regionShare(s, f, now)
+	return m.census.ReachableShare(now) * m.regionShare(s, f, now)
 }
 
 // regionShare returns the region's share of a limit. The shares of all regions sum to 1 if
@@ -88,7 +88,7 @@
 	sum := local
 	for _, region := range m.options.Regions {
 		if region != m.options.Region {
-			sum += minimum + s.demandOf(region, local-minimum, len(f.Far[region]) > 0, now)
+			sum += minimum + s.demandOf(region, local-minimum, len(f.Remote[region]) > 0, now)
 		}
 	}
 	if sum <= 0 {
--- a/metering/metering.go
+++ b/metering/metering.go
@@ -51,33 +51,33 @@
 // all others. In each window the excess may be Part of what the limit allows, plus Amount
 // in the limit's unit.
 type Tolerance struct {
-	Window time.Duration
-	Part   float64
-	Amount float64
+	Window   time.Duration
+	Fraction float64
+	Amount   float64
 }
 
 // of returns how far a limit may be exceeded in one window.
 func (t Tolerance) of(l route.Limit) float64 {
-	return t.Part*(l.PerSecond*t.Window.Seconds()+l.Burst) + t.Amount
+	return t.Fraction*(l.PerSecond*t.Window.Seconds()+l.Burst) + t.Amount
 }
 
 // Fleet is this VM's view of the other VMs.
 type Fleet struct {
-	// Near lists the reachable VMs of this region, including this one.
-	Near []fleet.VM
+	// Local lists the reachable VMs of this region, including this one.
+	Local []fleet.VM
 	// Known is the number of VMs of this region that are not known to be gone.
 	Known int
-	// Far lists the reachable VMs of each other region.
-	Far map[string][]fleet.VM
+	// Remote lists the reachable VMs of each other region.
+	Remote map[string][]fleet.VM
 }
 
 // Verdict is the decision on a call.
 type Verdict struct {
 	// Refusal is nil if the call is admitted.
 	Refusal *result.Refusal
-	// Keeper is the coordinator that must be asked to decide; nil if the decision is
+	// Coordinator is the coordinator that must be asked to decide; nil if the decision is
 	// final.
-	Keeper *fleet.VM
+	Coordinator *fleet.VM
 }
 
 // Meter enforces workspace limits on one VM.
@@ -88,7 +88,7 @@
 	Due chan struct{}
 
 	mu     sync.Mutex
-	census fleet.Census
+	census fleet.SizeEstimate
 	usage  map[string]*unreportedUsage
 	limits map[string]*limitState
 	// unreachable maps coordinators that did not answer to the time of the next attempt.
@@ -118,7 +118,7 @@
 		options: o,
 		ledger:  limit.New(limit.Options{}),
 		Due:     make(chan struct{}, 1),
-		census: fleet.Census{
+		census: fleet.SizeEstimate{
 			StartedAt: o.StartedAt,
 		},
 		usage:       make(map[string]*unreportedUsage),
@@ -129,7 +129,7 @@
 
 // Take admits or refuses a call, or names the coordinator that must decide.
 func (m *Meter) Take(w *route.Workspace, cost float64, f Fleet, now time.Time) Verdict {
-	if w.Limit.IsZero() || cost <= 0 {
+	if w.Limit.IsUnlimited() || cost <= 0 {
 		return Verdict{}
 	}
 	m.mu.Lock()
@@ -146,13 +146,13 @@
 	u.lastCallAt = now
 	if now.Before(u.retryAt) && cost >= u.refusedCost {
 		return Verdict{
-			Refusal: refusal(w).Until(u.retryAt),
+			Refusal: refusal(w).WithRetryAt(u.retryAt),
 		}
 	}
 	maxAmount := m.maxUnreported(w, f)
 	if now.Before(u.scarceUntil) || u.amount+cost > maxAmount {
 		return Verdict{
-			Keeper: &coordinator,
+			Coordinator: &coordinator,
 		}
 	}
 	u.add(cost, now)
@@ -165,7 +165,7 @@
 // maxUnreported returns how much of a limit this VM may admit before reporting it. Calls
 // that would exceed it are sent to the coordinator.
 func (m *Meter) maxUnreported(w *route.Workspace, f Fleet) float64 {
-	return unreportedFraction * m.capacity(w.Limit) / float64(max(len(f.Near)*len(m.options.Regions), 1))
+	return unreportedFraction * m.capacity(w.Limit) / float64(max(len(f.Local)*len(m.options.Regions), 1))
 }
 
 // capacity returns the total bucket capacity of all regions for a limit.
@@ -185,9 +185,9 @@
 // does not answer. The coordinator may still be serving other VMs.
 const fallbackFraction = 0.5
 
-// TakeAlone decides on a call whose coordinator did not answer, from this VM's fallback
+// TakeFallback decides on a call whose coordinator did not answer, from this VM's fallback
 // share.
-func (m *Meter) TakeAlone(w *route.Workspace, coordinator fleet.VM, cost float64, now time.Time) Verdict {
+func (m *Meter) TakeFallback(w *route.Workspace, coordinator fleet.VM, cost float64, now time.Time) Verdict {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.unreachable[coordinator.ID] = now.Add(coordinatorRetryDelay)
@@ -214,8 +214,8 @@
 	return Verdict{}
 }
 
-// Answered applies the coordinator's decision on a call.
-func (m *Meter) Answered(w *route.Workspace, cost float64, a Answer) Verdict {
+// ApplyAnswer applies the coordinator's decision on a call.
+func (m *Meter) ApplyAnswer(w *route.Workspace, cost float64, a Answer) Verdict {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	u := m.usageOf(w)
@@ -224,9 +224,9 @@
 		return Verdict{}
 	}
 	u.refusedCost = cost
-	u.retryAt = a.ComeBackAt
+	u.retryAt = a.RetryAt
 	return Verdict{
-		Refusal: refusal(w).Until(a.ComeBackAt),
+		Refusal: refusal(w).WithRetryAt(a.RetryAt),
 	}
 }
 
@@ -237,9 +237,9 @@
 	}
 }
 
-// GiveBack refunds the cost of an admitted call that is known not to have run.
-func (m *Meter) GiveBack(w *route.Workspace, cost float64, f Fleet, now time.Time) {
-	if w.Limit.IsZero() || cost <= 0 {
+// Refund refunds the cost of an admitted call that is known not to have run.
+func (m *Meter) Refund(w *route.Workspace, cost float64, f Fleet, now time.Time) {
+	if w.Limit.IsUnlimited() || cost <= 0 {
 		return
 	}
 	m.mu.Lock()
@@ -261,13 +261,13 @@
 
 // updateCensus records the number of VMs in the region.
 func (m *Meter) updateCensus(f Fleet, now time.Time) {
-	m.census.Learn(len(f.Near), f.Known, now)
+	m.census.Observe(len(f.Local), f.Known, now)
 }
 
 // coordinator returns the VM of the region that coordinates a workspace's limit. VMs with
 // the same view of the region agree on it.
 func (m *Meter) coordinator(workspace string, f Fleet) fleet.VM {
-	if vm, ok := coordinatorOf(workspace, f.Near); ok {
+	if vm, ok := coordinatorOf(workspace, f.Local); ok {
 		return vm
 	}
 	return fleet.VM{
@@ -282,7 +282,7 @@
 // coordinatorOf returns the coordinator of a workspace among the VMs of a region, and
 // false if there are none.
 func coordinatorOf(workspace string, vms []fleet.VM) (fleet.VM, bool) {
-	return entry.First(entry.Hash(workspace)%coordinatorGroups, vms)
+	return entry.HighestRanked(entry.Hash(workspace)%coordinatorGroups, vms)
 }
 
 func (m *Meter) usageOf(w *route.Workspace) *unreportedUsage {
@@ -305,12 +305,12 @@
 	}
 	burst := m.capacity(w.Limit)
 	if w.Limit.Unit == route.UnitTokens {
-		r.Terms = contract.RegionTerms{TokensPerSecond: w.Limit.PerSecond}
+		r.Terms = contract.RegionLimits{TokensPerSecond: w.Limit.PerSecond}
 		r.Burst.Tokens = burst
 		r.Cost.Tokens = cost
 		return r
 	}
-	r.Terms = contract.RegionTerms{RequestsPerSecond: w.Limit.PerSecond}
+	r.Terms = contract.RegionLimits{RequestsPerSecond: w.Limit.PerSecond}
 	r.Burst.Requests = burst
 	r.Cost.Requests = cost
 	return r
@@ -329,8 +329,8 @@
 // initialFill returns the fill level of new buckets. They start full once this VM's view
 // of the region has been stable for a whole window.
 func (m *Meter) initialFill(now time.Time) float64 {
-	window := max(m.options.Tolerance.Window, fleet.StartsFor)
-	return min(1, max(minInitialFill, m.census.SteadyFor(now).Seconds()/window.Seconds()))
+	window := max(m.options.Tolerance.Window, fleet.StartupPeriod)
+	return min(1, max(minInitialFill, m.census.StableFor(now).Seconds()/window.Seconds()))
 }
 
 func refusal(w *route.Workspace) *result.Refusal {
--- a/metering/metering_test.go
+++ b/metering/metering_test.go
@@ -101,7 +101,7 @@
 		StartedAt: now.Add(-time.Minute),
 	})
 	return m, Fleet{
-		Near:  []fleet.VM{vm},
+		Local: []fleet.VM{vm},
 		Known: 1,
 	}
 }
@@ -127,9 +127,9 @@
 			want = result.LimitTokens
 		}
 		assert.Equal(t, refused.Code, want)
-		assert.Assert(t, refused.ComeBackAt.After(now))
-		assert.Assert(t, m.Take(w, 1, f, refused.ComeBackAt.Add(-time.Millisecond)).Refusal != nil)
-		assert.Assert(t, m.Take(w, 1, f, refused.ComeBackAt).Refusal == nil)
+		assert.Assert(t, refused.RetryAt.After(now))
+		assert.Assert(t, m.Take(w, 1, f, refused.RetryAt.Add(-time.Millisecond)).Refusal != nil)
+		assert.Assert(t, m.Take(w, 1, f, refused.RetryAt).Refusal == nil)
 	}
 }
 
@@ -147,7 +147,7 @@
 	}
 	for range 100 {
 		assert.Assert(t, m.Take(w, 1, f, now).Refusal == nil)
-		m.GiveBack(w, 1, f, now)
+		m.Refund(w, 1, f, now)
 	}
 }
 
@@ -156,7 +156,7 @@
 func TestScarcityUntilIdle(t *testing.T) {
 	now := time.Unix(1e9, 0)
 	f := Fleet{
-		Near:  []fleet.VM{{ID: "a", Region: "r"}, {ID: "b", Region: "r"}},
+		Local: []fleet.VM{{ID: "a", Region: "r"}, {ID: "b", Region: "r"}},
 		Known: 2,
 	}
 	w := &route.Workspace{
@@ -168,11 +168,11 @@
 		},
 	}
 	table := route.New(route.Options{
-		Keyed:      true,
+		RequireKey: true,
 		Workspaces: []route.Workspace{*w},
 	})
 	self := "a"
-	if coordinator, _ := coordinatorOf(w.Name, f.Near); coordinator.ID == self {
+	if coordinator, _ := coordinatorOf(w.Name, f.Local); coordinator.ID == self {
 		self = "b"
 	}
 	m := New(Options{
@@ -182,16 +182,16 @@
 		StartedAt: now.Add(-time.Minute),
 	})
 	const large = 5000
-	assert.Assert(t, m.Take(w, large, f, now).Keeper != nil)
-	m.Answered(w, large, Answer{
-		Kept:     true,
-		Admitted: true,
-		Scarce:   true,
-		At:       now,
+	assert.Assert(t, m.Take(w, large, f, now).Coordinator != nil)
+	m.ApplyAnswer(w, large, Answer{
+		IsCoordinator: true,
+		Admitted:      true,
+		Scarce:        true,
+		At:            now,
 	})
-	m.Notes(table, f, now)
-	m.Notes(table, f, now.Add(time.Second))
-	assert.Assert(t, m.Take(w, 1, f, now.Add(time.Second)).Keeper != nil)
-	m.Notes(table, f, now.Add(idleTimeout+2*time.Second))
+	m.DueNotes(table, f, now)
+	m.DueNotes(table, f, now.Add(time.Second))
+	assert.Assert(t, m.Take(w, 1, f, now.Add(time.Second)).Coordinator != nil)
+	m.DueNotes(table, f, now.Add(idleTimeout+2*time.Second))
 	assert.Equal(t, len(m.usage), 0)
 }
--- a/metering/note.go
+++ b/metering/note.go
@@ -26,17 +26,17 @@
 
 // Note is a message from one VM to another.
 type Note struct {
-	Uses    []Use
+	Usage   []Usage
 	Demands []Demand
 }
 
-// Use is usage of a workspace's limit, in the limit's unit.
-type Use struct {
+// Usage is usage of a workspace's limit, in the limit's unit.
+type Usage struct {
 	Workspace string
 	// Used is the amount admitted since the last note; negative if refunds exceed it.
 	Used float64
-	// Wanted is the cost of a call to admit now; zero if only usage is reported.
-	Wanted float64
+	// Requested is the cost of a call to admit now; zero if only usage is reported.
+	Requested float64
 }
 
 // Demand is the demand of a region's callers.
@@ -48,12 +48,12 @@
 
 // Answer is the coordinator's answer to a Use.
 type Answer struct {
-	// Kept is false if the receiver does not coordinate the limit.
-	Kept     bool
-	Admitted bool
-	// ComeBackAt is when the wanted amount would be admitted.
-	ComeBackAt time.Time
-	Scarce     bool
+	// IsCoordinator is false if the receiver does not coordinate the limit.
+	IsCoordinator bool
+	Admitted      bool
+	// RetryAt is when the wanted amount would be admitted.
+	RetryAt time.Time
+	Scarce  bool
 	// At is when the answer was received.
 	At time.Time
 }
@@ -73,9 +73,9 @@
 	Note Note
 }
 
-// Notes returns the notes that are due. Their usage counts as reported; Failed restores it
+// DueNotes returns the notes that are due. Their usage counts as reported; Failed restores it
 // if a note could not be delivered.
-func (m *Meter) Notes(table *route.Table, f Fleet, now time.Time) []Outgoing {
+func (m *Meter) DueNotes(table *route.Table, f Fleet, now time.Time) []Outgoing {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.updateCensus(f, now)
@@ -120,7 +120,7 @@
 		return
 	}
 	note := out.to(coordinator)
-	note.Uses = append(note.Uses, Use{
+	note.Usage = append(note.Usage, Usage{
 		Workspace: name,
 		Used:      used,
 	})
@@ -142,7 +142,7 @@
 	}
 	s.reportedAt = now
 	s.reportedDemand = demand
-	for _, vms := range f.Far {
+	for _, vms := range f.Remote {
 		coordinator, ok := coordinatorOf(name, vms)
 		if !ok {
 			continue
@@ -177,8 +177,8 @@
 	return &o.notes[i].Note
 }
 
-// Sent processes the reply to a note.
-func (m *Meter) Sent(o Outgoing, r Reply, now time.Time) {
+// HandleReply processes the reply to a note.
+func (m *Meter) HandleReply(o Outgoing, r Reply, now time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	delete(m.unreachable, o.To.ID)
@@ -188,8 +188,8 @@
 			s.setRemoteDemand(o.To.Region, r.Demands[i], now)
 		}
 	}
-	for i, used := range o.Note.Uses {
-		if i >= len(r.Answers) || !r.Answers[i].Kept {
+	for i, used := range o.Note.Usage {
+		if i >= len(r.Answers) || !r.Answers[i].IsCoordinator {
 			m.restoreUsage(used, now)
 			continue
 		}
@@ -199,17 +199,17 @@
 	}
 }
 
-// Failed handles a note that was not answered; its usage will be reported again.
-func (m *Meter) Failed(o Outgoing, now time.Time) {
+// HandleFailure handles a note that was not answered; its usage will be reported again.
+func (m *Meter) HandleFailure(o Outgoing, now time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.unreachable[o.To.ID] = now.Add(coordinatorRetryDelay)
-	for _, used := range o.Note.Uses {
+	for _, used := range o.Note.Usage {
 		m.restoreUsage(used, now)
 	}
 }
 
-func (m *Meter) restoreUsage(used Use, now time.Time) {
+func (m *Meter) restoreUsage(used Usage, now time.Time) {
 	if u := m.usage[used.Workspace]; u != nil {
 		u.add(used.Used, now)
 	}
@@ -246,7 +246,7 @@
 		}
 		r.Demands = append(r.Demands, local)
 	}
-	for _, used := range n.Uses {
+	for _, used := range n.Usage {
 		r.Answers = append(r.Answers, m.answer(used, table, f, now))
 	}
 	return r
@@ -259,23 +259,23 @@
 	}
 }
 
-func (m *Meter) answer(used Use, table *route.Table, f Fleet, now time.Time) Answer {
+func (m *Meter) answer(used Usage, table *route.Table, f Fleet, now time.Time) Answer {
 	w, ok := table.Workspace(used.Workspace)
-	if !ok || w.Limit.IsZero() || m.coordinator(used.Workspace, f).ID != m.options.VM {
+	if !ok || w.Limit.IsUnlimited() || m.coordinator(used.Workspace, f).ID != m.options.VM {
 		return Answer{}
 	}
 	a := Answer{
-		Kept:   true,
-		Scarce: m.charge(w, used.Used, f, now),
+		IsCoordinator: true,
+		Scarce:        m.charge(w, used.Used, f, now),
 	}
-	if used.Wanted <= 0 {
+	if used.Requested <= 0 {
 		return a
 	}
-	verdict := m.takeAsCoordinator(w, used.Wanted, f, now)
+	verdict := m.takeAsCoordinator(w, used.Requested, f, now)
 	a.Admitted = verdict.Refusal == nil
 	if !a.Admitted {
 		a.Scarce = true
-		a.ComeBackAt = verdict.Refusal.ComeBackAt
+		a.RetryAt = verdict.Refusal.RetryAt
 	}
 	return a
 }
--- a/metering/notes_test.go
+++ b/metering/notes_test.go
@@ -27,13 +27,13 @@
 		return
 	}
 	meter := v.meter
-	for _, note := range meter.Notes(sim.table(), sim.fleet(v), sim.clock()) {
+	for _, note := range meter.DueNotes(sim.table(), sim.fleet(v), sim.clock()) {
 		sim.send(v, sim.byID(note.To.ID), note.Note, time.Second, func(r *Reply) {
 			if r == nil {
-				meter.Failed(note, sim.clock())
+				meter.HandleFailure(note, sim.clock())
 				return
 			}
-			meter.Sent(note, *r, sim.clock())
+			meter.HandleReply(note, *r, sim.clock())
 		})
 	}
 }
@@ -41,8 +41,8 @@
 // send delivers a note and its reply; done receives nil if no reply arrives in time.
 func (sim *simulation) send(from, to *vm, n Note, timeout time.Duration, done func(*Reply)) {
 	sim.notes++
-	sim.entries += len(n.Uses) + len(n.Demands)
-	for i, count := range [...]int{len(n.Uses), len(n.Demands)} {
+	sim.entries += len(n.Usage) + len(n.Demands)
+	for i, count := range [...]int{len(n.Usage), len(n.Demands)} {
 		if count > 0 {
 			sim.notesByKind[i]++
 		}
--- a/metering/simulation_test.go
+++ b/metering/simulation_test.go
@@ -163,9 +163,9 @@
 		Region:  v.Region,
 		Regions: regions,
 		Tolerance: Tolerance{
-			Window: window,
-			Part:   toleratedFraction,
-			Amount: sim.Slack,
+			Window:   window,
+			Fraction: toleratedFraction,
+			Amount:   sim.Slack,
 		},
 		StartedAt: origin.Add(v.startedAt),
 	})
@@ -190,7 +190,7 @@
 				},
 			})
 		}
-		sim.tables[factor] = route.New(route.Options{Version: 1, Keyed: true, Workspaces: list})
+		sim.tables[factor] = route.New(route.Options{Version: 1, RequireKey: true, Workspaces: list})
 	}
 	return sim.tables[factor]
 }
@@ -223,10 +223,10 @@
 
 func (sim *simulation) observeFleet(v *vm) Fleet {
 	f := Fleet{
-		Far: make(map[string][]fleet.VM),
+		Remote: make(map[string][]fleet.VM),
 	}
 	if sim.now-v.startedAt < discoveryDelay && v.startedAt > 0 {
-		f.Near = []fleet.VM{v.VM}
+		f.Local = []fleet.VM{v.VM}
 		f.Known = 1
 		return f
 	}
@@ -236,12 +236,12 @@
 			continue
 		}
 		if other.region == v.region {
-			f.Near = append(f.Near, other.VM)
+			f.Local = append(f.Local, other.VM)
 			continue
 		}
-		f.Far[other.Region] = append(f.Far[other.Region], other.VM)
+		f.Remote[other.Region] = append(f.Remote[other.Region], other.VM)
 	}
-	f.Known = len(f.Near)
+	f.Known = len(f.Local)
 	return f
 }
 
--- a/metrics/metrics.go
+++ b/metrics/metrics.go
@@ -152,8 +152,8 @@
 func (m *Metrics) CallEnded(c *call.Call, o call.Outcome, arrivedAt, now time.Time) {
 	priority := c.Priority.String()
 	m.callsEnded.WithLabelValues(strconv.Itoa(int(o.Code)), string(o.Code.Class()), kindName(c.Kind), priority).Inc()
-	if !o.FirstAt.IsZero() {
-		m.firstTokenTime.WithLabelValues(priority).Observe(o.FirstAt.Sub(arrivedAt).Seconds())
+	if !o.FirstChunkAt.IsZero() {
+		m.firstTokenTime.WithLabelValues(priority).Observe(o.FirstChunkAt.Sub(arrivedAt).Seconds())
 	}
 	if o.Code.Class() == result.ClassDone {
 		m.answerTime.WithLabelValues(priority).Observe(now.Sub(arrivedAt).Seconds())
@@ -168,13 +168,13 @@
 	m.tokens.WithLabelValues("generated").Add(float64(u.GeneratedTokens))
 }
 
-// Spent adds settled spend, in millionths of the currency.
-func (m *Metrics) Spent(millionths float64) {
+// AddSpend adds settled spend, in millionths of the currency.
+func (m *Metrics) AddSpend(millionths float64) {
 	m.spend.Add(millionths)
 }
 
-// SentAway counts a call sent to another region.
-func (m *Metrics) SentAway(region string) {
+// CountCrossRegionCall counts a call sent to another region.
+func (m *Metrics) CountCrossRegionCall(region string) {
 	m.crossRegionCalls.WithLabelValues(region).Inc()
 }
 
@@ -209,8 +209,8 @@
 	m.inFlight.Add(float64(calls))
 }
 
-// Control counts bytes on the connections between VMs.
-func (m *Metrics) Control(d Direction, bytes int) {
+// AddControlBytes counts bytes on the connections between VMs.
+func (m *Metrics) AddControlBytes(d Direction, bytes int) {
 	m.controlBytes.WithLabelValues(string(d)).Add(float64(bytes))
 }
 
@@ -261,13 +261,13 @@
 	m.endpoints.WithLabelValues("cold").Set(float64(cold))
 }
 
-// SetHeld sets the number of quarantined calls, which crashed endpoints before.
-func (m *Metrics) SetHeld(calls int) {
+// SetQuarantinedCalls sets the number of quarantined calls, which crashed endpoints before.
+func (m *Metrics) SetQuarantinedCalls(calls int) {
 	m.quarantinedCalls.Set(float64(calls))
 }
 
-// SetRoutes sets the version of the active routing table.
-func (m *Metrics) SetRoutes(version uint64) {
+// SetRoutesVersion sets the version of the active routing table.
+func (m *Metrics) SetRoutesVersion(version uint64) {
 	m.routesVersion.Set(float64(version))
 }
 
@@ -277,14 +277,14 @@
 	m.publishedAge.Set(age.Seconds())
 }
 
-// ThrottledSend counts a request sent to an endpoint that has a rate limit.
-func (m *Metrics) ThrottledSend(way throttle.Way) {
+// CountRateLimitedSend counts a request sent to an endpoint that has a rate limit.
+func (m *Metrics) CountRateLimitedSend(way throttle.RequestKind) {
 	m.rateLimitedSends.WithLabelValues(string(way)).Inc()
 }
 
-// PermitAsked counts a request for a permit to use an endpoint that has a rate
+// CountPermitRequest counts a request for a permit to use an endpoint that has a rate
 // limit, by its outcome.
-func (m *Metrics) PermitAsked(outcome string) {
+func (m *Metrics) CountPermitRequest(outcome string) {
 	m.permitRequests.WithLabelValues(outcome).Inc()
 }
 
--- a/metrics/metrics_test.go
+++ b/metrics/metrics_test.go
@@ -32,17 +32,17 @@
 		Path:      callData,
 		Body:      []byte(callData),
 	}, call.Outcome{
-		Code:     result.Done,
-		FirstAt:  start.Add(time.Second),
-		Endpoint: callData,
+		Code:         result.Done,
+		FirstChunkAt: start.Add(time.Second),
+		Endpoint:     callData,
 		Usage: call.Usage{
 			PromptTokens:    5,
 			CachedTokens:    3,
 			GeneratedTokens: 2,
 		},
 	}, start, start.Add(2*time.Second))
-	m.Spent(40)
-	m.SentAway("b")
+	m.AddSpend(40)
+	m.CountCrossRegionCall("b")
 	m.Forwarded(result.ClassUnknown)
 	m.Retried()
 	m.SetDocuments(1, 9)
@@ -50,18 +50,18 @@
 	m.SetQueue(3)
 	m.AddInFlight(2)
 	m.AddInFlight(-1)
-	m.Control(DirectionOut, 100)
+	m.AddControlBytes(DirectionOut, 100)
 	m.ControlMessage(MessageHeartbeat)
 	m.ControlPayload("gossip", true, 30, 20)
 	m.SetMembers(map[string]int{"a": 2}, map[string]int{"a": 1})
 	m.SetEndpoints(3, 1)
-	m.SetRoutes(7)
-	m.SetHeld(4)
-	m.LimitRefused("hule930")
-	m.LimitAsked(true)
-	m.ThrottledSend(throttle.WayRepeat)
-	m.PermitAsked("granted")
-	m.LimitAsked(false)
+	m.SetRoutesVersion(7)
+	m.SetQuarantinedCalls(4)
+	m.CountLimitRejection("hule930")
+	m.CountLimitRequest(true)
+	m.CountRateLimitedSend(throttle.WayRepeat)
+	m.CountPermitRequest("granted")
+	m.CountLimitRequest(false)
 	m.SetPublishedAge(time.Second)
 	m.LinesDropped(2)
 	m.PlatformRead(nil)
--- a/metrics/workspace.go
+++ b/metrics/workspace.go
@@ -30,14 +30,14 @@
 	return workspace
 }
 
-// LimitRefused counts a call rejected by its workspace's rate limit.
-func (m *Metrics) LimitRefused(workspace string) {
+// CountLimitRejection counts a call rejected by its workspace's rate limit.
+func (m *Metrics) CountLimitRejection(workspace string) {
 	m.limitRejections.WithLabelValues(m.workspaces.label(workspace)).Inc()
 }
 
-// LimitAsked counts a call that waited for the VM that manages its workspace's
+// CountLimitRequest counts a call that waited for the VM that manages its workspace's
 // limit; answered is false if that VM did not respond in time.
-func (m *Metrics) LimitAsked(answered bool) {
+func (m *Metrics) CountLimitRequest(answered bool) {
 	outcome := "answered"
 	if !answered {
 		outcome = "unanswered"
--- a/metrics/workspace_test.go
+++ b/metrics/workspace_test.go
@@ -14,7 +14,7 @@
 func TestWorkspaceSeries(t *testing.T) {
 	m := New()
 	for i := range 15000 {
-		m.LimitRefused(fmt.Sprintf("w%d", i))
+		m.CountLimitRejection(fmt.Sprintf("w%d", i))
 	}
 	w := httptest.NewRecorder()
 	m.Handler().ServeHTTP(w, httptest.NewRequest("GET", "/metrics", nil))
--- a/node/borrow.go
+++ b/node/borrow.go
@@ -29,24 +29,24 @@
 			Target:          target,
 			TokensPerSecond: o.TokensPerSecond,
 			Wait:            o.Wait,
-			Until:           o.Until,
+			Until:           o.ExpiresAt,
 		})
 	}
 	return out
 }
 
-func (p *pools) borrowState(pool *targetPool, now time.Time) borrow.State {
-	supply := pool.Endpoints.Supply(now)
+func (p *pools) borrowState(pool *targetPool, now time.Time) borrow.RegionCapacity {
+	supply := pool.Endpoints.Capacity(now)
 	wait, _ := pool.Endpoints.Estimate(routing.Request{}, now)
 	vms := p.node.view().VMs
-	return borrow.State{
+	return borrow.RegionCapacity{
 		Region:           p.node.settings.Region,
 		VM:               p.node.settings.VM,
 		Target:           pool.target,
 		Slots:            supply.Slots,
 		Free:             supply.Free,
-		TokensPerSecond:  supply.SlotTokensPerSecond,
-		PrefillPerSecond: supply.PrefillPerSecond,
+		TokensPerSecond:  supply.SlotThroughput,
+		PrefillPerSecond: supply.PrefillRate,
 		Demand:           pool.demand.localMean(vms, now),
 		Waiting:          pool.queuedCalls(),
 		Wait:             wait,
@@ -67,7 +67,7 @@
 	now := p.node.now()
 	pool, ok := p.table.Load().byTarget[c.Target()]
 	tokens := float64(c.PromptTokens + c.MaxTokens)
-	if !ok || (!p.alwaysBorrow() && !pool.gate.Accept(p.borrowState(pool, now), tokens, now)) {
+	if !ok || (!p.alwaysBorrow() && !pool.gate.Admit(p.borrowState(pool, now), tokens, now)) {
 		return nil, result.Refuse(result.NoSurplus, "region %s has no surplus of %s", p.node.settings.Region, c.Target())
 	}
 	pool.demand.addBorrowed(1)
@@ -88,24 +88,24 @@
 
 func (p *pools) borrowRequest(c *call.Call, terms serving.Terms, now time.Time) borrow.Request {
 	r := borrow.Request{
-		Policy:       p.node.settings.Policies.Borrowing,
-		Target:       c.Target(),
-		Regions:      otherRegions(terms, p.node.settings.Region),
-		Allowed:      terms.Region.BorrowShare > 0,
-		FirstBy:      c.FirstBy,
-		WholeBy:      c.WholeBy,
-		PromptTokens: c.PromptTokens,
-		MaxTokens:    c.MaxTokens,
-		Unavailable:  true,
-		Damper:       p.damper,
-		Draw:         rand.Uint64(),
+		Policy:             p.node.settings.Policies.Borrowing,
+		Target:             c.Target(),
+		Regions:            otherRegions(terms, p.node.settings.Region),
+		Allowed:            terms.Region.BorrowShare > 0,
+		FirstTokenDeadline: c.FirstTokenDeadline,
+		Deadline:           c.Deadline,
+		PromptTokens:       c.PromptTokens,
+		MaxTokens:          c.MaxTokens,
+		Unavailable:        true,
+		RateLimiter:        p.damper,
+		Random:             rand.Uint64(),
 	}
 	pool, ok := p.table.Load().byTarget[c.Target()]
 	if !ok {
 		return r
 	}
-	supply := pool.Endpoints.Supply(now)
-	r.First = supply.First
+	supply := pool.Endpoints.Capacity(now)
+	r.UntilFirstToken = supply.BaseTTFT
 	r.LocalWait, r.Service = pool.Endpoints.Estimate(routing.Request{
 		PrefixHash:   c.PrefixHash,
 		PromptTokens: c.PromptTokens,
@@ -116,7 +116,7 @@
 }
 
 func otherRegions(terms serving.Terms, self string) []string {
-	if terms.Contract.Bound {
+	if terms.Contract.HomeOnly {
 		return nil
 	}
 	var out []string
@@ -137,8 +137,8 @@
 			Target:          s.Target,
 			TokensPerSecond: s.TokensPerSecond,
 			Wait:            s.Wait,
-			Until:           s.Until,
-			OneWay:          p.node.oneWayLatency(s.Region),
+			ExpiresAt:       s.Until,
+			NetworkDelay:    p.node.oneWayLatency(s.Region),
 		})
 	}
 	return out
--- a/node/control.go
+++ b/node/control.go
@@ -78,7 +78,7 @@
 
 // ask queues a request for the control goroutine and waits for the reply.
 func ask[T any](ctx context.Context, c *control, question func(reply chan<- T) message) (T, error) {
-	return mailbox.Ask(ctx, c.inbox, question)
+	return mailbox.Call(ctx, c.inbox, question)
 }
 
 // run processes messages and sends heartbeats when they are due.
@@ -108,7 +108,7 @@
 	}
 	own := c.ownHeartbeat(now)
 	for _, vm := range due {
-		go c.node.sendHeartbeat(ctx, vm, c.heartbeatFor(own, vm.Region), c.members.HeldLoan(vm.ID))
+		go c.node.sendHeartbeat(ctx, vm, c.heartbeatFor(own, vm.Region), c.members.HeldLeaseID(vm.ID))
 	}
 }
 
@@ -139,7 +139,7 @@
 func (c *control) publish(now time.Time) {
 	before := c.published.Load()
 	c.updateCaughtUp(now)
-	c.members.SetRights(c.node.settings.VM, c.node.adoptedRights(now))
+	c.members.SetAdoptedRights(c.node.settings.VM, c.node.adoptedRights(now))
 	after := &publishedState{
 		snapshot: c.store.Snapshot(),
 		view:     c.members.View(now),
@@ -168,7 +168,7 @@
 		return
 	}
 	digest := c.store.Digest()
-	known := membership.Known{
+	known := membership.Revisions{
 		DocumentsRevision: digest.Revision,
 		ListRevision:      digest.ListRevision,
 	}
--- a/node/crashes.go
+++ b/node/crashes.go
@@ -13,16 +13,16 @@
 // newCrashAgent returns the agent that quarantines calls under which endpoints crash.
 func (n *Node) newCrashAgent() *agent.Agent {
 	return agent.New(agent.Options{
-		VM:     n.settings.VM,
-		Log:    n.log,
-		Now:    n.now,
-		Dial:   tcp.Reach,
-		Listed: n.isEndpointLive,
-		VMs:    n.reachablePeers,
-		Tell: func(ctx context.Context, to fleet.VM, note quarantine.Note) error {
+		VM:        n.settings.VM,
+		Log:       n.log,
+		Now:       n.now,
+		Dial:      tcp.Probe,
+		Published: n.isEndpointLive,
+		VMs:       n.reachablePeers,
+		Send: func(ctx context.Context, to fleet.VM, note quarantine.Note) error {
 			return n.peers.Crashes(ctx, to, n.identity(), note)
 		},
-		Count: n.metrics.SetHeld,
+		OnCountChanged: n.metrics.SetQuarantinedCalls,
 	})
 }
 
--- a/node/documents.go
+++ b/node/documents.go
@@ -25,11 +25,11 @@
 // watchDocuments watches the platform's documents while this VM is a watcher of its data
 // centre, and otherwise probes them occasionally.
 func (n *Node) watchDocuments(ctx context.Context) error {
-	relay := configuration.NewRelay(configuration.RelayOptions{
+	relay := configuration.NewDutySelector(configuration.DutySelectorOptions{
 		Self: n.settings.VM,
 		Rand: rand.Uint64,
 	})
-	pace := platform.Pace{
+	pace := platform.Backoff{
 		Rand: rand.Uint64,
 	}
 	var after uint64
@@ -44,7 +44,7 @@
 		var err error
 		if duty == configuration.DutyProbe {
 			_, changed, err = n.readDocuments(ctx, n.snapshot().Digest.Revision, now)
-			relay.Probed(changed, n.now())
+			relay.RecordProbe(changed, n.now())
 		} else {
 			after, changed, err = n.readDocuments(ctx, after, now.Add(watchTimeout))
 		}
@@ -86,7 +86,7 @@
 
 // watchList watches the platform's fleet list while this VM is a watcher.
 func (n *Node) watchList(ctx context.Context) error {
-	pace := platform.Pace{
+	pace := platform.Backoff{
 		Rand: rand.Uint64,
 	}
 	for ctx.Err() == nil {
@@ -157,7 +157,7 @@
 	if len(docs) == 0 && list == nil {
 		return false, nil
 	}
-	validated := configuration.Judge(docs)
+	validated := configuration.Validate(docs)
 	return ask(ctx, n.control, func(reply chan<- bool) message {
 		return documentsOffered{
 			documents: validated,
--- a/node/handlers.go
+++ b/node/handlers.go
@@ -28,7 +28,7 @@
 		Lease:      n.handleLease,
 		HandOver:   n.handleHandOver,
 		Events:     n.handleEvents,
-		Crashes:    n.crashAgent.Take,
+		Crashes:    n.crashAgent.Receive,
 		Forward:    n.handleForward,
 		Stamp:      func() uint64 { return uint64(n.ring.Stamp()) },
 		Witness:    n.witness,
@@ -38,7 +38,7 @@
 }
 
 func (n *Node) witness(stamp uint64) {
-	n.ring.Witness(timeline.Stamp(stamp))
+	n.ring.Observe(timeline.Stamp(stamp))
 }
 
 func (n *Node) handleHeartbeat(ctx context.Context, in *peerpb.HeartbeatRequest) (*peerpb.HeartbeatReply, error) {
@@ -66,19 +66,19 @@
 
 // forward runs a call on another VM, and reports a lost VM to the control goroutine.
 func (n *Node) forward(ctx context.Context, vm fleet.VM, c *call.Call, sink call.Sink) call.Outcome {
-	forwardCtx, cancel := clock.WithDeadline(ctx, n.now(), c.WholeBy.Add(forwardGrace))
+	forwardCtx, cancel := clock.WithDeadline(ctx, n.now(), c.Deadline.Add(forwardGrace))
 	defer cancel()
 	out := n.peers.Forward(forwardCtx, vm, &peerpb.ForwardRequest{
 		From:  n.identity(),
 		Stamp: uint64(n.ring.Stamp()),
-		Call:  peer.CallMessage(c, n.now()),
+		Call:  peer.CallToProto(c, n.now()),
 	}, sink, n.witness)
 	if isPeerLost(ctx, out.Code) {
 		n.control.send(ctx, heartbeatMissed{
 			vm: vm.ID,
 		})
 	}
-	if c.Origin != "" {
+	if c.ChargedRegion != "" {
 		n.pools.recordBorrowOutcome(vm, c, out)
 	}
 	return out
@@ -100,13 +100,13 @@
 	if !ok || !n.caughtUp() {
 		return call.Refused(result.Refuse(result.NotReady, "VM %s does not know the workspace", n.settings.VM))
 	}
-	ctx, cancel := clock.WithDeadline(ctx, n.now(), c.WholeBy)
+	ctx, cancel := clock.WithDeadline(ctx, n.now(), c.Deadline)
 	defer cancel()
 	place := serving.Place(serving.PlaceRequest{
 		Contract:  found,
 		Ticket:    c.Ticket,
 		Forwarded: true,
-		Borrowed:  c.Origin != "",
+		Borrowed:  c.ChargedRegion != "",
 	}, n.view())
 	return n.serving.Serve(ctx, c, place, sink)
 }
@@ -123,7 +123,7 @@
 		Unused:    amountsToProto(unused),
 	})
 	if err != nil {
-		return serving.Lease{}, result.Refuse(result.LimitNoShare, "the owner %s of the workspace did not answer", owner.ID).Because(err)
+		return serving.Lease{}, result.Refuse(result.LimitNoShare, "the owner %s of the workspace did not answer", owner.ID).WithCause(err)
 	}
 	n.witness(reply.GetStamp())
 	if code := result.Code(reply.GetCode()); code != result.Done {
@@ -149,7 +149,7 @@
 		return reply, nil
 	}
 	r := serving.LimitRequest(in.GetWorkspace(), terms, n.view(), now)
-	r.From = in.GetFrom().GetVm()
+	r.Borrower = in.GetFrom().GetVm()
 	granted, refusal := n.ledger.Grant(r, amountsFromProto(in.GetWant()), amountsFromProto(in.GetUnused()), now)
 	fillLease(reply, granted, refusal)
 	return reply, nil
@@ -164,12 +164,12 @@
 	reply.TermMs = uint32(limit.LeaseTerm.Milliseconds())
 }
 
-func (n *Node) regionTerms(workspace string) (contract.RegionTerms, bool) {
+func (n *Node) regionTerms(workspace string) (contract.RegionLimits, bool) {
 	found, ok := n.snapshot().Contract(workspace)
 	if !ok {
-		return contract.RegionTerms{}, false
+		return contract.RegionLimits{}, false
 	}
-	return found.Terms(n.settings.Region)
+	return found.LimitsIn(n.settings.Region)
 }
 
 func amountsToProto(a limit.Amounts) *peerpb.Amounts {
@@ -203,7 +203,7 @@
 		}, nil
 	}
 	h := peer.HandOverFromProto(whole)
-	accepted := n.desk.Adopt(h, n.now())
+	accepted := n.desk.TakeOver(h, n.now())
 	if accepted {
 		n.publishRights(ctx, n.settings.VM, h)
 	}
@@ -255,5 +255,5 @@
 		return false
 	}
 	found, ok := n.snapshot().Contract(e.Workspace)
-	return !ok || found.Bound
+	return !ok || found.HomeOnly
 }
--- a/node/heartbeat.go
+++ b/node/heartbeat.go
@@ -51,23 +51,23 @@
 
 func (m heartbeatMissed) apply(c *control, now time.Time) {
 	if m.refused {
-		c.members.Refused(m.vm, now)
+		c.members.RecordRefused(m.vm, now)
 		return
 	}
-	c.members.Missed(m.vm, now)
+	c.members.RecordMiss(m.vm, now)
 }
 
 // heartbeatAnswered is the reply to a heartbeat.
 type heartbeatAnswered struct {
 	beat   membership.Beat
-	loan   membership.Loan
+	loan   membership.Lease
 	sentAt time.Time
 }
 
 func (m heartbeatAnswered) apply(c *control, now time.Time) {
-	c.node.ring.Witness(timeline.Stamp(m.beat.Stamp))
-	c.members.Heard(m.beat, m.sentAt, now)
-	c.members.Borrowed(m.beat.VM, m.loan, m.sentAt, now)
+	c.node.ring.Observe(timeline.Stamp(m.beat.Stamp))
+	c.members.HandleBeat(m.beat, m.sentAt, now)
+	c.members.AcceptLease(m.beat.VM, m.loan, m.sentAt, now)
 	c.pullIfDifferent(m.beat)
 }
 
@@ -79,14 +79,14 @@
 }
 
 func (m heartbeatReceived) apply(c *control, now time.Time) {
-	c.node.ring.Witness(timeline.Stamp(m.beat.Stamp))
-	c.members.Heard(m.beat, time.Time{}, now)
-	c.members.Acknowledge(m.beat.VM, m.heldLoan)
+	c.node.ring.Observe(timeline.Stamp(m.beat.Stamp))
+	c.members.HandleBeat(m.beat, time.Time{}, now)
+	c.members.AcknowledgeLease(m.beat.VM, m.heldLoan)
 	answer := &peerpb.HeartbeatReply{
 		Beat: peer.HeartbeatToProto(c.heartbeatFor(c.ownHeartbeat(now), m.beat.Region)),
 	}
 	if m.beat.Region == c.node.settings.Region {
-		answer.Loan = loanToProto(c.members.Lend(m.beat.VM, m.beat.ViewHash, now))
+		answer.Loan = loanToProto(c.members.GrantLease(m.beat.VM, m.beat.ViewHash, now))
 	}
 	m.reply <- answer
 	c.pullIfDifferent(m.beat)
@@ -103,7 +103,7 @@
 	c.node.requestPull(b.VM)
 }
 
-func loanToProto(l membership.Loan) *peerpb.Loan {
+func loanToProto(l membership.Lease) *peerpb.Loan {
 	return &peerpb.Loan{
 		Id:       l.ID,
 		TermMs:   uint32(l.Term.Milliseconds()),
@@ -112,8 +112,8 @@
 	}
 }
 
-func loanFromProto(m *peerpb.Loan) membership.Loan {
-	return membership.Loan{
+func loanFromProto(m *peerpb.Loan) membership.Lease {
+	return membership.Lease{
 		ID:      m.GetId(),
 		Term:    time.Duration(m.GetTermMs()) * time.Millisecond,
 		Hash:    m.GetViewHash(),
