--- a/node/node.go
+++ b/node/node.go
@@ -68,7 +68,7 @@
 	platform   *platform.Client
 	control    *control
 	pools      *pools
-	desk       *ticket.Desk
+	desk       *ticket.Registry
 	handOvers  *peer.HandOverAssembler
 	ledger     *limit.Ledger
 	crashAgent *agent.Agent
@@ -138,8 +138,8 @@
 	n.desk = ticket.New(ticket.Options{
 		VM:          s.VM,
 		Incarnation: n.incarnation,
-		Count:       s.Records.Count,
-		Bytes:       s.Records.Bytes,
+		MaxRecords:  s.Records.Count,
+		MaxBytes:    s.Records.Bytes,
 	})
 	n.handOvers = peer.NewHandOverAssembler(s.Records.Bytes)
 	n.ledger = limit.New(limit.Options{
@@ -168,33 +168,33 @@
 
 func (n *Node) newServing(client *endpoint.Client) *serving.Server {
 	return serving.New(serving.Options{
-		Now:      n.now,
-		VM:       n.settings.VM,
-		Region:   n.settings.Region,
-		Snapshot: n.snapshot,
-		View:     n.view,
-		Pool:     n.pools.find,
-		Forward:  n.forward,
-		Lease:    n.requestLease,
-		Borrow:   n.pools.chooseLender,
-		Accept:   n.pools.acceptBorrowed,
-		Ledger:   n.ledger,
-		Desk:     n.desk,
-		Endpoint: client,
-		Budget:   n.newBudget(),
-		Crashes: serving.Crashes{
-			Admit:     n.crashAgent.Admit,
-			Cut:       n.crashAgent.Cut,
-			EndedWell: n.crashAgent.EndedWell,
+		Now:            n.now,
+		VM:             n.settings.VM,
+		Region:         n.settings.Region,
+		Snapshot:       n.snapshot,
+		View:           n.view,
+		Pool:           n.pools.find,
+		Forward:        n.forward,
+		Lease:          n.requestLease,
+		ChooseOverflow: n.pools.chooseLender,
+		AcceptOverflow: n.pools.acceptBorrowed,
+		Ledger:         n.ledger,
+		Tickets:        n.desk,
+		Endpoint:       client,
+		Budget:         n.newBudget(),
+		Quarantine: serving.Quarantine{
+			Admit:          n.crashAgent.Admit,
+			ConnectionLost: n.crashAgent.ConnectionLost,
+			Succeeded:      n.crashAgent.Succeeded,
 		},
-		Ring:    n.ring,
-		Metrics: n.metrics,
+		Timeline: n.ring,
+		Metrics:  n.metrics,
 	})
 }
 
 // newBudget returns a retry budget shared by all targets.
 func (n *Node) newBudget() serving.Budget {
-	budget := retry.New(retryBudgetRatio)
+	budget := retry.NewBudget(retryBudgetRatio)
 	return serving.Budget{
 		OnRequest: func(string) { budget.OnRequest() },
 		Allow:     func(string) bool { return budget.Allow() },
@@ -213,24 +213,24 @@
 		Serve:       n.serving.Serve,
 		IssueTicket: n.desk.Issue,
 		Stopping:    n.stopping.Load,
-		Bounds: caller.Bounds{
+		Limits: caller.Limits{
 			MaxBodyBytes:             s.Limits.MaxBodyBytes,
 			MaxHeaderBytes:           s.Limits.MaxHeaderBytes,
 			MaxConnections:           s.Limits.MaxConnections,
 			MaxConnectionsPerAddress: s.Limits.MaxConnectionsPerAddress,
-			HeaderWithin:             s.Limits.HeaderWithin.Duration,
-			BodyWithin:               s.Limits.BodyWithin.Duration,
-			IdleWithin:               s.Limits.IdleWithin.Duration,
-			WriteWithin:              callerWriteTimeout,
-			TicketGoodFor:            s.TicketGoodFor.Duration,
-			EntriesGoodFor:           s.EntriesGoodFor.Duration,
+			HeaderTimeout:            s.Limits.HeaderWithin.Duration,
+			BodyTimeout:              s.Limits.BodyWithin.Duration,
+			IdleTimeout:              s.Limits.IdleWithin.Duration,
+			WriteTimeout:             callerWriteTimeout,
+			TicketTTL:                s.TicketTTL.Duration,
+			EntriesTTL:               s.EntriesTTL.Duration,
 		},
 	})
 }
 
 func (n *Node) countBytes(sent, received int) {
-	n.metrics.Control(metrics.DirectionOut, sent)
-	n.metrics.Control(metrics.DirectionIn, received)
+	n.metrics.AddControlBytes(metrics.DirectionOut, sent)
+	n.metrics.AddControlBytes(metrics.DirectionIn, received)
 }
 
 // newID returns a request id that is unique among all VMs and incarnations.
@@ -267,7 +267,7 @@
 	if err := n.addServers(&group, ln); err != nil {
 		return err
 	}
-	worker.AddStop(ctx, &group, n.stopped, n.stop)
+	worker.AddShutdown(ctx, &group, n.stopped, n.stop)
 	n.log.Info("listening",
 		"vm", n.settings.VM,
 		"caller", ln.caller.Addr().String(),
--- a/node/pools.go
+++ b/node/pools.go
@@ -27,7 +27,7 @@
 	node   *Node
 	client *endpoint.Client
 	table  atomic.Pointer[poolTable]
-	damper *borrow.Damper
+	damper *borrow.RateLimiter
 }
 
 // poolTable is an immutable set of pools, built from one fleet list.
@@ -49,7 +49,7 @@
 	p := &pools{
 		node:   n,
 		client: client,
-		damper: borrow.NewDamper(1),
+		damper: borrow.NewRateLimiter(1),
 	}
 	p.table.Store(&poolTable{})
 	return p
@@ -81,9 +81,9 @@
 	for target, pool := range after.byTarget {
 		pool.Endpoints.SetEndpoints(endpoints[target], now)
 		pool.Endpoints.SetVMs(vms)
-		pool.Queue.Poke(now)
+		pool.Queue.Reevaluate(now)
 	}
-	p.damper.SetAsking(len(list.VMs) - vms)
+	p.damper.SetBorrowers(len(list.VMs) - vms)
 	p.table.Store(after)
 }
 
@@ -170,20 +170,20 @@
 func (p *pools) fetchLoadReport(ctx context.Context, table *poolTable, e fleet.Endpoint) {
 	ctx, cancel := context.WithTimeout(ctx, loadReportTimeout)
 	defer cancel()
-	load, err := p.client.Report(ctx, e)
+	load, err := p.client.FetchLoad(ctx, e)
 	if err != nil {
 		return
 	}
 	now := p.node.now()
 	pool := table.byTarget[e.Serves()]
 	pool.Endpoints.Report(e.ID, routing.Load(load), now)
-	pool.Queue.Poke(now)
+	pool.Queue.Reevaluate(now)
 }
 
 func (p *pools) sampleDemand(table *poolTable) {
 	now := p.node.now()
 	for _, pool := range table.byTarget {
-		supply := pool.Endpoints.Supply(now)
+		supply := pool.Endpoints.Capacity(now)
 		pool.demand.addSample(supply.Slots-supply.Free, now)
 	}
 	p.node.metrics.SetQueue(p.queuedCalls())
--- a/node/pull.go
+++ b/node/pull.go
@@ -106,7 +106,7 @@
 	if n.isWatcher() {
 		return fleet.VM{}, false
 	}
-	for _, id := range configuration.Sources(n.settings.VM, reachableVMs(view)) {
+	for _, id := range configuration.PullSources(n.settings.VM, reachableVMs(view)) {
 		return findVM(view, id)
 	}
 	return fleet.VM{}, false
--- a/node/rights.go
+++ b/node/rights.go
@@ -12,11 +12,11 @@
 // incarnations.
 func (n *Node) adoptedRights(now time.Time) []membership.Adoption {
 	var out []membership.Adoption
-	for _, a := range n.desk.Adopted(now) {
+	for _, a := range n.desk.Takeovers(now) {
 		out = append(out, membership.Adoption{
-			VM:          a.Of.VM,
-			Incarnation: a.Of.Incarnation,
-			Until:       a.Until,
+			VM:          a.Issuer.VM,
+			Incarnation: a.Issuer.Incarnation,
+			Until:       a.ExpiresAt,
 		})
 	}
 	return out
@@ -32,7 +32,7 @@
 
 func (m rightsTransferred) apply(c *control, now time.Time) {
 	if m.to != c.node.settings.VM {
-		c.members.SetRights(m.to, m.rights)
+		c.members.SetAdoptedRights(m.to, m.rights)
 	}
 	c.publish(now)
 	m.reply <- true
@@ -44,9 +44,9 @@
 	var rights []membership.Adoption
 	for _, r := range h.Rights {
 		rights = append(rights, membership.Adoption{
-			VM:          r.Of.VM,
-			Incarnation: r.Of.Incarnation,
-			Until:       r.Until,
+			VM:          r.Issuer.VM,
+			Incarnation: r.Issuer.Incarnation,
+			Until:       r.ExpiresAt,
 		})
 	}
 	_, _ = ask(ctx, n.control, func(reply chan<- bool) message {
--- a/node/status.go
+++ b/node/status.go
@@ -20,11 +20,11 @@
 
 func (n *Node) operatorOptions() operator.Options {
 	return operator.Options{
-		Ready:   n.ready,
-		Status:  n.status,
-		Events:  n.ring.Select,
-		Merged:  n.mergedEvents,
-		Metrics: n.metrics.Handler(),
+		Ready:        n.ready,
+		Status:       n.status,
+		Events:       n.ring.Select,
+		MergedEvents: n.mergedEvents,
+		Metrics:      n.metrics.Handler(),
 	}
 }
 
@@ -32,7 +32,7 @@
 // stopping, and has been listed long enough to lend its shares.
 func (n *Node) ready() bool {
 	view := n.view()
-	listed := view.ListRevision > 0 && !n.now().Before(view.LendsFrom)
+	listed := view.ListRevision > 0 && !n.now().Before(view.GrantsFrom)
 	return n.caughtUp() && listed && !n.stopping.Load()
 }
 
@@ -54,10 +54,10 @@
 		Documents:    []operator.Document{},
 		ListRevision: snapshot.Digest.ListRevision,
 		View: operator.View{
-			Revision: view.Revision,
-			Region:   regionMembers(view),
-			Lenders:  view.Lenders(n.now()),
-			Of:       view.VMs,
+			Revision:    view.Revision,
+			Region:      regionMembers(view),
+			LenderCount: view.HeldLeases(n.now()),
+			ShareCount:  view.VMs,
 		},
 		Load: operator.Load{
 			InFlight: n.serving.InFlight(),
@@ -66,10 +66,10 @@
 	}
 	for _, d := range snapshot.Documents {
 		s.Documents = append(s.Documents, operator.Document{
-			Key:     d.Key,
-			InForce: d.InForce,
-			Refused: d.Refused,
-			Reason:  d.Reason,
+			Key:      d.Key,
+			Active:   d.InForce,
+			Rejected: d.Refused,
+			Reason:   d.Reason,
 		})
 	}
 	return s
--- a/node/stop.go
+++ b/node/stop.go
@@ -31,7 +31,7 @@
 // in flight, and hands over its tickets.
 func (n *Node) stop() {
 	begunAt := n.now()
-	ctx, cancel := clock.WithDeadline(context.Background(), begunAt, begunAt.Add(n.settings.StopWithin.Duration))
+	ctx, cancel := clock.WithDeadline(context.Background(), begunAt, begunAt.Add(n.settings.StopTimeout.Duration))
 	defer cancel()
 	n.reportState("stopping")
 	n.stopping.Store(true)
@@ -66,7 +66,7 @@
 // records, to a VM of the region. It reports whether one accepted; calls with these
 // tickets are then forwarded to it.
 func (n *Node) handOver(ctx context.Context) bool {
-	released := n.desk.GiveUp(n.now())
+	released := n.desk.Relinquish(n.now())
 	candidates := n.successors()
 	var plan ticket.HandOverPlan
 	for range maxHandOverOffers {
@@ -78,24 +78,24 @@
 	}
 	n.ring.Add(timeline.Event{
 		Kind:   "hand_over_ended",
-		Peer:   plan.Bound.VM,
+		Peer:   plan.Successor.VM,
 		Detail: acceptanceDetail(plan.Accepted),
 	})
-	n.log.Info("hand_over_ended", "successor", plan.Bound.VM, "accepted", plan.Accepted)
+	n.log.Info("hand_over_ended", "successor", plan.Successor.VM, "accepted", plan.Accepted)
 	if plan.Accepted {
-		n.publishRights(ctx, plan.Bound.VM, released)
+		n.publishRights(ctx, plan.Successor.VM, released)
 	}
 	return plan.Accepted
 }
 
 // successors returns the reachable, ready VMs of the region that are not leaving.
-func (n *Node) successors() []ticket.Holder {
-	var out []ticket.Holder
+func (n *Node) successors() []ticket.IncarnationID {
+	var out []ticket.IncarnationID
 	for _, m := range n.view().Region {
 		if m.VM.ID == n.settings.VM || !m.Reachable || m.Leaving || !m.Ready {
 			continue
 		}
-		out = append(out, ticket.Holder{
+		out = append(out, ticket.IncarnationID{
 			VM:          m.VM.ID,
 			Incarnation: m.Incarnation,
 		})
@@ -103,21 +103,21 @@
 	return out
 }
 
-func (n *Node) offerHandOver(ctx context.Context, released ticket.HandOver, o ticket.Offer) ticket.Outcome {
+func (n *Node) offerHandOver(ctx context.Context, released ticket.HandOver, o ticket.Offer) ticket.OfferOutcome {
 	vm, ok := findVM(n.view(), o.To.VM)
 	if !ok {
 		return ticket.OfferNotSent
 	}
-	h := released.Addressed(o.To)
+	h := released.WithReceiver(o.To)
 	if !o.Rights {
-		h = released.Copy().Addressed(o.To)
+		h = released.WithoutKeys().WithReceiver(o.To)
 	}
 	return n.sendHandOver(ctx, vm, h)
 }
 
 // sendHandOver sends the parts of one offer. The receiver adopts nothing before the last
 // part, so an offer that fails earlier was not accepted.
-func (n *Node) sendHandOver(ctx context.Context, vm fleet.VM, h ticket.HandOver) ticket.Outcome {
+func (n *Node) sendHandOver(ctx context.Context, vm fleet.VM, h ticket.HandOver) ticket.OfferOutcome {
 	parts := peer.SplitHandOver(h, uint64(n.ring.Stamp()))
 	last := len(parts) - 1
 	for _, part := range parts[:last] {
@@ -132,7 +132,7 @@
 	return n.sendPart(ctx, vm, parts[last])
 }
 
-func (n *Node) sendPart(ctx context.Context, vm fleet.VM, in *peerpb.HandOverRequest) ticket.Outcome {
+func (n *Node) sendPart(ctx context.Context, vm fleet.VM, in *peerpb.HandOverRequest) ticket.OfferOutcome {
 	ctx, cancel := context.WithTimeout(ctx, handOverPartTimeout)
 	defer cancel()
 	in.Stamp = uint64(n.ring.Stamp())
--- a/notchctl/command_entries.go
+++ b/notchctl/command_entries.go
@@ -25,7 +25,7 @@
 				return flags.write(stdout, entries)
 			}
 		}
-		var answerErr *console.AnswerError
+		var answerErr *console.ResponseError
 		if errors.As(err, &answerErr) {
 			return exitErrorf(exitFailed, "%v", err)
 		}
--- a/notchctl/command_explain.go
+++ b/notchctl/command_explain.go
@@ -58,7 +58,7 @@
 func writeExplainLines(w io.Writer, lines []explain.Line) {
 	for _, l := range lines {
 		mark := " "
-		if l.IsBelief {
+		if l.IsProcessState {
 			mark = "|"
 		}
 		_, _ = fmt.Fprintf(w, "%s %s %s %s", l.At.In(time.UTC).Format(explainTimeLayout), mark, l.VM, l.Event)
--- a/notchctl/command_status.go
+++ b/notchctl/command_status.go
@@ -77,9 +77,9 @@
 
 func statusError(fleet *console.Fleet) error {
 	switch {
-	case len(fleet.Unreached) > 0:
-		return exitErrorf(exitUnreached, "%d VMs were not reached", len(fleet.Unreached))
-	case !fleet.Agreed():
+	case len(fleet.Unreachable) > 0:
+		return exitErrorf(exitUnreached, "%d VMs were not reached", len(fleet.Unreachable))
+	case !fleet.Converged():
 		return exitErrorf(exitFailed, "the VMs do not all hold the same documents, or one refuses a document")
 	}
 	return nil
--- a/notchctl/command_timeline.go
+++ b/notchctl/command_timeline.go
@@ -36,8 +36,8 @@
 		if err := flags.write(stdout, &merged); err != nil {
 			return err
 		}
-		if len(merged.Unreached) > 0 {
-			return exitErrorf(exitUnreached, "events of %d VMs are missing", len(merged.Unreached))
+		if len(merged.Unreachable) > 0 {
+			return exitErrorf(exitUnreached, "events of %d VMs are missing", len(merged.Unreachable))
 		}
 		return nil
 	})
--- a/operator/operator.go
+++ b/operator/operator.go
@@ -22,9 +22,9 @@
 	Status func() Status
 	// Events returns this VM's own events, oldest first.
 	Events func(timeline.Query) []timeline.Event
-	// Merged returns the events of all reachable VMs in causal order, and the
+	// MergedEvents returns the events of all reachable VMs in causal order, and the
 	// IDs of the unreachable ones.
-	Merged func(context.Context, timeline.Query) (events []timeline.Event, unreached []string)
+	MergedEvents func(context.Context, timeline.Query) (events []timeline.Event, unreached []string)
 	// Metrics serves the metrics to the scraper.
 	Metrics http.Handler
 }
@@ -84,7 +84,7 @@
 	}
 	var response Timeline
 	if merge {
-		response.Events, response.Unreached = h.options.Merged(r.Context(), q)
+		response.Events, response.Unreachable = h.options.MergedEvents(r.Context(), q)
 	} else {
 		response.Events = h.options.Events(q)
 	}
@@ -99,7 +99,7 @@
 func parseQuery(raw string) (q timeline.Query, merge bool, refusal *result.Refusal) {
 	values, err := url.ParseQuery(raw)
 	if err != nil {
-		return q, false, result.Refuse(result.BadRequest, "the query is malformed").Because(err)
+		return q, false, result.Refuse(result.BadRequest, "the query is malformed").WithCause(err)
 	}
 	for name, params := range values {
 		if len(params) != 1 {
@@ -120,7 +120,7 @@
 			return q, false, result.Refuse(result.BadRequest, "%s: no such parameter; there are request, workspace, from, to and merge", name)
 		}
 		if err != nil {
-			return q, false, result.Refuse(result.BadRequest, "%s: want a time in RFC 3339, or true or false", name).Because(err)
+			return q, false, result.Refuse(result.BadRequest, "%s: want a time in RFC 3339, or true or false", name).WithCause(err)
 		}
 	}
 	return q, merge, nil
--- a/operator/operator_test.go
+++ b/operator/operator_test.go
@@ -34,7 +34,7 @@
 				Ready:  func() bool { return !row.NotReady },
 				Status: status,
 				Events: func(q timeline.Query) []timeline.Event { return events("own", q) },
-				Merged: func(_ context.Context, q timeline.Query) ([]timeline.Event, []string) {
+				MergedEvents: func(_ context.Context, q timeline.Query) ([]timeline.Event, []string) {
 					return events("merged", q), []string{"a2"}
 				},
 				Metrics: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "metrics") }),
@@ -84,14 +84,14 @@
 		Ready:       true,
 		Documents: []Document{
 			{
-				Key:     "models",
-				InForce: 3,
+				Key:    "models",
+				Active: 3,
 			},
 			{
-				Key:     "contracts/0",
-				InForce: 4,
-				Refused: 6,
-				Reason:  "4002 document_unknown: x",
+				Key:      "contracts/0",
+				Active:   4,
+				Rejected: 6,
+				Reason:   "4002 document_unknown: x",
 			},
 		},
 		ListRevision: 5,
@@ -103,8 +103,8 @@
 					Reachable: true,
 				},
 			},
-			Lenders: 3,
-			Of:      4,
+			LenderCount: 3,
+			ShareCount:  4,
 		},
 		Load: Load{
 			InFlight: 2,
--- a/operator/status.go
+++ b/operator/status.go
@@ -22,20 +22,20 @@
 // Document is the state of one published document.
 type Document struct {
 	Key string `json:"key"`
-	// InForce is the active revision and Refused the rejected one; zero means none.
-	InForce uint64 `json:"in_force"`
-	Refused uint64 `json:"refused,omitempty"`
-	Reason  string `json:"reason,omitempty"`
+	// Active is the active revision and Refused the rejected one; zero means none.
+	Active   uint64 `json:"in_force"`
+	Rejected uint64 `json:"refused,omitempty"`
+	Reason   string `json:"reason,omitempty"`
 }
 
 // View is the VM's membership view of its region.
 type View struct {
 	Revision uint64   `json:"revision"`
 	Region   []Member `json:"region"`
-	// Lenders counts the VMs that lease their share of the limits to this VM,
+	// LenderCount counts the VMs that lease their share of the limits to this VM,
 	// itself included. Of is the number of shares that a limit is divided into.
-	Lenders int `json:"lenders"`
-	Of      int `json:"of"`
+	LenderCount int `json:"lenders"`
+	ShareCount  int `json:"of"`
 }
 
 // Member is one VM of the region.
@@ -54,8 +54,8 @@
 // Timeline is the response of /v1/timeline.
 type Timeline struct {
 	Events []timeline.Event `json:"events"`
-	// Unreached are the VMs whose events are missing.
-	Unreached []string `json:"unreached,omitempty"`
+	// Unreachable are the VMs whose events are missing.
+	Unreachable []string `json:"unreached,omitempty"`
 }
 
 // Health is the response of /healthz and /readyz.
--- a/peer/compress.go
+++ b/peer/compress.go
@@ -21,8 +21,8 @@
 	maxDecompressedBytes = 8 * MaxMessageBytes
 )
 
-// Pack returns a reply with compressed items, or r itself if it is small.
-func Pack(r *peerpb.PublishedReply) (*peerpb.PublishedReply, error) {
+// CompressItems returns a reply with compressed items, or r itself if it is small.
+func CompressItems(r *peerpb.PublishedReply) (*peerpb.PublishedReply, error) {
 	if proto.Size(r) < minCompressBytes {
 		return r, nil
 	}
--- a/peer/compress_test.go
+++ b/peer/compress_test.go
@@ -30,7 +30,7 @@
 func TestCompressItems(t *testing.T) {
 	for _, count := range []int{0, 3, 3000} {
 		sent := makeItems(count)
-		packed, err := Pack(sent)
+		packed, err := CompressItems(sent)
 		assert.NilError(t, err)
 		got := proto.Clone(packed).(*peerpb.PublishedReply)
 		assert.NilError(t, decompressItems(got))
@@ -91,7 +91,7 @@
 }
 
 func FuzzDecompressItems(f *testing.F) {
-	packed, err := Pack(makeItems(200))
+	packed, err := CompressItems(makeItems(200))
 	assert.NilError(f, err)
 	f.Add(packed.GetPacked())
 	f.Add([]byte{1})
--- a/peer/crashes.go
+++ b/peer/crashes.go
@@ -13,7 +13,7 @@
 func (c *Client) Crashes(ctx context.Context, vm fleet.VM, from *peerpb.Identity, n quarantine.Note) error {
 	m := crashNoteToProto(n, c.options.Now())
 	m.From = from
-	m.SentUs = c.options.Transit.elapsedMicros()
+	m.SentUs = c.options.Delays.elapsedMicros()
 	_, err := c.client(ctx, vm).Crashes(ctx, m)
 	return err
 }
@@ -24,7 +24,7 @@
 		return nil, errUnsupported
 	}
 	from := in.GetFrom()
-	sentAt := s.handlers.Transit.SentAt(from.GetVm(), from.GetIncarnation(), in.GetSentUs())
+	sentAt := s.handlers.Delays.SentAt(from.GetVm(), from.GetIncarnation(), in.GetSentUs())
 	s.handlers.Crashes(crashNoteFromProto(in, sentAt))
 	return &peerpb.CrashReply{}, nil
 }
@@ -36,9 +36,9 @@
 	for _, c := range n.Crashes {
 		m.Crashes = append(m.Crashes, &peerpb.Crash{
 			Content: c.Content,
-			Life:    c.Life,
+			Life:    c.Incarnation,
 			AgeMs:   uint32(max(now.Sub(c.At).Milliseconds(), 0)),
-			Proven:  c.Proven,
+			Proven:  c.RecentlySucceeded,
 		})
 	}
 	for _, v := range n.Verdicts {
@@ -46,9 +46,9 @@
 			Content: v.Content,
 			Version: v.Version,
 			Crashes: uint32(v.Crashes),
-			Failed:  uint32(v.Failed),
+			Failed:  uint32(v.FailedTrials),
 			Proven:  v.Proven,
-			TryInMs: v.TryAt.Sub(now).Milliseconds(),
+			TryInMs: v.NextTrialAt.Sub(now).Milliseconds(),
 			Cleared: v.Cleared,
 		})
 	}
@@ -59,21 +59,21 @@
 	var n quarantine.Note
 	for _, c := range m.GetCrashes() {
 		n.Crashes = append(n.Crashes, quarantine.Crash{
-			Content: c.GetContent(),
-			Life:    c.GetLife(),
-			At:      sentAt.Add(-time.Duration(c.GetAgeMs()) * time.Millisecond),
-			Proven:  c.GetProven(),
+			Content:           c.GetContent(),
+			Incarnation:       c.GetLife(),
+			At:                sentAt.Add(-time.Duration(c.GetAgeMs()) * time.Millisecond),
+			RecentlySucceeded: c.GetProven(),
 		})
 	}
 	for _, v := range m.GetVerdicts() {
 		n.Verdicts = append(n.Verdicts, quarantine.Verdict{
-			Content: v.GetContent(),
-			Version: v.GetVersion(),
-			Crashes: int(v.GetCrashes()),
-			Failed:  int(v.GetFailed()),
-			Proven:  v.GetProven(),
-			TryAt:   sentAt.Add(time.Duration(v.GetTryInMs()) * time.Millisecond),
-			Cleared: v.GetCleared(),
+			Content:      v.GetContent(),
+			Version:      v.GetVersion(),
+			Crashes:      int(v.GetCrashes()),
+			FailedTrials: int(v.GetFailed()),
+			Proven:       v.GetProven(),
+			NextTrialAt:  sentAt.Add(time.Duration(v.GetTryInMs()) * time.Millisecond),
+			Cleared:      v.GetCleared(),
 		})
 	}
 	return n
--- a/peer/forward.go
+++ b/peer/forward.go
@@ -18,7 +18,7 @@
 // Forward runs a call on another VM. It returns PeerUnreachable, of class not run, if no
 // connection was made, and PeerLost if the connection failed later.
 func (c *Client) Forward(ctx context.Context, vm fleet.VM, in *peerpb.ForwardRequest, sink call.Sink, witness func(uint64)) call.Outcome {
-	in.SentUs = c.options.Transit.elapsedMicros()
+	in.SentUs = c.options.Delays.elapsedMicros()
 	stream, err := c.client(ctx, vm).Forward(ctx, in)
 	if err != nil {
 		return call.Refused(peerFailure(vm, err))
@@ -29,9 +29,9 @@
 
 func peerFailure(vm fleet.VM, err error) *result.Refusal {
 	if errors.Is(err, ErrDial) {
-		return result.Refuse(result.PeerUnreachable, "VM %s was not reached", vm.ID).Because(err)
+		return result.Refuse(result.PeerUnreachable, "VM %s was not reached", vm.ID).WithCause(err)
 	}
-	return result.Refuse(result.PeerLost, "VM %s was lost during the call", vm.ID).Because(err)
+	return result.Refuse(result.PeerLost, "VM %s was lost during the call", vm.ID).WithCause(err)
 }
 
 func (c *Client) receiveReplies(stream peerpb.DRPCPeer_ForwardClient, vm fleet.VM, sink call.Sink, witness func(uint64)) call.Outcome {
@@ -54,7 +54,7 @@
 		}
 		headReceived = headReceived || reply.GetHead() != nil
 		if err := writeReply(reply, sink); err != nil {
-			return call.Refused(result.Refuse(result.PeerLost, "the caller has gone").Because(err))
+			return call.Refused(result.Refuse(result.PeerLost, "the caller has gone").WithCause(err))
 		}
 	}
 }
@@ -98,11 +98,11 @@
 		GeneratedTokens: uint32(o.Usage.GeneratedTokens),
 		Stamp:           stamp,
 		Endpoint:        o.Endpoint,
-		Ran:             uint32(o.Ran),
+		Ran:             uint32(o.EndpointsRun),
 	}
 	if o.Refusal != nil {
 		end.Message = o.Refusal.Message
-		end.ComeBackInMs = remainingMillis(o.Refusal.ComeBackAt, now)
+		end.ComeBackInMs = remainingMillis(o.Refusal.RetryAt, now)
 	}
 	return end
 }
@@ -115,12 +115,12 @@
 			CachedTokens:    int(end.GetCachedTokens()),
 			GeneratedTokens: int(end.GetGeneratedTokens()),
 		},
-		FirstAt:  firstAt,
-		Endpoint: end.GetEndpoint(),
-		Ran:      int(end.GetRan()),
+		FirstChunkAt: firstAt,
+		Endpoint:     end.GetEndpoint(),
+		EndpointsRun: int(end.GetRan()),
 	}
 	if o.Code.Class() != result.ClassDone {
-		o.Refusal = result.Refuse(o.Code, "%s", end.GetMessage()).Until(deadlineAfter(end.GetComeBackInMs(), now))
+		o.Refusal = result.Refuse(o.Code, "%s", end.GetMessage()).WithRetryAt(deadlineAfter(end.GetComeBackInMs(), now))
 	}
 	return o
 }
--- a/peer/forward_test.go
+++ b/peer/forward_test.go
@@ -88,7 +88,7 @@
 func (row forwardRow) request() *peerpb.ForwardRequest {
 	m := &peerpb.ForwardRequest{
 		Stamp: 1 << 63,
-		Call: CallMessage(&call.Call{
+		Call: CallToProto(&call.Call{
 			ID:       "id",
 			Kind:     call.Kind(99),
 			Priority: 77,
--- a/peer/handover.go
+++ b/peer/handover.go
@@ -32,27 +32,27 @@
 	return h
 }
 
-func holderToProto(h ticket.Holder) *peerpb.Identity {
+func holderToProto(h ticket.IncarnationID) *peerpb.Identity {
 	return &peerpb.Identity{
 		Vm:          h.VM,
 		Incarnation: h.Incarnation,
 	}
 }
 
-func holderFromProto(m *peerpb.Identity) ticket.Holder {
-	return ticket.Holder{
+func holderFromProto(m *peerpb.Identity) ticket.IncarnationID {
+	return ticket.IncarnationID{
 		VM:          m.GetVm(),
 		Incarnation: m.GetIncarnation(),
 	}
 }
 
-func rightsToProto(r ticket.Rights) *peerpb.Rights {
+func rightsToProto(r ticket.IncarnationRights) *peerpb.Rights {
 	m := &peerpb.Rights{
-		Of:             holderToProto(r.Of),
+		Of:             holderToProto(r.Issuer),
 		Key:            r.Key,
-		UntilUnixNano:  unixNano(r.Until),
-		ClosedUnixNano: unixNano(r.Closed),
-		SweptUnixNano:  unixNano(r.Swept),
+		UntilUnixNano:  unixNano(r.ExpiresAt),
+		ClosedUnixNano: unixNano(r.ExpiredUntil),
+		SweptUnixNano:  unixNano(r.DroppedUntil),
 	}
 	for _, record := range r.Records {
 		m.Records = append(m.Records, recordToProto(record))
@@ -60,13 +60,13 @@
 	return m
 }
 
-func rightsFromProto(m *peerpb.Rights) ticket.Rights {
-	r := ticket.Rights{
-		Of:     holderFromProto(m.GetOf()),
-		Key:    m.GetKey(),
-		Until:  fromUnixNano(m.GetUntilUnixNano()),
-		Closed: fromUnixNano(m.GetClosedUnixNano()),
-		Swept:  fromUnixNano(m.GetSweptUnixNano()),
+func rightsFromProto(m *peerpb.Rights) ticket.IncarnationRights {
+	r := ticket.IncarnationRights{
+		Issuer:       holderFromProto(m.GetOf()),
+		Key:          m.GetKey(),
+		ExpiresAt:    fromUnixNano(m.GetUntilUnixNano()),
+		ExpiredUntil: fromUnixNano(m.GetClosedUnixNano()),
+		DroppedUntil: fromUnixNano(m.GetSweptUnixNano()),
 	}
 	for _, record := range m.GetRecords() {
 		r.Records = append(r.Records, recordFromProto(record))
@@ -74,7 +74,7 @@
 	return r
 }
 
-func recordToProto(r ticket.HandedRecord) *peerpb.Record {
+func recordToProto(r ticket.TransferredRecord) *peerpb.Record {
 	return &peerpb.Record{
 		Ticket:            r.Ticket,
 		CallHash:          r.CallHash,
@@ -86,8 +86,8 @@
 	}
 }
 
-func recordFromProto(m *peerpb.Record) ticket.HandedRecord {
-	return ticket.HandedRecord{
+func recordFromProto(m *peerpb.Record) ticket.TransferredRecord {
+	return ticket.TransferredRecord{
 		Ticket:    m.GetTicket(),
 		CallHash:  m.GetCallHash(),
 		KeepUntil: fromUnixNano(m.GetKeepUntilUnixNano()),
--- a/peer/handover_parts_test.go
+++ b/peer/handover_parts_test.go
@@ -112,25 +112,25 @@
 
 func largeHandOver() ticket.HandOver {
 	h := ticket.HandOver{
-		From: ticket.Holder{
+		From: ticket.IncarnationID{
 			VM:          "a",
 			Incarnation: 1,
 		},
-		To: ticket.Holder{
+		To: ticket.IncarnationID{
 			VM:          "b",
 			Incarnation: 2,
 		},
 	}
 	for of := range 3 {
-		rights := ticket.Rights{
-			Of: ticket.Holder{
+		rights := ticket.IncarnationRights{
+			Issuer: ticket.IncarnationID{
 				VM:          "a",
 				Incarnation: uint64(of + 1),
 			},
 			Key: []byte("key"),
 		}
 		for i := range 20 * of {
-			rights.Records = append(rights.Records, ticket.HandedRecord{
+			rights.Records = append(rights.Records, ticket.TransferredRecord{
 				Ticket: fmt.Sprint(i),
 				Record: ticket.Record{
 					Code: result.Done,
--- a/peer/limits.go
+++ b/peer/limits.go
@@ -30,11 +30,11 @@
 
 func limitNoteToProto(n metering.Note) *peerpb.LimitNote {
 	m := &peerpb.LimitNote{}
-	for _, u := range n.Uses {
+	for _, u := range n.Usage {
 		m.Uses = append(m.Uses, &peerpb.LimitUse{
 			Workspace: u.Workspace,
 			Used:      u.Used,
-			Wanted:    u.Wanted,
+			Wanted:    u.Requested,
 		})
 	}
 	for _, d := range n.Demands {
@@ -49,10 +49,10 @@
 func limitNoteFromProto(m *peerpb.LimitNote) metering.Note {
 	var n metering.Note
 	for _, u := range m.GetUses() {
-		n.Uses = append(n.Uses, metering.Use{
+		n.Usage = append(n.Usage, metering.Usage{
 			Workspace: u.GetWorkspace(),
 			Used:      u.GetUsed(),
-			Wanted:    u.GetWanted(),
+			Requested: u.GetWanted(),
 		})
 	}
 	for _, d := range m.GetDemands() {
@@ -73,9 +73,9 @@
 	}
 	for _, a := range r.Answers {
 		m.Verdicts = append(m.Verdicts, &peerpb.LimitVerdict{
-			Kept:         a.Kept,
+			Kept:         a.IsCoordinator,
 			Admitted:     a.Admitted,
-			ComeBackInMs: remainingMillis(a.ComeBackAt, now),
+			ComeBackInMs: remainingMillis(a.RetryAt, now),
 			Scarce:       a.Scarce,
 		})
 	}
@@ -88,11 +88,11 @@
 	}
 	for _, v := range m.GetVerdicts() {
 		r.Answers = append(r.Answers, metering.Answer{
-			Kept:       v.GetKept(),
-			Admitted:   v.GetAdmitted(),
-			ComeBackAt: deadlineAfter(v.GetComeBackInMs(), now),
-			Scarce:     v.GetScarce(),
-			At:         now,
+			IsCoordinator: v.GetKept(),
+			Admitted:      v.GetAdmitted(),
+			RetryAt:       deadlineAfter(v.GetComeBackInMs(), now),
+			Scarce:        v.GetScarce(),
+			At:            now,
 		})
 	}
 	return r
--- a/peer/message.go
+++ b/peer/message.go
@@ -24,9 +24,9 @@
 	return time.UnixMilli(ms)
 }
 
-// CallMessage encodes a call for immediate sending; deadlines of a routed call become
+// CallToProto encodes a call for immediate sending; deadlines of a routed call become
 // remaining durations.
-func CallMessage(c *call.Call, now time.Time) *peerpb.Call {
+func CallToProto(c *call.Call, now time.Time) *peerpb.Call {
 	m := &peerpb.Call{
 		Id:            c.ID,
 		Workspace:     c.Workspace,
@@ -41,13 +41,13 @@
 		Idempotent:    c.Idempotent,
 		Priority:      uint32(c.Priority),
 		Ticket:        c.Ticket,
-		FirstByUnixMs: UnixMilli(c.FirstBy),
-		WholeByUnixMs: UnixMilli(c.WholeBy),
+		FirstByUnixMs: UnixMilli(c.FirstTokenDeadline),
+		WholeByUnixMs: UnixMilli(c.Deadline),
 		PromptTokens:  uint32(c.PromptTokens),
 		MaxTokens:     uint32(c.MaxTokens),
 		PrefixHash:    c.PrefixHash,
-		Origin:        c.Origin,
-		Trial:         c.Trial,
+		Origin:        c.ChargedRegion,
+		Trial:         c.QuarantineTrial,
 	}
 	if c.Routed != nil {
 		writeRoutedFields(m, c, now)
@@ -58,27 +58,27 @@
 // callFromProto decodes a call. Remaining durations count from sentAt.
 func callFromProto(m *peerpb.Call, sentAt time.Time) *call.Call {
 	c := &call.Call{
-		ID:           m.GetId(),
-		Workspace:    m.GetWorkspace(),
-		Kind:         call.Kind(m.GetKind()),
-		Model:        m.GetModel(),
-		Service:      m.GetService(),
-		Method:       m.GetMethod(),
-		Path:         m.GetPath(),
-		Header:       headerFromProto(m.GetHeader()),
-		Body:         m.GetBody(),
-		Stream:       m.GetStream(),
-		Idempotent:   m.GetIdempotent(),
-		Priority:     min(call.Priority(m.GetPriority()), call.PriorityReport),
-		Ticket:       m.GetTicket(),
-		FirstBy:      FromUnixMilli(m.GetFirstByUnixMs()),
-		WholeBy:      FromUnixMilli(m.GetWholeByUnixMs()),
-		PromptTokens: int(m.GetPromptTokens()),
-		MaxTokens:    int(m.GetMaxTokens()),
-		PrefixHash:   m.GetPrefixHash(),
-		Forwarded:    true,
-		Origin:       m.GetOrigin(),
-		Trial:        m.GetTrial(),
+		ID:                 m.GetId(),
+		Workspace:          m.GetWorkspace(),
+		Kind:               call.Kind(m.GetKind()),
+		Model:              m.GetModel(),
+		Service:            m.GetService(),
+		Method:             m.GetMethod(),
+		Path:               m.GetPath(),
+		Header:             headerFromProto(m.GetHeader()),
+		Body:               m.GetBody(),
+		Stream:             m.GetStream(),
+		Idempotent:         m.GetIdempotent(),
+		Priority:           min(call.Priority(m.GetPriority()), call.PriorityReport),
+		Ticket:             m.GetTicket(),
+		FirstTokenDeadline: FromUnixMilli(m.GetFirstByUnixMs()),
+		Deadline:           FromUnixMilli(m.GetWholeByUnixMs()),
+		PromptTokens:       int(m.GetPromptTokens()),
+		MaxTokens:          int(m.GetMaxTokens()),
+		PrefixHash:         m.GetPrefixHash(),
+		Forwarded:          true,
+		ChargedRegion:      m.GetOrigin(),
+		QuarantineTrial:    m.GetTrial(),
 	}
 	if c.Kind == call.KindRouted {
 		readRoutedFields(c, m, sentAt)
--- a/peer/peer.go
+++ b/peer/peer.go
@@ -48,8 +48,8 @@
 	TLS *tls.Config
 	// Now is a monotonic clock; nil means time.Now. Transit stamps outgoing messages and
 	// estimates the delay of incoming ones; nil means a new one.
-	Now     func() time.Time
-	Transit *Transit
+	Now    func() time.Time
+	Delays *DelayEstimator
 }
 
 // Client sends requests to other VMs. It is safe for concurrent use.
@@ -66,8 +66,8 @@
 	if o.Now == nil {
 		o.Now = time.Now
 	}
-	if o.Transit == nil {
-		o.Transit = NewTransit(o.Now)
+	if o.Delays == nil {
+		o.Delays = NewDelayEstimator(o.Now)
 	}
 	return &Client{
 		options: o,
@@ -112,7 +112,7 @@
 	if err := compressRumors(in); err != nil {
 		return nil, err
 	}
-	in.SentUs = c.options.Transit.elapsedMicros()
+	in.SentUs = c.options.Delays.elapsedMicros()
 	reply, err := c.client(ctx, vm).Gossip(ctx, in)
 	if err != nil {
 		return nil, err
@@ -123,7 +123,7 @@
 // Unread reports the prompts of this VM's calls that wait at engines to a VM of the
 // region.
 func (c *Client) Unread(ctx context.Context, vm fleet.VM, in *peerpb.UnreadNote) error {
-	in.SentUs = c.options.Transit.elapsedMicros()
+	in.SentUs = c.options.Delays.elapsedMicros()
 	_, err := c.client(ctx, vm).Unread(ctx, in)
 	return err
 }
@@ -131,7 +131,7 @@
 // Reports shares the load reports of engines that this VM polled with a VM of the
 // region.
 func (c *Client) Reports(ctx context.Context, vm fleet.VM, in *peerpb.ReportNote) error {
-	in.SentUs = c.options.Transit.elapsedMicros()
+	in.SentUs = c.options.Delays.elapsedMicros()
 	_, err := c.client(ctx, vm).Reports(ctx, in)
 	return err
 }
--- a/peer/permit.go
+++ b/peer/permit.go
@@ -13,7 +13,7 @@
 // Permit asks the VM that enforces an endpoint's rate limit to admit one request.
 func (c *Client) Permit(ctx context.Context, vm fleet.VM, l throttle.Limit) (throttle.Answer, error) {
 	reply, err := c.client(ctx, vm).Permit(ctx, &peerpb.PermitRequest{
-		Limit: EndpointLimitMessage(l),
+		Limit: EndpointLimitToProto(l),
 	})
 	if err != nil {
 		return throttle.Answer{}, err
@@ -26,34 +26,34 @@
 	if s.handlers.Permit == nil {
 		return nil, errUnsupported
 	}
-	return permitToProto(s.handlers.Permit(EndpointLimitFromMessage(in.GetLimit())), s.handlers.Now()), nil
+	return permitToProto(s.handlers.Permit(EndpointLimitFromProto(in.GetLimit())), s.handlers.Now()), nil
 }
 
 // permitToProto encodes an answer for immediate sending; its time becomes a remaining
 // duration.
 func permitToProto(a throttle.Answer, now time.Time) *peerpb.PermitReply {
 	m := &peerpb.PermitReply{
-		Kept:     a.Kept,
+		Kept:     a.IsCoordinator,
 		Granted:  a.Granted,
 		NextInMs: remainingMillis(a.NextAt, now),
 	}
 	if a.Limit.Version > 0 {
-		m.Limit = EndpointLimitMessage(a.Limit)
+		m.Limit = EndpointLimitToProto(a.Limit)
 	}
 	return m
 }
 
 func permitFromProto(m *peerpb.PermitReply, now time.Time) throttle.Answer {
 	return throttle.Answer{
-		Kept:    m.GetKept(),
-		Granted: m.GetGranted(),
-		NextAt:  deadlineAfter(m.GetNextInMs(), now),
-		Limit:   EndpointLimitFromMessage(m.GetLimit()),
+		IsCoordinator: m.GetKept(),
+		Granted:       m.GetGranted(),
+		NextAt:        deadlineAfter(m.GetNextInMs(), now),
+		Limit:         EndpointLimitFromProto(m.GetLimit()),
 	}
 }
 
-// EndpointLimitMessage encodes an endpoint's rate limit.
-func EndpointLimitMessage(l throttle.Limit) *peerpb.EndpointLimit {
+// EndpointLimitToProto encodes an endpoint's rate limit.
+func EndpointLimitToProto(l throttle.Limit) *peerpb.EndpointLimit {
 	return &peerpb.EndpointLimit{
 		Endpoint:    l.Endpoint,
 		Incarnation: l.Incarnation,
@@ -63,9 +63,9 @@
 	}
 }
 
-// EndpointLimitFromMessage decodes an endpoint's rate limit. It returns the zero Limit
+// EndpointLimitFromProto decodes an endpoint's rate limit. It returns the zero Limit
 // for a rate that is negative, infinite or not a number.
-func EndpointLimitFromMessage(m *peerpb.EndpointLimit) throttle.Limit {
+func EndpointLimitFromProto(m *peerpb.EndpointLimit) throttle.Limit {
 	perSecond := m.GetPerSecond()
 	if perSecond < 0 || math.IsNaN(perSecond) || math.IsInf(perSecond, 0) {
 		return throttle.Limit{}
--- a/peer/permit_test.go
+++ b/peer/permit_test.go
@@ -23,12 +23,12 @@
 		Active:      true,
 		PerSecond:   1.5,
 	}
-	assert.Equal(t, EndpointLimitFromMessage(EndpointLimitMessage(limit)), limit)
-	assert.Equal(t, proto.Size(&peerpb.PermitRequest{Limit: EndpointLimitMessage(limit)}), 36)
+	assert.Equal(t, EndpointLimitFromProto(EndpointLimitToProto(limit)), limit)
+	assert.Equal(t, proto.Size(&peerpb.PermitRequest{Limit: EndpointLimitToProto(limit)}), 36)
 	answer := throttle.Answer{
-		Kept:    true,
-		Granted: true,
-		NextAt:  now.Add(time.Second),
+		IsCoordinator: true,
+		Granted:       true,
+		NextAt:        now.Add(time.Second),
 	}
 	assert.Equal(t, proto.Size(permitToProto(answer, now)), 7)
 	assert.DeepEqual(t, permitFromProto(permitToProto(answer, now), now), answer)
@@ -36,6 +36,6 @@
 	assert.DeepEqual(t, permitFromProto(permitToProto(answer, now), now), answer)
 	for _, perSecond := range []float64{-1, math.NaN(), math.Inf(1)} {
 		limit.PerSecond = perSecond
-		assert.Equal(t, EndpointLimitFromMessage(EndpointLimitMessage(limit)), throttle.Limit{})
+		assert.Equal(t, EndpointLimitFromProto(EndpointLimitToProto(limit)), throttle.Limit{})
 	}
 }
--- a/peer/routed.go
+++ b/peer/routed.go
@@ -24,15 +24,15 @@
 	m.MaxAttempts = uint32(r.MaxAttempts)
 	m.Resumable = r.Resumable
 	m.Homes = r.Homes
-	m.FirstInMs = remainingMillis(c.FirstBy, now)
-	m.WholeInMs = remainingMillis(c.WholeBy, now)
-	m.CallerInMs = remainingMillis(r.CallerBy, now)
+	m.FirstInMs = remainingMillis(c.FirstTokenDeadline, now)
+	m.WholeInMs = remainingMillis(c.Deadline, now)
+	m.CallerInMs = remainingMillis(r.CallerDeadline, now)
 	m.ResumeAfter = r.ResumeAfter
-	m.RepeatedBefore = r.Repeated
-	m.EventTokens = uint32(r.EventTokens)
+	m.RepeatedBefore = r.Retry
+	m.EventTokens = uint32(r.TokensPerEvent)
 	m.AnswerTokens = uint32(r.AnswerTokens)
-	m.GapMs = uint32(r.Gap.Milliseconds())
-	for _, p := range r.Parts {
+	m.GapMs = uint32(r.MaxEventGap.Milliseconds())
+	for _, p := range r.PromptParts {
 		m.Parts = append(m.Parts, &peerpb.PromptPart{
 			Id:     p.ID,
 			Tokens: uint32(p.Tokens),
@@ -49,29 +49,29 @@
 }
 
 func readRoutedFields(c *call.Call, m *peerpb.Call, sentAt time.Time) {
-	c.FirstBy = deadlineAfter(m.GetFirstInMs(), sentAt)
-	c.WholeBy = deadlineAfter(m.GetWholeInMs(), sentAt)
+	c.FirstTokenDeadline = deadlineAfter(m.GetFirstInMs(), sentAt)
+	c.Deadline = deadlineAfter(m.GetWholeInMs(), sentAt)
 	c.Routed = &call.Routed{
-		Host:        m.GetHost(),
-		Route:       m.GetRoute(),
-		Version:     m.GetRouteVersion(),
-		Rank:        int(m.GetRank()),
-		MaxAttempts: int(m.GetMaxAttempts()),
-		Resumable:   m.GetResumable(),
-		Homes:       m.GetHomes(),
-		CallerBy:    deadlineAfter(m.GetCallerInMs(), sentAt),
-		ResumeAfter: m.GetResumeAfter(),
-		Repeated:    m.GetRepeatedBefore(),
-		EventTokens: int(m.GetEventTokens()),
+		Host:           m.GetHost(),
+		Route:          m.GetRoute(),
+		Version:        m.GetRouteVersion(),
+		Rank:           int(m.GetRank()),
+		MaxAttempts:    int(m.GetMaxAttempts()),
+		Resumable:      m.GetResumable(),
+		Homes:          m.GetHomes(),
+		CallerDeadline: deadlineAfter(m.GetCallerInMs(), sentAt),
+		ResumeAfter:    m.GetResumeAfter(),
+		Retry:          m.GetRepeatedBefore(),
+		TokensPerEvent: int(m.GetEventTokens()),
 
 		AnswerTokens: int(m.GetAnswerTokens()),
-		Gap:          time.Duration(m.GetGapMs()) * time.Millisecond,
+		MaxEventGap:  time.Duration(m.GetGapMs()) * time.Millisecond,
 	}
 	if key, ok := apikey.FromBytes(m.GetKeyDigest()); ok {
 		c.Routed.Key = key
 	}
 	for _, p := range m.GetParts() {
-		c.Routed.Parts = append(c.Routed.Parts, call.PromptPart{
+		c.Routed.PromptParts = append(c.Routed.PromptParts, call.PromptPart{
 			ID:     p.GetId(),
 			Tokens: int(p.GetTokens()),
 		})
--- a/peer/server.go
+++ b/peer/server.go
@@ -51,8 +51,8 @@
 	// TLS is the configuration made by the function TLS; nil means plain TCP.
 	TLS *tls.Config
 	// Now and Transit are as in Options.
-	Now     func() time.Time
-	Transit *Transit
+	Now    func() time.Time
+	Delays *DelayEstimator
 }
 
 // Server serves the requests of peers.
@@ -66,8 +66,8 @@
 	if h.Now == nil {
 		h.Now = time.Now
 	}
-	if h.Transit == nil {
-		h.Transit = NewTransit(h.Now)
+	if h.Delays == nil {
+		h.Delays = NewDelayEstimator(h.Now)
 	}
 	s := &Server{
 		handlers: h,
@@ -168,7 +168,7 @@
 	if err := compressRumors(reply); err != nil {
 		return nil, err
 	}
-	reply.SentUs = s.handlers.Transit.elapsedMicros()
+	reply.SentUs = s.handlers.Delays.elapsedMicros()
 	return reply, nil
 }
 
@@ -186,7 +186,7 @@
 		return nil, errUnsupported
 	}
 	from := in.GetFrom()
-	s.handlers.Reports(in, s.handlers.Transit.SentAt(from.GetVm(), from.GetIncarnation(), in.GetSentUs()))
+	s.handlers.Reports(in, s.handlers.Delays.SentAt(from.GetVm(), from.GetIncarnation(), in.GetSentUs()))
 	return &peerpb.ReportReply{}, nil
 }
 
@@ -196,7 +196,7 @@
 		return nil, errUnsupported
 	}
 	from := in.GetFrom()
-	s.handlers.Unread(in, s.handlers.Transit.SentAt(from.GetVm(), from.GetIncarnation(), in.GetSentUs()))
+	s.handlers.Unread(in, s.handlers.Delays.SentAt(from.GetVm(), from.GetIncarnation(), in.GetSentUs()))
 	return &peerpb.UnreadReply{}, nil
 }
 
@@ -206,7 +206,7 @@
 // Forward implements peerpb.DRPCPeerServer.
 func (s *service) Forward(in *peerpb.ForwardRequest, stream peerpb.DRPCPeer_ForwardStream) error {
 	s.handlers.Witness(in.GetStamp())
-	sentAt := s.handlers.Transit.SentAt(in.GetFrom().GetVm(), in.GetFrom().GetIncarnation(), in.GetSentUs())
+	sentAt := s.handlers.Delays.SentAt(in.GetFrom().GetVm(), in.GetFrom().GetIncarnation(), in.GetSentUs())
 	c := callFromProto(in.GetCall(), sentAt)
 	outcome := s.handlers.Forward(stream.Context(), in.GetFrom(), c, streamSink(stream))
 	return stream.Send(&peerpb.ForwardReply{
--- a/peer/transit.go
+++ b/peer/transit.go
@@ -12,12 +12,12 @@
 // old baseline from making later messages look delayed.
 const maxClockDrift = 200 * time.Microsecond
 
-// Transit estimates when a message of another VM was sent, by this VM's clock. The
+// DelayEstimator estimates when a message of another VM was sent, by this VM's clock. The
 // offset between two monotonic clocks is unknown but nearly constant, so the message
 // with the smallest observed offset serves as the baseline, and any excess over it is
 // delay in transit. A message that waited out a network partition is thus recognised as
 // old. It is safe for concurrent use.
-type Transit struct {
+type DelayEstimator struct {
 	now       func() time.Time
 	startedAt time.Time
 
@@ -33,9 +33,9 @@
 	measuredAt time.Time
 }
 
-// NewTransit returns a Transit; now is a monotonic clock.
-func NewTransit(now func() time.Time) *Transit {
-	return &Transit{
+// NewDelayEstimator returns a Transit; now is a monotonic clock.
+func NewDelayEstimator(now func() time.Time) *DelayEstimator {
+	return &DelayEstimator{
 		now:       now,
 		startedAt: now(),
 		baselines: make(map[string]delayBaseline),
@@ -44,14 +44,14 @@
 
 // elapsedMicros returns the monotonic time of this process for an outgoing message. It
 // is never zero, which marks a message without a timestamp.
-func (t *Transit) elapsedMicros() uint64 {
+func (t *DelayEstimator) elapsedMicros() uint64 {
 	return uint64(max(t.now().Sub(t.startedAt), time.Microsecond).Microseconds())
 }
 
 // SentAt returns the latest time at which a message that just arrived can have been
 // sent. The shortest network delay is not counted, and the first message of an
 // incarnation counts as undelayed.
-func (t *Transit) SentAt(vm string, incarnation, sentMicros uint64) time.Time {
+func (t *DelayEstimator) SentAt(vm string, incarnation, sentMicros uint64) time.Time {
 	now := t.now()
 	if sentMicros == 0 || vm == "" {
 		return now
@@ -62,7 +62,7 @@
 
 // excessDelay returns the delay of a message beyond the baseline, and updates the
 // baseline.
-func (t *Transit) excessDelay(vm string, incarnation uint64, offset time.Duration, now time.Time) time.Duration {
+func (t *DelayEstimator) excessDelay(vm string, incarnation uint64, offset time.Duration, now time.Time) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	known, ok := t.baselines[vm]
--- a/peer/transit_test.go
+++ b/peer/transit_test.go
@@ -43,7 +43,7 @@
 
 func (row transitRow) run(t *testing.T) {
 	now := epoch
-	transit := NewTransit(func() time.Time { return now })
+	transit := NewDelayEstimator(func() time.Time { return now })
 	origin := 1000 * time.Hour
 	if row.Ahead != "" {
 		origin += duration(t, row.Ahead)
@@ -173,7 +173,7 @@
 	forward := func(id string) { forwardRouted(t, client, clock, id) }
 
 	forward("first-call")
-	assert.Equal(t, (<-received).WholeBy, epoch.Add(2400*time.Millisecond))
+	assert.Equal(t, (<-received).Deadline, epoch.Add(2400*time.Millisecond))
 
 	link.setBlocked(true)
 	done := make(chan struct{})
@@ -187,9 +187,9 @@
 	delayed := <-received
 	<-done
 	// Rounding hides the tolerated clock drift.
-	overdue := clock.Now().Sub(delayed.WholeBy).Round(10 * time.Millisecond)
+	overdue := clock.Now().Sub(delayed.Deadline).Round(10 * time.Millisecond)
 	assert.Equal(t, overdue, 600*time.Millisecond)
-	assert.Assert(t, delayed.Routed.CallerBy.Before(clock.Now()))
+	assert.Assert(t, delayed.Routed.CallerDeadline.Before(clock.Now()))
 }
 
 func startServer(t *testing.T, clock *fakeClock, received chan<- *call.Call) string {
@@ -215,11 +215,11 @@
 func forwardRouted(t *testing.T, client *Client, clock *fakeClock, id string) {
 	now := clock.Now()
 	c := &call.Call{
-		ID:      id,
-		Kind:    call.KindRouted,
-		WholeBy: now.Add(2400 * time.Millisecond),
+		ID:       id,
+		Kind:     call.KindRouted,
+		Deadline: now.Add(2400 * time.Millisecond),
 		Routed: &call.Routed{
-			CallerBy: now.Add(2400 * time.Millisecond),
+			CallerDeadline: now.Add(2400 * time.Millisecond),
 		},
 	}
 	client.Forward(t.Context(), fleet.VM{
@@ -230,7 +230,7 @@
 			Vm:          "near",
 			Incarnation: 1,
 		},
-		Call: CallMessage(c, now),
+		Call: CallToProto(c, now),
 	}, call.Sink{
 		Head:  func(int, http.Header) error { return nil },
 		Chunk: func([]byte) error { return nil },
--- a/placement/late.go
+++ b/placement/late.go
@@ -18,16 +18,16 @@
 	minProbeShare = 0.1
 )
 
-// Late tracks the share of late calls that recently failed, so that callers can be
+// MissTracker tracks the share of late calls that recently failed, so that callers can be
 // refused at once instead of waiting for a deadline that will not be met. It is safe
 // for concurrent use.
-type Late struct {
+type MissTracker struct {
 	mu    sync.Mutex
-	rates map[LateGroup]missRate
+	rates map[CallGroup]missRate
 }
 
-// LateGroup identifies the calls that share one miss rate.
-type LateGroup struct {
+// CallGroup identifies the calls that share one miss rate.
+type CallGroup struct {
 	Service string
 	Rank    int
 }
@@ -38,15 +38,15 @@
 	updatedAt time.Time
 }
 
-// NewLate creates a Late without samples: all late calls are expected to be served.
-func NewLate() *Late {
-	return &Late{
-		rates: make(map[LateGroup]missRate),
+// NewMissTracker creates a Late without samples: all late calls are expected to be served.
+func NewMissTracker() *MissTracker {
+	return &MissTracker{
+		rates: make(map[CallGroup]missRate),
 	}
 }
 
-// Ended records whether a late call was served.
-func (l *Late) Ended(g LateGroup, served bool, now time.Time) {
+// Record records whether a late call was served.
+func (l *MissTracker) Record(g CallGroup, served bool, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	rate := l.rates[g].decayed(now)
@@ -60,8 +60,8 @@
 	}
 }
 
-// Missed returns the share of the group's late calls that were not served recently.
-func (l *Late) Missed(g LateGroup, now time.Time) float64 {
+// MissRate returns the share of the group's late calls that were not served recently.
+func (l *MissTracker) MissRate(g CallGroup, now time.Time) float64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.rates[g].decayed(now)
--- a/placement/late_test.go
+++ b/placement/late_test.go
@@ -23,10 +23,10 @@
 	}](t, "testdata/late.json") {
 		t.Run(c.Name, func(t *testing.T) {
 			now := time.Unix(1e9, 0)
-			l := NewLate()
-			g := LateGroup{Service: "chat"}
+			l := NewMissTracker()
+			g := CallGroup{Service: "chat"}
 			for i := range c.Missed + c.Served {
-				l.Ended(g, i >= c.Missed, now)
+				l.Record(g, i >= c.Missed, now)
 				now = now.Add(100 * time.Millisecond)
 			}
 			now = now.Add(time.Duration(c.AfterS * float64(time.Second)))
@@ -36,13 +36,13 @@
 			refused := 0
 			for i := range 1000 {
 				r := Request{
-					Own:        Load{Region: "a", Endpoints: 1, First: 2 * time.Second},
-					OwnAllowed: true,
-					FirstBy:    now.Add(time.Second),
-					Missed:     l.Missed(g, now),
-					LateDraw:   float64(i) / 1000,
+					Local:         Load{Region: "a", Endpoints: 1, TTFT: 2 * time.Second},
+					LocalAllowed:  true,
+					FirstBy:       now.Add(time.Second),
+					MissRate:      l.MissRate(g, now),
+					ObjectiveDraw: float64(i) / 1000,
 				}
-				if Decide(r, now).Refused == ReasonObjective {
+				if Decide(r, now).Refusal == ReasonObjective {
 					refused++
 				}
 			}
--- a/placement/overload_test.go
+++ b/placement/overload_test.go
@@ -60,9 +60,9 @@
 	row     overloadRow
 	clock   *enginetest.Clock
 	random  *rand.Rand
-	engines map[string]*enginetest.Reader
+	engines map[string]*enginetest.PrefillServer
 	pools   []*routing.Pool
-	sent    *placement.Sent
+	sent    *placement.SentTokens
 	// reportedLoad is the latest load report of the serving region, and
 	// reportedPrefillRate the tokens its engines prefill in a second.
 	reportedLoad        placement.Load
@@ -78,8 +78,8 @@
 		row:     row,
 		clock:   enginetest.NewClock(),
 		random:  rand.New(rand.NewPCG(3, 1)),
-		engines: make(map[string]*enginetest.Reader),
-		sent:    placement.NewSent(),
+		engines: make(map[string]*enginetest.PrefillServer),
+		sent:    placement.NewSentTokens(),
 	}
 	s.start()
 	end := s.clock.Now().Add(runDuration)
@@ -94,13 +94,13 @@
 	var ids []string
 	for i := range engineCount {
 		id := string(rune('a' + i))
-		s.engines[id] = &enginetest.Reader{
+		s.engines[id] = &enginetest.PrefillServer{
 			Clock:     s.clock,
 			PerSecond: prefillPerSecond,
 		}
 		ids = append(ids, id)
 	}
-	s.pools = enginetest.Pools(2, ids, s.random, s.clock.Now())
+	s.pools = enginetest.NewPools(2, ids, s.random, s.clock.Now())
 	s.clock.Every(loadReportInterval, s.reportLoad)
 	s.clock.Every(backlogShareInterval, s.shareBacklogs)
 }
@@ -109,22 +109,22 @@
 func (s *overloadSim) reportLoad() {
 	now := s.clock.Now()
 	expected, _ := s.pools[0].Expect(routing.Request{PromptTokens: loadReportPromptTokens}, now)
-	supply := s.pools[0].Supply(now)
+	supply := s.pools[0].Capacity(now)
 	s.reportedLoad = placement.Load{
 		Region:    "far",
 		Endpoints: supply.Endpoints,
-		First:     expected.First,
-		Way:       roundTrip,
+		TTFT:      expected.TTFT,
+		RoundTrip: roundTrip,
 	}
-	s.reportedPrefillRate = supply.PrefillPerSecond
+	s.reportedPrefillRate = supply.PrefillRate
 	s.reportedAt = now
 }
 
 func (s *overloadSim) shareBacklogs() {
 	now := s.clock.Now()
 	for i, from := range s.pools {
-		list, _ := from.Unread()
-		s.pools[1-i].TakeUnread(string(rune('0'+i)), list, now, now)
+		list, _ := from.PrefillQueues()
+		s.pools[1-i].SetPeerQueues(string(rune('0'+i)), list, now, now)
 	}
 }
 
@@ -145,8 +145,8 @@
 	}
 	load := s.reportedLoad
 	extraTokens := float64(tokens-loadReportPromptTokens) + s.sent.Since("far", "s", s.reportedAt, 1)/float64(load.Endpoints)
-	load.First += time.Duration(extraTokens / s.reportedPrefillRate * float64(time.Second))
-	return placement.Yields(load, deadline, s.clock.Now())
+	load.TTFT += time.Duration(extraTokens / s.reportedPrefillRate * float64(time.Second))
+	return placement.MissesObjective(load, deadline, s.clock.Now())
 }
 
 func (s *overloadSim) receiveCall(tokens int, deadline time.Time, senderExpectsLate bool) {
@@ -162,12 +162,12 @@
 	if s.row.Counted {
 		localDeadline = deadline.Add(-roundTrip / 2)
 	}
-	routed := call.Routed{Late: senderExpectsLate}
+	routed := call.Routed{MissesObjective: senderExpectsLate}
 	if s.row.Decides == "server" {
 		expected, _ := pool.Expect(request, now)
-		routed.Late = placement.Yields(placement.Load{First: expected.First}, localDeadline, now)
+		routed.MissesObjective = placement.MissesObjective(placement.Load{TTFT: expected.TTFT}, localDeadline, now)
 	}
-	request.Turn = routed.Turn()
+	request.QueueLevel = routed.QueueLevel()
 	choice, ok := pool.Choose(request, now)
 	if !ok {
 		return
@@ -179,11 +179,11 @@
 	engine := s.engines[choice.Endpoint.ID]
 	prompt := &enginetest.Prompt{
 		Tokens: float64(request.PromptTokens),
-		Turn:   request.Turn,
+		Turn:   request.QueueLevel,
 	}
-	prompt.Read = func() {
+	prompt.OnDone = func() {
 		now := s.clock.Now()
-		pool.Began(choice, now)
+		pool.FirstToken(choice, now)
 		pool.Done(choice, routing.Outcome{Code: result.Done, Sent: true, FirstAt: now}, now)
 		if !now.Add(roundTrip / 2).After(deadline) {
 			s.onTime++
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -46,33 +46,33 @@
 	// Endpoints is the number of endpoints that accept calls; First is the expected
 	// time to the first token there, and Whole to the end of the answer.
 	Endpoints int
-	First     time.Duration
-	Whole     time.Duration
-	// Way is the network round-trip time.
-	Way time.Duration
-	// LongWhole is the expected time to the end of an answer of the 90th percentile
+	TTFT      time.Duration
+	TotalTime time.Duration
+	// RoundTrip is the network round-trip time.
+	RoundTrip time.Duration
+	// TotalTimeP90 is the expected time to the end of an answer of the 90th percentile
 	// length.
-	LongWhole time.Duration
-	// Answer is the number of tokens that the local region expects to be generated.
-	Answer float64
-	// Long is the same for an answer of the 90th percentile length.
-	Long float64
-	// ToRead is the number of prompt tokens that the local region expects an endpoint
+	TotalTimeP90 time.Duration
+	// AnswerTokens is the number of tokens that the local region expects to be generated.
+	AnswerTokens float64
+	// AnswerTokensP90 is the same for an answer of the 90th percentile length.
+	AnswerTokensP90 float64
+	// PrefillTokens is the number of prompt tokens that the local region expects an endpoint
 	// to prefill.
-	ToRead float64
+	PrefillTokens float64
 }
 
 // Request is a call that may be served in several regions.
 type Request struct {
-	Own Load
-	// OwnAllowed is false if the call may not be served in the local region, or was
+	Local Load
+	// LocalAllowed is false if the call may not be served in the local region, or was
 	// refused there.
-	OwnAllowed bool
-	// Others are the loads of the other regions that may serve the call.
-	Others []Load
-	// Moved is set if another VM has already handled the call; such a call is not
+	LocalAllowed bool
+	// Remote are the loads of the other regions that may serve the call.
+	Remote []Load
+	// Forwarded is set if another VM has already handled the call; such a call is not
 	// refused for overload.
-	Moved bool
+	Forwarded bool
 	// FirstBy is the objective for the first token and WholeBy the deadline; zero means
 	// none.
 	FirstBy time.Time
@@ -80,18 +80,18 @@
 	// Rank is the rank of the call's priority among those in use: 0 for the highest, 1
 	// for those between and 2 for the lowest.
 	Rank int
-	// Missed is the share of late calls of the same group that recently failed.
-	Missed float64
-	// EndDraw, LateDraw and WaitDraw are random numbers in [0, 1).
-	EndDraw  float64
-	LateDraw float64
-	WaitDraw float64
-	// Without disables mechanisms, to measure their effect.
-	Without Without
-}
-
-// Without lists mechanisms to disable.
-type Without struct {
+	// MissRate is the share of late calls of the same group that recently failed.
+	MissRate float64
+	// DeadlineDraw, ObjectiveDraw and RetryDraw are random numbers in [0, 1).
+	DeadlineDraw  float64
+	ObjectiveDraw float64
+	RetryDraw     float64
+	// Disabled disables mechanisms, to measure their effect.
+	Disabled DisabledFeatures
+}
+
+// DisabledFeatures lists mechanisms to disable.
+type DisabledFeatures struct {
 	Yielding    bool
 	LateRefusal bool
 	EndRefusal  bool
@@ -116,10 +116,10 @@
 	Region string
 	// Late is set if the call yields to calls that can still meet their objective.
 	Late bool
-	// Refused is empty for a call that is served. ComeBackAt is when the caller of a
+	// Refusal is empty for a call that is served. ComeBackAt is when the caller of a
 	// refused call may retry.
-	Refused    Reason
-	ComeBackAt time.Time
+	Refusal Reason
+	RetryAt time.Time
 }
 
 // Decide selects the region that serves a call: the local one if it is expected to
@@ -129,16 +129,16 @@
 	best := r.selectRegion(now)
 	d := Decision{
 		Region:  best.Region,
-		Late:    best.Region != "" && !r.Without.Yielding && r.isLate(best, now),
-		Refused: ReasonNoRegion,
+		Late:    best.Region != "" && !r.Disabled.Yielding && r.isLate(best, now),
+		Refusal: ReasonNoRegion,
 	}
 	if best.Region == "" {
-		d.ComeBackAt = now.Add(noRegionRetryDelay)
+		d.RetryAt = now.Add(noRegionRetryDelay)
 		return d
 	}
-	d.Refused = r.refusalReason(best, d.Late, now)
-	if d.Refused != "" {
-		d.ComeBackAt = r.retryAt(now)
+	d.Refusal = r.refusalReason(best, d.Late, now)
+	if d.Refusal != "" {
+		d.RetryAt = r.retryAt(now)
 	}
 	return d
 }
@@ -147,11 +147,11 @@
 // Reason.
 func (r Request) refusalReason(l Load, late bool, now time.Time) Reason {
 	switch {
-	case r.Moved:
+	case r.Forwarded:
 		return ""
-	case !r.Without.EndRefusal && r.exceedsShedThreshold(r.completionShare(l, now)):
+	case !r.Disabled.EndRefusal && r.exceedsShedThreshold(r.completionShare(l, now)):
 		return ReasonDeadline
-	case late && !r.Without.LateRefusal && r.LateDraw < min(r.Missed, 1-minProbeShare):
+	case late && !r.Disabled.LateRefusal && r.ObjectiveDraw < min(r.MissRate, 1-minProbeShare):
 		return ReasonObjective
 	default:
 		return ""
@@ -162,7 +162,7 @@
 // to its deadline is refused.
 func (r Request) exceedsShedThreshold(completionShare float64) bool {
 	threshold := r.shedThreshold()
-	return (completionShare-threshold)/threshold > r.EndDraw
+	return (completionShare-threshold)/threshold > r.DeadlineDraw
 }
 
 // shedThreshold is the share of the time to the deadline from which calls of this rank
@@ -182,15 +182,15 @@
 // if no region takes calls.
 func (r Request) selectRegion(now time.Time) Load {
 	best, leastUsed := Load{}, 0.0
-	if r.OwnAllowed && r.Own.Endpoints > 0 {
-		first, completion := r.timeUsed(r.Own, now)
+	if r.LocalAllowed && r.Local.Endpoints > 0 {
+		first, completion := r.timeUsed(r.Local, now)
 		if first <= localFirstTokenShare && completion <= localCompletionShare {
-			return r.Own
+			return r.Local
 		}
-		best = r.Own
+		best = r.Local
 		leastUsed = max(first, completion)
 	}
-	for _, o := range r.Others {
+	for _, o := range r.Remote {
 		first, completion := r.timeUsed(o, now)
 		if used := max(first, completion); o.Endpoints > 0 && (best.Region == "" || used < leastUsed) {
 			best = o
@@ -202,13 +202,13 @@
 
 // isLate reports whether the first token is expected after the objective.
 func (r Request) isLate(l Load, now time.Time) bool {
-	return Yields(l, r.FirstBy, now)
+	return MissesObjective(l, r.FirstBy, now)
 }
 
-// Yields reports whether a call served at load l would miss its objective, so that it
+// MissesObjective reports whether a call served at load l would miss its objective, so that it
 // has to yield to calls that can still meet theirs.
-func Yields(l Load, firstBy, now time.Time) bool {
-	return shareOfTime(l.First+l.Way, firstBy, now) > lateThreshold
+func MissesObjective(l Load, firstBy, now time.Time) bool {
+	return shareOfTime(l.TTFT+l.RoundTrip, firstBy, now) > lateThreshold
 }
 
 // completionShare is the share of the time to the deadline that the call is expected to
@@ -218,13 +218,13 @@
 	if r.Rank < lowestPriorityRank {
 		return completion
 	}
-	return max(completion, shedThresholdLow*shareOfTime(l.LongWhole+l.Way, r.WholeBy, now))
+	return max(completion, shedThresholdLow*shareOfTime(l.TotalTimeP90+l.RoundTrip, r.WholeBy, now))
 }
 
 // timeUsed returns the shares of the times to the objective and to the deadline that
 // the call would take in a region.
 func (r Request) timeUsed(l Load, now time.Time) (first, completion float64) {
-	return shareOfTime(l.First+l.Way, r.FirstBy, now), shareOfTime(l.Whole+l.Way, r.WholeBy, now)
+	return shareOfTime(l.TTFT+l.RoundTrip, r.FirstBy, now), shareOfTime(l.TotalTime+l.RoundTrip, r.WholeBy, now)
 }
 
 func shareOfTime(duration time.Duration, deadline, now time.Time) float64 {
@@ -237,9 +237,9 @@
 // retryAt returns when a call that was refused for overload may be retried.
 func (r Request) retryAt(now time.Time) time.Time {
 	if now.Before(r.FirstBy) {
-		return randomTimeWithin(r.FirstBy.Sub(now), minObjectiveRetryShare, maxObjectiveRetryShare, r.WaitDraw, now)
+		return randomTimeWithin(r.FirstBy.Sub(now), minObjectiveRetryShare, maxObjectiveRetryShare, r.RetryDraw, now)
 	}
-	return randomTimeWithin(r.WholeBy.Sub(now), minDeadlineRetryShare, maxDeadlineRetryShare, r.WaitDraw, now)
+	return randomTimeWithin(r.WholeBy.Sub(now), minDeadlineRetryShare, maxDeadlineRetryShare, r.RetryDraw, now)
 }
 
 // randomTimeWithin returns the time at which a share between minShare and maxShare of
--- a/placement/placement_test.go
+++ b/placement/placement_test.go
@@ -19,12 +19,12 @@
 
 func (l loadCase) load() Load {
 	return Load{
-		Region:    l.Region,
-		Endpoints: l.Endpoints,
-		First:     time.Duration(l.First) * time.Millisecond,
-		Whole:     time.Duration(l.Whole) * time.Millisecond,
-		LongWhole: time.Duration(l.Long) * time.Millisecond,
-		Way:       time.Duration(l.Way) * time.Millisecond,
+		Region:       l.Region,
+		Endpoints:    l.Endpoints,
+		TTFT:         time.Duration(l.First) * time.Millisecond,
+		TotalTime:    time.Duration(l.Whole) * time.Millisecond,
+		TotalTimeP90: time.Duration(l.Long) * time.Millisecond,
+		RoundTrip:    time.Duration(l.Way) * time.Millisecond,
 	}
 }
 
@@ -44,22 +44,22 @@
 	}](t, "testdata/decide.json") {
 		t.Run(c.Name, func(t *testing.T) {
 			r := Request{
-				Own:        c.Own.load(),
-				OwnAllowed: !c.NotAllowed,
-				FirstBy:    now.Add(time.Second),
-				WholeBy:    now.Add(10 * time.Second),
-				Rank:       c.Rank,
-				EndDraw:    c.Draw,
+				Local:        c.Own.load(),
+				LocalAllowed: !c.NotAllowed,
+				FirstBy:      now.Add(time.Second),
+				WholeBy:      now.Add(10 * time.Second),
+				Rank:         c.Rank,
+				DeadlineDraw: c.Draw,
 			}
-			r.Own.Region = "a"
+			r.Local.Region = "a"
 			for _, o := range c.Others {
-				r.Others = append(r.Others, o.load())
+				r.Remote = append(r.Remote, o.load())
 			}
 			got := Decide(r, now)
 			assert.Equal(t, got.Region, c.Want)
 			assert.Equal(t, got.Late, c.Late)
-			assert.Equal(t, got.Refused == ReasonDeadline, c.Overloaded)
-			assert.Equal(t, got.Refused == ReasonNoRegion, c.Want == "")
+			assert.Equal(t, got.Refusal == ReasonDeadline, c.Overloaded)
+			assert.Equal(t, got.Refusal == ReasonNoRegion, c.Want == "")
 		})
 	}
 }
@@ -78,17 +78,17 @@
 	}](t, "testdata/come_back.json") {
 		t.Run(c.Name, func(t *testing.T) {
 			r := Request{
-				Own:        Load{Region: "a", Endpoints: 1, Whole: time.Hour},
-				OwnAllowed: true,
-				WholeBy:    now.Add(9 * time.Second),
-				WaitDraw:   c.Draw,
+				Local:        Load{Region: "a", Endpoints: 1, TotalTime: time.Hour},
+				LocalAllowed: true,
+				WholeBy:      now.Add(9 * time.Second),
+				RetryDraw:    c.Draw,
 			}
 			if c.FirstMS != 0 {
 				r.FirstBy = now.Add(time.Duration(c.FirstMS) * time.Millisecond)
 			}
 			d := Decide(r, now)
-			assert.Equal(t, d.Refused, ReasonDeadline)
-			wait := d.ComeBackAt.Sub(now).Milliseconds()
+			assert.Equal(t, d.Refusal, ReasonDeadline)
+			wait := d.RetryAt.Sub(now).Milliseconds()
 			assert.Assert(t, wait >= c.Least && wait <= c.Most, "%d ms", wait)
 		})
 	}
--- a/placement/sent.go
+++ b/placement/sent.go
@@ -14,10 +14,10 @@
 	peerSendRatio = 0.8
 )
 
-// Sent records the prompts that this VM recently sent to other regions. Adding them to
+// SentTokens records the prompts that this VM recently sent to other regions. Adding them to
 // a region's load report, which predates them, keeps all VMs from sending to the same
 // idle region until its next report. It is safe for concurrent use.
-type Sent struct {
+type SentTokens struct {
 	mu            sync.Mutex
 	byDestination map[destination]*sentHistory
 }
@@ -34,15 +34,15 @@
 	next   int
 }
 
-// NewSent creates an empty Sent.
-func NewSent() *Sent {
-	return &Sent{
+// NewSentTokens creates an empty Sent.
+func NewSentTokens() *SentTokens {
+	return &SentTokens{
 		byDestination: make(map[destination]*sentHistory),
 	}
 }
 
 // Add records that a prompt with this many uncached tokens is being sent.
-func (s *Sent) Add(region, service string, tokens float64, now time.Time) {
+func (s *SentTokens) Add(region, service string, tokens float64, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	dest := destination{
@@ -61,7 +61,7 @@
 
 // Since estimates how many tokens all VMs of the local region have sent to a
 // destination after a time.
-func (s *Sent) Since(region, service string, after time.Time, regionVMs int) float64 {
+func (s *SentTokens) Since(region, service string, after time.Time, regionVMs int) float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	history := s.byDestination[destination{
@@ -80,9 +80,9 @@
 	return tokens * (1 + peerSendRatio*float64(max(regionVMs-1, 0)))
 }
 
-// Queued estimates how many of the sent tokens each endpoint of a region still has to
+// BacklogPerEndpoint estimates how many of the sent tokens each endpoint of a region still has to
 // prefill. It subtracts what the endpoints prefilled in the elapsed time, since
 // otherwise calls leave the nearest region too early.
-func Queued(sentTokens float64, endpoints int, prefillPerSecond float64, elapsed time.Duration) float64 {
+func BacklogPerEndpoint(sentTokens float64, endpoints int, prefillPerSecond float64, elapsed time.Duration) float64 {
 	return max(sentTokens/float64(max(endpoints, 1))-prefillPerSecond*elapsed.Seconds(), 0)
 }
--- a/placement/sent_test.go
+++ b/placement/sent_test.go
@@ -25,7 +25,7 @@
 		Want    float64
 	}](t, "testdata/sent.json") {
 		t.Run(c.Name, func(t *testing.T) {
-			s := NewSent()
+			s := NewSentTokens()
 			for _, sent := range c.Calls {
 				for range max(sent.Times, 1) {
 					s.Add(sent.Region, "chat", sent.Tokens, start.Add(time.Duration(sent.AtMS)*time.Millisecond))
@@ -48,7 +48,7 @@
 		Want      float64
 	}](t, "testdata/queued.json") {
 		t.Run(c.Name, func(t *testing.T) {
-			got := Queued(c.Sent, c.Endpoints, 50_000, time.Duration(c.PassedMS)*time.Millisecond)
+			got := BacklogPerEndpoint(c.Sent, c.Endpoints, 50_000, time.Duration(c.PassedMS)*time.Millisecond)
 			assert.Equal(t, got, c.Want)
 		})
 	}
--- a/quarantine/agent/agent.go
+++ b/quarantine/agent/agent.go
@@ -38,16 +38,16 @@
 	Now func() time.Time
 	// Dial opens and closes a connection to an address.
 	Dial func(ctx context.Context, addr string) error
-	// Listed reports whether an endpoint is published as accepting calls. An endpoint
+	// Published reports whether an endpoint is published as accepting calls. An endpoint
 	// that is draining stops as planned, with calls in flight.
-	Listed func(e fleet.Endpoint) bool
+	Published func(e fleet.Endpoint) bool
 	// VMs returns the reachable VMs, including this one, and whether others are
 	// unreachable.
 	VMs func() (vms []quarantine.Peer, parted bool)
-	// Tell sends a note to a VM.
-	Tell func(ctx context.Context, to fleet.VM, n quarantine.Note) error
-	// Count is called with the number of quarantined calls.
-	Count func(held int)
+	// Send sends a note to a VM.
+	Send func(ctx context.Context, to fleet.VM, n quarantine.Note) error
+	// OnCountChanged is called with the number of quarantined calls.
+	OnCountChanged func(held int)
 }
 
 // Agent runs the quarantine on one VM. Its exported methods are safe for concurrent
@@ -71,7 +71,7 @@
 
 // heldCall is a quarantined call.
 type heldCall struct {
-	quarantine.Held
+	quarantine.QuarantinedCall
 	// trialUntil is when the current trial times out, in nanoseconds since the epoch.
 	trialUntil atomic.Int64
 }
@@ -134,29 +134,29 @@
 // post sends a message to the agent's goroutine. It never blocks: a message that does
 // not fit into the inbox is dropped and logged.
 func (a *Agent) post(m message) {
-	if !a.inbox.Offer(m) {
+	if !a.inbox.TrySend(m) {
 		a.options.Log.Warn("crash_note_dropped")
 	}
 }
 
-// Cut reports that the connection broke off on which an endpoint was running a call.
+// ConnectionLost reports that the connection broke off on which an endpoint was running a call.
 // firstAt is when the answer began, zero if it had not.
-func (a *Agent) Cut(content uint64, e fleet.Endpoint, firstAt time.Time) {
+func (a *Agent) ConnectionLost(content uint64, e fleet.Endpoint, firstAt time.Time) {
 	if !quarantine.MayHaveCrashed(firstAt, a.options.Now()) {
-		a.EndedWell(content)
+		a.Succeeded(content)
 		return
 	}
 	a.post(func(ctx context.Context, now time.Time) { a.checkEndpoint(ctx, content, e, now) })
 }
 
-// EndedWell reports that an endpoint ran a call without crashing.
-func (a *Agent) EndedWell(content uint64) {
+// Succeeded reports that an endpoint ran a call without crashing.
+func (a *Agent) Succeeded(content uint64) {
 	a.proven.add(content)
 	if (*a.held.Load())[content] == nil {
 		return
 	}
 	a.post(func(_ context.Context, now time.Time) {
-		a.list.EndedWell(content, now)
+		a.list.Succeeded(content, now)
 		a.stepDue = true
 	})
 }
@@ -190,10 +190,10 @@
 	a.post(func(context.Context, time.Time) { a.stepDue = a.stepDue || !a.isIdle() })
 }
 
-// Take processes a note of another VM.
-func (a *Agent) Take(n quarantine.Note) {
+// Receive processes a note of another VM.
+func (a *Agent) Receive(n quarantine.Note) {
 	a.post(func(_ context.Context, now time.Time) {
-		a.list.Take(n, now)
+		a.list.Receive(n, now)
 		a.stepDue = true
 	})
 }
@@ -203,7 +203,7 @@
 	a.dropExpiredChecks(now)
 	a.list.Step(now)
 	vms, parted := a.options.VMs()
-	for _, note := range a.list.Due(vms, parted, now) {
+	for _, note := range a.list.DueNotes(vms, parted, now) {
 		go a.send(ctx, note)
 	}
 	a.publish(a.list.Held(vms))
@@ -212,7 +212,7 @@
 func (a *Agent) send(ctx context.Context, note quarantine.Outgoing) {
 	a.sendSlots <- struct{}{}
 	sendCtx, cancel := context.WithTimeout(ctx, sendTimeout)
-	err := a.options.Tell(sendCtx, note.To.VM, note.Note)
+	err := a.options.Send(sendCtx, note.To.VM, note.Note)
 	cancel()
 	<-a.sendSlots
 	if err != nil {
@@ -221,14 +221,14 @@
 	// Send blocks instead of dropping the message, as the list considers the note in
 	// flight until it arrives.
 	a.inbox.Send(ctx, func(context.Context, time.Time) {
-		a.list.Sent(note, err == nil)
+		a.list.Delivered(note, err == nil)
 		// Crashes that were added while the note was in flight may be due now.
 		a.stepDue = a.stepDue || (err == nil && len(note.Note.Crashes) > 0)
 	})
 }
 
 // publish updates the quarantined calls for the request path and logs the changes.
-func (a *Agent) publish(list []quarantine.Held) {
+func (a *Agent) publish(list []quarantine.QuarantinedCall) {
 	before := *a.held.Load()
 	after := make(map[uint64]*heldCall, len(list))
 	changed := len(list) != len(before)
@@ -237,8 +237,8 @@
 		if known == nil {
 			a.options.Log.Warn("call_quarantined", "content", contentText(h.Content), "crashes", h.Crashes)
 		}
-		if known == nil || known.Held != h {
-			known = &heldCall{Held: h}
+		if known == nil || known.QuarantinedCall != h {
+			known = &heldCall{QuarantinedCall: h}
 			changed = true
 		}
 		after[h.Content] = known
@@ -250,6 +250,6 @@
 	}
 	if changed {
 		a.held.Store(&after)
-		a.options.Count(len(after))
+		a.options.OnCountChanged(len(after))
 	}
 }
--- a/quarantine/agent/agent_test.go
+++ b/quarantine/agent/agent_test.go
@@ -40,18 +40,18 @@
 			Incarnation: 1,
 		})
 		f.byVM[name] = New(Options{
-			VM:     name,
-			Log:    slog.New(slog.NewTextHandler(io.Discard, nil)),
-			Now:    time.Now,
-			Dial:   func(context.Context, string) error { return syscall.ECONNREFUSED },
-			Listed: func(fleet.Endpoint) bool { return true },
-			VMs:    func() ([]quarantine.Peer, bool) { return f.order, false },
-			Tell: func(_ context.Context, to fleet.VM, n quarantine.Note) error {
+			VM:        name,
+			Log:       slog.New(slog.NewTextHandler(io.Discard, nil)),
+			Now:       time.Now,
+			Dial:      func(context.Context, string) error { return syscall.ECONNREFUSED },
+			Published: func(fleet.Endpoint) bool { return true },
+			VMs:       func() ([]quarantine.Peer, bool) { return f.order, false },
+			Send: func(_ context.Context, to fleet.VM, n quarantine.Note) error {
 				time.Sleep(noteLatency)
-				f.byVM[to.ID].Take(n)
+				f.byVM[to.ID].Receive(n)
 				return nil
 			},
-			Count: func(held int) {
+			OnCountChanged: func(held int) {
 				f.mu.Lock()
 				defer f.mu.Unlock()
 				f.held[name] = held
@@ -81,10 +81,10 @@
 		f := startFleet(ctx, "a1", "a2", "b1", "b2", "c1")
 		for i, name := range []string{"a1", "b2", "c1"} {
 			e := fleet.Endpoint{ID: name, Incarnation: int64(i)}
-			f.byVM[name].Cut(7, e, time.Time{})
-			f.byVM[name].Cut(uint64(100+i), e, time.Time{})
+			f.byVM[name].ConnectionLost(7, e, time.Time{})
+			f.byVM[name].ConnectionLost(uint64(100+i), e, time.Time{})
 			// This answer had lasted too long for the call to be the cause.
-			f.byVM[name].Cut(8, e, time.Now().Add(-10*time.Second))
+			f.byVM[name].ConnectionLost(8, e, time.Now().Add(-10*time.Second))
 			time.Sleep(300 * time.Millisecond)
 		}
 		for name, a := range f.byVM {
@@ -109,7 +109,7 @@
 		defer stop()
 		f := startFleet(ctx, "a1", "a2", "b1")
 		for i := range 3 {
-			f.byVM["a1"].Cut(7, fleet.Endpoint{ID: "e", Incarnation: int64(i)}, time.Time{})
+			f.byVM["a1"].ConnectionLost(7, fleet.Endpoint{ID: "e", Incarnation: int64(i)}, time.Time{})
 			time.Sleep(300 * time.Millisecond)
 		}
 		time.Sleep(90 * time.Second)
@@ -123,7 +123,7 @@
 		}
 		// One trial in each of the two regions, which are both allowed one by now.
 		assert.Equal(t, trials, 2)
-		f.byVM["a2"].EndedWell(7)
+		f.byVM["a2"].Succeeded(7)
 		time.Sleep(time.Second)
 		for name, a := range f.byVM {
 			refusal, _ := a.Admit(7)
--- a/quarantine/agent/check.go
+++ b/quarantine/agent/check.go
@@ -96,11 +96,11 @@
 // recordCrash records that an endpoint crashed while it was running calls.
 func (a *Agent) recordCrash(crashed instance, contents []uint64, now time.Time) {
 	for _, content := range contents {
-		a.list.Witness(quarantine.Crash{
-			Content: content,
-			Life:    crashed.hash(),
-			At:      now,
-			Proven:  a.proven.has(content),
+		a.list.AddCrash(quarantine.Crash{
+			Content:           content,
+			Incarnation:       crashed.hash(),
+			At:                now,
+			RecentlySucceeded: a.proven.has(content),
 		})
 	}
 	a.stepDue = true
@@ -136,7 +136,7 @@
 }
 
 func (a *Agent) finishCheck(e fleet.Endpoint, found checkState, now time.Time) {
-	if found == stateCrashed && !a.options.Listed(e) {
+	if found == stateCrashed && !a.options.Published(e) {
 		found = stateLeft
 	}
 	target := instanceOf(e)
--- a/quarantine/agent/check_test.go
+++ b/quarantine/agent/check_test.go
@@ -56,19 +56,19 @@
 				d := &fakeDialer{outcomes: c.outcomes}
 				var lines bytes.Buffer
 				a := New(Options{
-					VM:     "a",
-					Log:    slog.New(slog.NewTextHandler(&lines, &slog.HandlerOptions{Level: slog.LevelDebug})),
-					Now:    time.Now,
-					Dial:   d.dial,
-					Listed: func(fleet.Endpoint) bool { return !c.leaves },
-					VMs:    func() ([]quarantine.Peer, bool) { return nil, false },
-					Count:  func(int) {},
+					VM:             "a",
+					Log:            slog.New(slog.NewTextHandler(&lines, &slog.HandlerOptions{Level: slog.LevelDebug})),
+					Now:            time.Now,
+					Dial:           d.dial,
+					Published:      func(fleet.Endpoint) bool { return !c.leaves },
+					VMs:            func() ([]quarantine.Peer, bool) { return nil, false },
+					OnCountChanged: func(int) {},
 				})
 				ctx, stop := context.WithCancel(t.Context())
 				go func() { _ = a.Run(ctx) }()
 				e := fleet.Endpoint{ID: "e", Incarnation: 1}
 				for content := range uint64(5) {
-					a.Cut(content, e, time.Time{})
+					a.ConnectionLost(content, e, time.Time{})
 				}
 				time.Sleep(maxDials * (dialTimeout + dialInterval))
 				stop()
--- a/quarantine/held.go
+++ b/quarantine/held.go
@@ -12,8 +12,8 @@
 // result of one is known everywhere before the next.
 const regionTrialInterval = 5 * time.Second
 
-// Held is a quarantined call.
-type Held struct {
+// QuarantinedCall is a quarantined call.
+type QuarantinedCall struct {
 	Content uint64
 	Crashes int
 	// TryAt is when this VM may admit a trial of the call; zero if other VMs do.
@@ -22,13 +22,13 @@
 
 // Held returns the quarantined calls in no particular order. vms are the reachable VMs,
 // including this one.
-func (l *List) Held(vms []Peer) []Held {
-	var out []Held
+func (l *List) Held(vms []Peer) []QuarantinedCall {
+	var out []QuarantinedCall
 	for content, v := range l.verdicts {
 		if v.Cleared {
 			continue
 		}
-		out = append(out, Held{
+		out = append(out, QuarantinedCall{
 			Content: content,
 			Crashes: v.Crashes,
 			TryAt:   l.trialTime(v, vms),
@@ -60,5 +60,5 @@
 	slices.SortFunc(order, func(a, b string) int {
 		return cmp.Or(cmp.Compare(entry.Score(h, entry.Hash(b)), entry.Score(h, entry.Hash(a))), cmp.Compare(a, b))
 	})
-	return v.TryAt.Add(time.Duration(slices.Index(order, ownRegion)) * regionTrialInterval)
+	return v.NextTrialAt.Add(time.Duration(slices.Index(order, ownRegion)) * regionTrialInterval)
 }
--- a/quarantine/note.go
+++ b/quarantine/note.go
@@ -48,10 +48,10 @@
 	sending bool
 }
 
-// Due returns the notes to send now, at most one per VM. vms are the reachable VMs,
+// DueNotes returns the notes to send now, at most one per VM. vms are the reachable VMs,
 // including this one; partitioned is set if others are unreachable. What a VM did not
 // acknowledge is due again, also after it restarted or a partition ended.
-func (l *List) Due(vms []Peer, partitioned bool, now time.Time) []Outgoing {
+func (l *List) DueNotes(vms []Peer, partitioned bool, now time.Time) []Outgoing {
 	l.partitioned = partitioned
 	notes := make(map[string]*Outgoing, len(vms))
 	noteTo := func(p Peer) *Outgoing {
@@ -182,8 +182,8 @@
 	return strconv.FormatUint(content, 16)
 }
 
-// Sent records whether a note was received.
-func (l *List) Sent(next Outgoing, arrived bool) {
+// Delivered records whether a note was received.
+func (l *List) Delivered(next Outgoing, arrived bool) {
 	state := l.stateOf(next.To)
 	state.sending = false
 	if !arrived {
@@ -197,9 +197,9 @@
 	}
 }
 
-// Take processes a note of another VM. Crashes are counted even if this VM does not
+// Receive processes a note of another VM. Crashes are counted even if this VM does not
 // consider itself an owner of their content, as the sender may know other VMs.
-func (l *List) Take(n Note, now time.Time) {
+func (l *List) Receive(n Note, now time.Time) {
 	for _, c := range n.Crashes {
 		l.recordCrash(c, now)
 	}
--- a/quarantine/quarantine.go
+++ b/quarantine/quarantine.go
@@ -61,11 +61,11 @@
 // Crash is the crash of an endpoint that was running a call.
 type Crash struct {
 	Content uint64
-	// Life is a hash of the endpoint's id and incarnation.
-	Life uint64
-	At   time.Time
-	// Proven is set if the call recently succeeded on the VM that observed the crash.
-	Proven bool
+	// Incarnation is a hash of the endpoint's id and incarnation.
+	Incarnation uint64
+	At          time.Time
+	// RecentlySucceeded is set if the call recently succeeded on the VM that observed the crash.
+	RecentlySucceeded bool
 }
 
 // Verdict starts or ends the quarantine of a call.
@@ -75,13 +75,13 @@
 	Version uint32
 	// Crashes is the number of endpoints that crashed while they ran the call, and
 	// Failed the number of them that crashed during trials.
-	Crashes int
-	Failed  int
-	Proven  bool
-	// TryAt is when the next trial is allowed.
-	TryAt     time.Time
-	Cleared   bool
-	expiresAt time.Time
+	Crashes      int
+	FailedTrials int
+	Proven       bool
+	// NextTrialAt is when the next trial is allowed.
+	NextTrialAt time.Time
+	Cleared     bool
+	expiresAt   time.Time
 	// decidedLocally is set if this VM made the verdict, and therefore distributes it
 	// even if it is not an owner.
 	decidedLocally bool
@@ -116,9 +116,9 @@
 	}
 }
 
-// Witness adds a crash that this VM observed, to be reported to the owners of the
+// AddCrash adds a crash that this VM observed, to be reported to the owners of the
 // content.
-func (l *List) Witness(c Crash) {
+func (l *List) AddCrash(c Crash) {
 	if len(l.localCrashes) >= maxLocalCrashes {
 		l.localCrashes = slices.Delete(l.localCrashes, 0, 1)
 	}
@@ -143,21 +143,21 @@
 		return
 	}
 	s := l.suspect(c.Content)
-	if slices.ContainsFunc(s.crashes, func(known Crash) bool { return known.Life == c.Life }) {
+	if slices.ContainsFunc(s.crashes, func(known Crash) bool { return known.Incarnation == c.Incarnation }) {
 		return
 	}
 	s.crashes = append(s.crashes, c)
-	s.proven = s.proven || c.Proven
+	s.proven = s.proven || c.RecentlySucceeded
 	s.lastAt = now
 	s.dropExpired(now)
 	if len(s.crashes) < l.crashThreshold() {
 		return
 	}
 	l.setVerdict(Verdict{
-		Content: c.Content,
-		Crashes: len(s.crashes),
-		Proven:  s.proven,
-		TryAt:   now.Add(holdDuration(s.proven, 0)),
+		Content:     c.Content,
+		Crashes:     len(s.crashes),
+		Proven:      s.proven,
+		NextTrialAt: now.Add(holdDuration(s.proven, 0)),
 	}, now)
 	delete(l.suspects, c.Content)
 }
@@ -173,13 +173,13 @@
 // recordTrialCrash counts a crash under a quarantined call. Crashes before the next
 // trial is due come from calls that were already running and change nothing.
 func (l *List) recordTrialCrash(v *Verdict, c Crash, now time.Time) {
-	if c.At.Before(v.TryAt) {
+	if c.At.Before(v.NextTrialAt) {
 		return
 	}
 	next := *v
 	next.Crashes++
-	next.Failed++
-	next.TryAt = now.Add(holdDuration(v.Proven, next.Failed))
+	next.FailedTrials++
+	next.NextTrialAt = now.Add(holdDuration(v.Proven, next.FailedTrials))
 	l.setVerdict(next, now)
 }
 
@@ -216,8 +216,8 @@
 	l.verdicts[v.Content] = &v
 }
 
-// EndedWell ends the quarantine of a call that has succeeded.
-func (l *List) EndedWell(content uint64, now time.Time) {
+// Succeeded ends the quarantine of a call that has succeeded.
+func (l *List) Succeeded(content uint64, now time.Time) {
 	l.dropEvidence(content)
 	v, ok := l.verdicts[content]
 	if !ok || v.Cleared {
--- a/quarantine/quarantine_test.go
+++ b/quarantine/quarantine_test.go
@@ -73,9 +73,9 @@
 				continue
 			}
 			vms, parted := s.reachable(name)
-			for _, note := range s.lists[name].Due(vms, parted, s.now) {
-				s.lists[note.To.VM.ID].Take(note.Note, s.now)
-				s.lists[name].Sent(note, true)
+			for _, note := range s.lists[name].DueNotes(vms, parted, s.now) {
+				s.lists[note.To.VM.ID].Receive(note.Note, s.now)
+				s.lists[name].Delivered(note, true)
 				count++
 				sent = true
 			}
@@ -114,14 +114,14 @@
 	case "vms":
 		*s = *newSimulation(words...)
 	case "crash":
-		s.lists[words[0]].Witness(Crash{
-			Content: number(t, words[1]),
-			Life:    number(t, words[2]),
-			At:      s.now,
-			Proven:  len(words) > 3,
+		s.lists[words[0]].AddCrash(Crash{
+			Content:           number(t, words[1]),
+			Incarnation:       number(t, words[2]),
+			At:                s.now,
+			RecentlySucceeded: len(words) > 3,
 		})
 	case "ended_well":
-		s.lists[words[0]].EndedWell(number(t, words[1]), s.now)
+		s.lists[words[0]].Succeeded(number(t, words[1]), s.now)
 	case "deliver":
 		s.deliver()
 	case "notes":
@@ -171,7 +171,7 @@
 // TestScripts runs the scripts in testdata: crashes on VMs that start, stop and are
 // partitioned.
 func TestScripts(t *testing.T) {
-	datatest.Scripts(t, "testdata/*.txtar", func() datatest.Do {
+	datatest.RunScripts(t, "testdata/*.txtar", func() datatest.CommandFunc {
 		sim := newSimulation()
 		return sim.do
 	})
@@ -199,7 +199,7 @@
 			default:
 				content := rapid.Uint64Range(1, 3).Draw(t, "content")
 				endpoint := rapid.Uint64Range(1, 8).Draw(t, "life")
-				sim.lists[vm].Witness(Crash{Content: content, Life: endpoint, At: sim.now})
+				sim.lists[vm].AddCrash(Crash{Content: content, Incarnation: endpoint, At: sim.now})
 				if endpoints[content] == nil {
 					endpoints[content] = make(map[uint64]bool)
 				}
@@ -232,7 +232,7 @@
 	sim := newSimulation("a1")
 	for content := range uint64(4 * maxSuspects) {
 		for endpoint := range 1 + content%4 {
-			sim.lists["a1"].Witness(Crash{Content: content, Life: content*10 + endpoint, At: sim.now})
+			sim.lists["a1"].AddCrash(Crash{Content: content, Incarnation: content*10 + endpoint, At: sim.now})
 		}
 		sim.deliver()
 		sim.now = sim.now.Add(time.Millisecond)
@@ -263,10 +263,10 @@
 	}
 	sim := newSimulation(names...)
 	for i := range uint64(60) {
-		sim.lists["a0"].Witness(Crash{Content: i * 0x9e3779b97f4a7c15, Life: i % 24, At: sim.now})
+		sim.lists["a0"].AddCrash(Crash{Content: i * 0x9e3779b97f4a7c15, Incarnation: i % 24, At: sim.now})
 	}
 	vms, partitioned := sim.reachable("a0")
-	notes := sim.lists["a0"].Due(vms, partitioned, sim.now)
+	notes := sim.lists["a0"].DueNotes(vms, partitioned, sim.now)
 	assert.Assert(t, len(notes) <= 2*shardCount, len(notes))
 	sim.deliver()
 	assert.Equal(t, sim.held("b1"), "")
@@ -281,12 +281,12 @@
 	}
 	sim := newSimulation(names...)
 	for i := range uint64(6) {
-		sim.lists["a0"].Witness(Crash{Content: i % 2, Life: i, At: sim.now})
+		sim.lists["a0"].AddCrash(Crash{Content: i % 2, Incarnation: i, At: sim.now})
 	}
 	sim.deliver()
 	vms, partitioned := sim.reachable("a0")
 	b.ReportAllocs()
 	for b.Loop() {
-		sim.lists["a0"].Due(vms, partitioned, sim.now)
+		sim.lists["a0"].DueNotes(vms, partitioned, sim.now)
 	}
 }
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -15,9 +15,9 @@
 // relays.
 const maxDirectRecipients = 6
 
-// Heads returns the relays of a message: the VMs to which the sender sends it. salt
+// Relays returns the relays of a message: the VMs to which the sender sends it. salt
 // varies between messages.
-func Heads(sender string, salt uint64, vms []fleet.VM) []fleet.VM {
+func Relays(sender string, salt uint64, vms []fleet.VM) []fleet.VM {
 	ranked := rankRecipients(sender, salt, vms)
 	return ranked[:relayCount(len(ranked))]
 }
--- a/relay/relay_test.go
+++ b/relay/relay_test.go
@@ -24,7 +24,7 @@
 		vms := makeVMs(count)
 		for salt := range uint64(20) {
 			received := make(map[string]int)
-			heads := Heads("vm-0", salt, vms)
+			heads := Relays("vm-0", salt, vms)
 			maxFanout := len(heads)
 			for _, head := range heads {
 				received[head.ID]++
@@ -48,7 +48,7 @@
 	vms := makeVMs(100)
 	times := make(map[string]int)
 	for salt := range uint64(1000) {
-		for _, head := range Heads("vm-0", salt, vms) {
+		for _, head := range Relays("vm-0", salt, vms) {
 			times[head.ID]++
 		}
 	}
@@ -61,7 +61,7 @@
 // TestNonRelayHasNoChildren checks that a VM which is not a relay forwards nothing.
 func TestNonRelayHasNoChildren(t *testing.T) {
 	vms := makeVMs(100)
-	head := Heads("vm-0", 7, vms)[0]
+	head := Relays("vm-0", 7, vms)[0]
 	for _, child := range Children(head.ID, "vm-0", 7, vms) {
 		assert.Equal(t, len(Children(child.ID, "vm-0", 7, vms)), 0)
 	}
--- a/replay/trace.go
+++ b/replay/trace.go
@@ -107,28 +107,28 @@
 )
 
 func (v *stepVerifier) step(s *Step) {
-	v.That(!s.At.IsZero(), "/at", `a time such as "2030-12-31T06:00:00Z"`)
+	v.Require(!s.At.IsZero(), "/at", `a time such as "2030-12-31T06:00:00Z"`)
 	v.call(&s.Call)
 	v.expect(s)
 }
 
 func (v *stepVerifier) call(c *Call) {
 	v.Name("/call/workspace", c.Workspace)
-	v.Whole("/call/vm", c.VM, 0, maxVMs)
+	v.IntRange("/call/vm", c.VM, 0, maxVMs)
 	v.OneOf("/call/method", c.Method, []string{http.MethodDelete, http.MethodGet, http.MethodHead, http.MethodPatch, http.MethodPost, http.MethodPut})
-	v.That(strings.HasPrefix(c.Path, "/v1/"), "/call/path", `a path that begins with "/v1/"`)
+	v.Require(strings.HasPrefix(c.Path, "/v1/"), "/call/path", `a path that begins with "/v1/"`)
 	if c.Priority != "" {
 		_, known := call.ParsePriority(c.Priority)
-		v.That(known, "/call/priority", "one of urgent, chat, report")
+		v.Require(known, "/call/priority", "one of urgent, chat, report")
 	}
 }
 
 func (v *stepVerifier) expect(s *Step) {
 	e := s.Expect
-	v.That((e.Code != 0) != (e.Class != ""), "/expect", "either code or class")
+	v.Require((e.Code != 0) != (e.Class != ""), "/expect", "either code or class")
 	if e.Code != 0 {
 		_, known := result.Lookup(e.Code)
-		v.That(known, "/expect/code", "a code of docs/result-codes.md")
+		v.Require(known, "/expect/code", "a code of docs/result-codes.md")
 	}
 	if e.Class != "" {
 		v.OneOf("/expect/class", string(e.Class), []string{string(result.ClassDone), string(result.ClassNotRun), string(result.ClassUnknown)})
@@ -137,6 +137,6 @@
 		return
 	}
 	runs, err := e.Runs.Int64()
-	v.That(err == nil && runs >= 0 && runs <= maxRuns, "/expect/runs", "a whole number from 0")
-	v.That(s.Call.IdempotencyKey != "", "/call/idempotency_key", "a key, as expect.runs is set")
+	v.Require(err == nil && runs >= 0 && runs <= maxRuns, "/expect/runs", "a whole number from 0")
+	v.Require(s.Call.IdempotencyKey != "", "/call/idempotency_key", "a key, as expect.runs is set")
 }
--- a/result/refusal.go
+++ b/result/refusal.go
@@ -12,8 +12,8 @@
 type Refusal struct {
 	Code    Code
 	Message string
-	// ComeBackAt is the earliest time at which a retry may succeed; zero means unknown.
-	ComeBackAt time.Time
+	// RetryAt is the earliest time at which a retry may succeed; zero means unknown.
+	RetryAt time.Time
 	// Cause is the underlying error, shown to operators only; it may be nil.
 	Cause error
 }
@@ -26,14 +26,14 @@
 	}
 }
 
-// Until sets ComeBackAt and returns the refusal.
-func (r *Refusal) Until(at time.Time) *Refusal {
-	r.ComeBackAt = at
+// WithRetryAt sets ComeBackAt and returns the refusal.
+func (r *Refusal) WithRetryAt(at time.Time) *Refusal {
+	r.RetryAt = at
 	return r
 }
 
-// Because sets Cause, wrapped with a stack trace, and returns the refusal.
-func (r *Refusal) Because(cause error) *Refusal {
+// WithCause sets Cause, wrapped with a stack trace, and returns the refusal.
+func (r *Refusal) WithCause(cause error) *Refusal {
 	r.Cause = merry.Wrap(cause)
 	return r
 }
@@ -48,11 +48,11 @@
 	return r.Cause
 }
 
-// Of returns the Refusal that err wraps, or a new one with code fallback and cause err.
-func Of(err error, fallback Code) *Refusal {
+// FromError returns the Refusal that err wraps, or a new one with code fallback and cause err.
+func FromError(err error, fallback Code) *Refusal {
 	var r *Refusal
 	if errors.As(err, &r) {
 		return r
 	}
-	return Refuse(fallback, "%s", fallback).Because(err)
+	return Refuse(fallback, "%s", fallback).WithCause(err)
 }
--- a/result/result_test.go
+++ b/result/result_test.go
@@ -66,11 +66,11 @@
 
 func TestRefusal(t *testing.T) {
 	at := time.Unix(1, 0)
-	r := Refuse(LimitSpend, "%d spent", 7).Until(at).Because(fs.ErrNotExist)
+	r := Refuse(LimitSpend, "%d spent", 7).WithRetryAt(at).WithCause(fs.ErrNotExist)
 	assert.Equal(t, r.Error(), "2012 limit_spend: 7 spent")
-	assert.Equal(t, r.ComeBackAt, at)
+	assert.Equal(t, r.RetryAt, at)
 	assert.Assert(t, errors.Is(r, fs.ErrNotExist))
-	assert.Equal(t, Of(errors.Join(errors.New("other"), r), BadRequest), r)
-	assert.Equal(t, Of(fs.ErrNotExist, BadRequest).Code, BadRequest)
-	assert.Assert(t, errors.Is(Of(fs.ErrNotExist, BadRequest), fs.ErrNotExist))
+	assert.Equal(t, FromError(errors.Join(errors.New("other"), r), BadRequest), r)
+	assert.Equal(t, FromError(fs.ErrNotExist, BadRequest).Code, BadRequest)
+	assert.Assert(t, errors.Is(FromError(fs.ErrNotExist, BadRequest), fs.ErrNotExist))
 }
--- a/retry/history.go
+++ b/retry/history.go
@@ -16,8 +16,8 @@
 	Uncertain result.Code
 }
 
-// Take records an attempt. sent is set if a byte of it may have reached the endpoint.
-func (h *History) Take(code result.Code, sent bool) {
+// Record records an attempt. sent is set if a byte of it may have reached the endpoint.
+func (h *History) Record(code result.Code, sent bool) {
 	h.Attempts++
 	if !sent || code.Class() == result.ClassNotRun {
 		h.Refused++
@@ -27,26 +27,26 @@
 	}
 }
 
-// Ran is the number of attempts that may have run.
-func (h *History) Ran() int {
+// MayHaveRun is the number of attempts that may have run.
+func (h *History) MayHaveRun() int {
 	return h.Attempts - h.Refused
 }
 
-// Code returns the result code of the call, given that of its last attempt: if an
+// FinalCode returns the result code of the call, given that of its last attempt: if an
 // earlier attempt may have run, the call is not reported as not run.
-func (h *History) Code(last result.Code) result.Code {
+func (h *History) FinalCode(last result.Code) result.Code {
 	if last.Class() == result.ClassNotRun && h.Uncertain != 0 {
 		return h.Uncertain
 	}
 	return last
 }
 
-// Routed returns the number of attempts made for a routed call and their limit.
+// AttemptsAndLimit returns the number of attempts made for a routed call and their limit.
 // Attempts that certainly did not run are limited separately and do not count towards
 // maxRuns.
-func (h *History) Routed(maxRuns int) (attempts, limit int) {
+func (h *History) AttemptsAndLimit(maxRuns int) (attempts, limit int) {
 	if h.Refused > maxRefusals {
 		return h.Attempts, h.Attempts
 	}
-	return h.Ran(), maxRuns
+	return h.MayHaveRun(), maxRuns
 }
--- a/retry/retry.go
+++ b/retry/retry.go
@@ -26,8 +26,8 @@
 	tokens float64
 }
 
-// New creates a Budget that allows ratio retries per request, for example 0.1.
-func New(ratio float64) *Budget {
+// NewBudget creates a Budget that allows ratio retries per request, for example 0.1.
+func NewBudget(ratio float64) *Budget {
 	return &Budget{
 		ratio:  max(ratio, 0),
 		tokens: initialRetries,
--- a/retry/retry_test.go
+++ b/retry/retry_test.go
@@ -84,7 +84,7 @@
 func TestBudgetBoundsRetries(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		share := rapid.Float64Range(0, 1).Draw(t, "share")
-		b := New(share)
+		b := NewBudget(share)
 		requests, retries := 0, 0
 		for _, request := range rapid.SliceOfN(rapid.Bool(), 1, 400).Draw(t, "steps") {
 			if request {
--- a/roster/digest.go
+++ b/roster/digest.go
@@ -48,8 +48,8 @@
 	return d
 }
 
-// Differing returns the rumors in buckets that differ from another VM's digest.
-func (r *Roster) Differing(theirs Digest) []Rumor {
+// DifferingRumors returns the rumors in buckets that differ from another VM's digest.
+func (r *Roster) DifferingRumors(theirs Digest) []Rumor {
 	own := r.Digest()
 	var out []Rumor
 	differs := func(id string) bool {
@@ -67,8 +67,8 @@
 	return out
 }
 
-// Recent returns the latest rumors, to be pushed with the next message.
-func (r *Roster) Recent(now time.Time) []Rumor {
+// RecentRumors returns the latest rumors, to be pushed with the next message.
+func (r *Roster) RecentRumors(now time.Time) []Rumor {
 	var recent []*member
 	for _, m := range r.members {
 		if now.Sub(m.updatedAt) < recentPeriod {
--- a/roster/digest_test.go
+++ b/roster/digest_test.go
@@ -19,7 +19,7 @@
 		for _, r := range []*Roster{a, b} {
 			for range rapid.IntRange(0, 20).Draw(t, "rumors") {
 				rumor := drawRumor(t, rapid.SampledFrom([]string{"vm-0", "vm-1", "vm-2", "vm-3"}).Draw(t, "vm"))
-				r.Heard(rumor, nil, now)
+				r.Receive(rumor, nil, now)
 			}
 		}
 		now = now.Add(recentPeriod)
@@ -39,8 +39,8 @@
 // exchangeRumors performs one exchange between two VMs.
 func exchangeRumors(from, to *Roster, now time.Time) {
 	digest := from.Digest()
-	to.Heard(from.Self(), from.Recent(now), now)
-	from.Heard(to.Self(), to.Differing(digest), now)
+	to.Receive(from.Self(), from.RecentRumors(now), now)
+	from.Receive(to.Self(), to.DifferingRumors(digest), now)
 }
 
 func newMember(id string) *Roster {
@@ -58,16 +58,16 @@
 	now := time.Unix(1e9, 0)
 	a, b := newMember("a"), newMember("b")
 	rumors := fleetRumors()
-	a.Heard(b.Self(), rumors, now)
-	b.Heard(a.Self(), rumors, now)
-	assert.Equal(t, len(a.Recent(now)), maxRecentRumors)
+	a.Receive(b.Self(), rumors, now)
+	b.Receive(a.Self(), rumors, now)
+	assert.Equal(t, len(a.RecentRumors(now)), maxRecentRumors)
 	now = now.Add(recentPeriod)
-	assert.Equal(t, len(a.Recent(now)), 0)
-	assert.Equal(t, len(b.Differing(a.Digest())), 0)
+	assert.Equal(t, len(a.RecentRumors(now)), 0)
+	assert.Equal(t, len(b.DifferingRumors(a.Digest())), 0)
 	changed := rumors[7]
 	changed.Version++
-	b.Heard(changed, nil, now)
-	assert.Equal(t, len(b.Recent(now)), 1)
-	differing := len(b.Differing(a.Digest()))
+	b.Receive(changed, nil, now)
+	assert.Equal(t, len(b.RecentRumors(now)), 1)
+	differing := len(b.DifferingRumors(a.Digest()))
 	assert.Assert(t, differing >= 1 && differing <= 16, "%d", differing)
 }
--- a/roster/member_index_test.go
+++ b/roster/member_index_test.go
@@ -21,22 +21,22 @@
 			id := fmt.Sprintf("vm-%d", rapid.IntRange(0, 5).Draw(t, "vm"))
 			switch rapid.IntRange(0, 6).Draw(t, "event") {
 			case 0, 1:
-				r.Heard(drawRumor(t, id), []Rumor{drawRumor(t, "vm-5")}, now)
+				r.Receive(drawRumor(t, id), []Rumor{drawRumor(t, "vm-5")}, now)
 			case 2:
-				r.Missed(id, now)
+				r.RecordMiss(id, now)
 			case 3:
-				r.Refused(id, now)
+				r.RecordRefused(id, now)
 			case 4:
 				r.SetReady(rapid.Bool().Draw(t, "ready"))
 			case 5:
-				r.SetTurnedAway(rapid.Bool().Draw(t, "away"))
+				r.SetStoreUnreadable(rapid.Bool().Draw(t, "away"))
 			case 6:
 				now = now.Add(time.Duration(rapid.IntRange(1, 4000).Draw(t, "ms")) * time.Millisecond)
 				r.Step(now)
 			}
-			got, digest := r.Picture(), r.Digest()
+			got, digest := r.Snapshot(), r.Digest()
 			r.recomputeSums()
-			want := r.Picture()
+			want := r.Snapshot()
 			assert.Equal(t, digest, r.Digest())
 			assert.DeepEqual(t, got.Members, want.Members)
 			assert.DeepEqual(t, got.reached, want.reached)
@@ -104,7 +104,7 @@
 	now := time.Unix(1e9, 0)
 	for b.Loop() {
 		r := newRoster(func() uint64 { return 0 })
-		r.Heard(rumors[0], rumors, now)
+		r.Receive(rumors[0], rumors, now)
 	}
 }
 
@@ -113,9 +113,9 @@
 	rumors := fleetRumors()
 	now := time.Unix(1e9, 0)
 	r := newRoster(func() uint64 { return 0 })
-	r.Heard(rumors[0], rumors, now)
+	r.Receive(rumors[0], rumors, now)
 	for b.Loop() {
-		r.Heard(rumors[0], nil, now)
-		_ = r.Picture()
+		r.Receive(rumors[0], nil, now)
+		_ = r.Snapshot()
 	}
 }
--- a/roster/pause_test.go
+++ b/roster/pause_test.go
@@ -16,26 +16,26 @@
 		Every: testEvery,
 		Rand:  func() uint64 { return 0 },
 	})
-	assert.Assert(t, r.Picture().Current(start))
+	assert.Assert(t, r.Snapshot().Fresh(start))
 	r.Step(start)
-	before := r.Picture()
-	assert.Assert(t, before.Current(at(suspectIntervals*testEvery)))
-	assert.Assert(t, !before.Current(at(suspectIntervals*testEvery+1)))
+	before := r.Snapshot()
+	assert.Assert(t, before.Fresh(at(suspectIntervals*testEvery)))
+	assert.Assert(t, !before.Fresh(at(suspectIntervals*testEvery+1)))
 
 	woke := at(5 * time.Second)
 	r.Step(woke)
-	assert.Assert(t, !r.Picture().Current(woke))
-	r.News(woke.Add(-time.Millisecond))
-	assert.Assert(t, !r.Picture().Current(woke))
-	r.News(woke)
-	assert.Assert(t, r.Picture().Current(woke))
+	assert.Assert(t, !r.Snapshot().Fresh(woke))
+	r.RecordProbe(woke.Add(-time.Millisecond))
+	assert.Assert(t, !r.Snapshot().Fresh(woke))
+	r.RecordProbe(woke)
+	assert.Assert(t, r.Snapshot().Fresh(woke))
 
 	again := at(20 * time.Second)
 	r.Step(again)
 	r.Step(again.Add(testEvery))
-	assert.Assert(t, !r.Picture().Current(again.Add(testEvery)))
+	assert.Assert(t, !r.Snapshot().Fresh(again.Add(testEvery)))
 	for i := range maxResumeIntervals {
 		r.Step(again.Add(time.Duration(i+1) * testEvery))
 	}
-	assert.Assert(t, r.Picture().Current(again.Add(maxResumeIntervals*testEvery)))
+	assert.Assert(t, r.Snapshot().Fresh(again.Add(maxResumeIntervals*testEvery)))
 }
--- a/roster/picture.go
+++ b/roster/picture.go
@@ -20,15 +20,15 @@
 	StoreUnreadable bool
 }
 
-// Picture is an immutable snapshot of the roster that request handlers read.
-type Picture struct {
+// Snapshot is an immutable snapshot of the roster that request handlers read.
+type Snapshot struct {
 	Self fleet.VM
 	// Members holds all members that aren't dead, including this VM, sorted by ID.
 	Members []Member
 	// Generation changes whenever Members does.
 	Generation uint64
-	// Most is the largest number of VMs known at once.
-	Most int
+	// MaxKnown is the largest number of VMs known at once.
+	MaxKnown int
 	// AdvancedAt is the time of the roster's last Step. Resuming is set after a pause
 	// of the process until the endpoints have been probed again.
 	AdvancedAt time.Time
@@ -50,39 +50,39 @@
 	taking     map[string][]fleet.VM
 }
 
-// Reached returns a region's reachable VMs. The result must not be modified.
-func (p *Picture) Reached(region string) []fleet.VM {
+// ReachableVMs returns a region's reachable VMs. The result must not be modified.
+func (p *Snapshot) ReachableVMs(region string) []fleet.VM {
 	return p.reached[region]
 }
 
-// Taking returns a region's reachable VMs that take calls. The result must not be
+// AcceptingVMs returns a region's reachable VMs that take calls. The result must not be
 // modified.
-func (p *Picture) Taking(region string) []fleet.VM {
+func (p *Snapshot) AcceptingVMs(region string) []fleet.VM {
 	return p.taking[region]
 }
 
-// TakingRegions returns the sorted names of the regions with VMs that take calls.
-func (p *Picture) TakingRegions() []string {
+// AcceptingRegions returns the sorted names of the regions with VMs that take calls.
+func (p *Snapshot) AcceptingRegions() []string {
 	return slices.Sorted(maps.Keys(p.taking))
 }
 
-// Current reports whether this VM's knowledge dates from after the last pause of its
+// Fresh reports whether this VM's knowledge dates from after the last pause of its
 // process. If not, delayed calls could all be sent to endpoints that have gone cold
 // meanwhile.
-func (p *Picture) Current(now time.Time) bool {
+func (p *Snapshot) Fresh(now time.Time) bool {
 	return !p.Resuming && (p.AdvancedAt.IsZero() || now.Sub(p.AdvancedAt) <= p.maxStepGap)
 }
 
-// Picture returns a snapshot of the current state.
-func (r *Roster) Picture() *Picture {
+// Snapshot returns a snapshot of the current state.
+func (r *Roster) Snapshot() *Snapshot {
 	if r.memberIndex == nil || r.memberIndexStale {
 		r.rebuildMemberIndex()
 	}
-	return &Picture{
+	return &Snapshot{
 		Self:       r.self.VM,
 		Members:    r.memberIndex.members,
 		Generation: r.memberIndex.generation,
-		Most:       r.maxKnown,
+		MaxKnown:   r.maxKnown,
 		AdvancedAt: r.advancedAt,
 		Resuming:   r.resuming,
 		maxStepGap: r.maxStepGap(),
@@ -108,7 +108,7 @@
 		Incarnation:     r.self.Incarnation,
 		Reachable:       r.self.State == StateAlive,
 		Ready:           r.self.Ready,
-		StoreUnreadable: r.self.TurnedAway,
+		StoreUnreadable: r.self.StoreUnreadable,
 	})
 	for _, m := range r.members {
 		if m.State >= StateDead {
@@ -119,7 +119,7 @@
 			Incarnation:     m.Incarnation,
 			Reachable:       m.State == StateAlive && m.misses < missesToSuspect,
 			Ready:           m.Ready,
-			StoreUnreadable: m.TurnedAway,
+			StoreUnreadable: m.StoreUnreadable,
 		})
 	}
 	slices.SortFunc(next.members, func(a, b Member) int { return cmp.Compare(a.VM.ID, b.VM.ID) })
@@ -136,9 +136,9 @@
 	r.memberIndexStale = false
 }
 
-// StoreAway reports whether a VM of the own region fails to read the store. The region
+// StoreUnreadable reports whether a VM of the own region fails to read the store. The region
 // may then miss changes.
-func (p *Picture) StoreAway() bool {
+func (p *Snapshot) StoreUnreadable() bool {
 	return slices.ContainsFunc(p.Members, func(m Member) bool {
 		isSelf := m.VM.ID == p.Self.ID
 		return m.StoreUnreadable && m.VM.Region == p.Self.Region && (isSelf || m.Reachable)
@@ -148,10 +148,10 @@
 // readersRank is the key by which a region's VMs are ranked as readers of the store.
 const readersRank = "readers"
 
-// Reads reports whether this VM is among the given number of readers that follow the
+// ReadsStore reports whether this VM is among the given number of readers that follow the
 // store for its region: the highest-ranked reachable VMs that can read it. A VM that
 // fails to read it keeps trying, in case all others fail too.
-func (p *Picture) Reads(readers int) bool {
+func (p *Snapshot) ReadsStore(readers int) bool {
 	var vms []fleet.VM
 	for _, m := range p.Members {
 		isSelf := m.VM.ID == p.Self.ID
--- a/roster/picture_test.go
+++ b/roster/picture_test.go
@@ -14,8 +14,8 @@
 func countReaders(members []Member) int {
 	count := 0
 	for _, m := range members {
-		p := &Picture{Self: m.VM, Members: members}
-		if p.Reads(2) {
+		p := &Snapshot{Self: m.VM, Members: members}
+		if p.ReadsStore(2) {
 			count++
 		}
 	}
@@ -39,7 +39,7 @@
 		}
 		first := 0
 		for i, m := range members {
-			if (&Picture{Self: m.VM, Members: members}).Reads(1) {
+			if (&Snapshot{Self: m.VM, Members: members}).ReadsStore(1) {
 				first = i
 			}
 		}
--- a/roster/receive.go
+++ b/roster/receive.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Heard processes a message from a member. from is the member's own rumor.
-func (r *Roster) Heard(from Rumor, rumors []Rumor, now time.Time) {
+// Receive processes a message from a member. from is the member's own rumor.
+func (r *Roster) Receive(from Rumor, rumors []Rumor, now time.Time) {
 	r.applyRumor(from, now)
 	for _, rumor := range rumors {
 		r.applyRumor(rumor, now)
@@ -56,8 +56,8 @@
 	}
 }
 
-// Missed records that a member didn't answer an exchange or a call.
-func (r *Roster) Missed(id string, now time.Time) {
+// RecordMiss records that a member didn't answer an exchange or a call.
+func (r *Roster) RecordMiss(id string, now time.Time) {
 	m, ok := r.members[id]
 	if !ok || m.State >= StateDead {
 		return
@@ -71,9 +71,9 @@
 	}
 }
 
-// Refused records a refused connection. The process is gone, so the member is marked
+// RecordRefused records a refused connection. The process is gone, so the member is marked
 // dead at once; a process started there later has another incarnation.
-func (r *Roster) Refused(id string, now time.Time) {
+func (r *Roster) RecordRefused(id string, now time.Time) {
 	m, ok := r.members[id]
 	if !ok || m.State >= StateDead {
 		return
--- a/roster/roster.go
+++ b/roster/roster.go
@@ -74,8 +74,8 @@
 	State       State
 	// Ready reports whether the member takes calls.
 	Ready bool
-	// TurnedAway reports whether the member fails to read the store.
-	TurnedAway bool
+	// StoreUnreadable reports whether the member fails to read the store.
+	StoreUnreadable bool
 }
 
 // supersedes reports whether r replaces the rumor held.
@@ -177,13 +177,13 @@
 	})
 }
 
-// SetTurnedAway sets whether this VM fails to read the store.
-func (r *Roster) SetTurnedAway(away bool) {
-	if r.self.TurnedAway == away {
+// SetStoreUnreadable sets whether this VM fails to read the store.
+func (r *Roster) SetStoreUnreadable(away bool) {
+	if r.self.StoreUnreadable == away {
 		return
 	}
 	r.updateSelf(func(self *Rumor) {
-		self.TurnedAway = away
+		self.StoreUnreadable = away
 		self.Version++
 	})
 }
@@ -300,15 +300,15 @@
 	return suspectIntervals * r.gossipInterval
 }
 
-// Waking reports whether the process has paused and the endpoints haven't been probed
+// Resuming reports whether the process has paused and the endpoints haven't been probed
 // since.
-func (r *Roster) Waking() bool {
+func (r *Roster) Resuming() bool {
 	return r.resuming
 }
 
-// News records that the endpoints were probed at askedAt. A probe after a pause ends
+// RecordProbe records that the endpoints were probed at askedAt. A probe after a pause ends
 // it.
-func (r *Roster) News(askedAt time.Time) {
+func (r *Roster) RecordProbe(askedAt time.Time) {
 	if !askedAt.Before(r.resumedAt) {
 		r.resuming = false
 	}
--- a/roster/roster_test.go
+++ b/roster/roster_test.go
@@ -120,23 +120,23 @@
 		latency = testRemoteRoundTrip / 2
 	}
 	if !to.up && !w.isCut(from, to) {
-		w.schedule(2*latency, func() { sender.Refused(target.VM.ID, w.now) })
+		w.schedule(2*latency, func() { sender.RecordRefused(target.VM.ID, w.now) })
 		return
 	}
 	if !to.up || to.frozen || w.isCut(from, to) {
-		w.schedule(time.Second, func() { sender.Missed(target.VM.ID, w.now) })
+		w.schedule(time.Second, func() { sender.RecordMiss(target.VM.ID, w.now) })
 		return
 	}
-	self, digest, recent := sender.Self(), sender.Digest(), sender.Recent(w.now)
+	self, digest, recent := sender.Self(), sender.Digest(), sender.RecentRumors(w.now)
 	w.schedule(latency, func() {
 		if !to.up {
 			return
 		}
-		to.roster.Heard(self, recent, w.now)
-		answer, answered := to.roster.Self(), to.roster.Differing(digest)
+		to.roster.Receive(self, recent, w.now)
+		answer, answered := to.roster.Self(), to.roster.DifferingRumors(digest)
 		w.schedule(latency, func() {
 			if from.roster == sender {
-				sender.Heard(answer, answered, w.now)
+				sender.Receive(answer, answered, w.now)
 			}
 		})
 	})
@@ -150,7 +150,7 @@
 // reachableIDs returns the IDs of the VMs that a VM may route calls to.
 func (w *simulation) reachableIDs(id string) string {
 	var out []string
-	for _, m := range w.vms[id].roster.Picture().Members {
+	for _, m := range w.vms[id].roster.Snapshot().Members {
 		if m.Reachable && m.Ready {
 			out = append(out, m.VM.ID)
 		}
--- a/roster/start_test.go
+++ b/roster/start_test.go
@@ -58,5 +58,5 @@
 		Version:     1,
 		Ready:       true,
 	}
-	r.Heard(from, nil, now)
+	r.Receive(from, nil, now)
 }
--- a/roster/target.go
+++ b/roster/target.go
@@ -36,8 +36,8 @@
 	}
 }
 
-// Spread returns up to count random members of the own region, to receive a new rumor.
-func (r *Roster) Spread(count int) []Target {
+// RandomTargets returns up to count random members of the own region, to receive a new rumor.
+func (r *Roster) RandomTargets(count int) []Target {
 	var alive []*member
 	for _, m := range r.sortedMembers() {
 		if m.VM.Region == r.self.VM.Region && m.State == StateAlive {
--- a/route/route.go
+++ b/route/route.go
@@ -41,8 +41,8 @@
 	Shares []Share
 	// MaxAttempts is the maximum number of endpoints that may run one request.
 	MaxAttempts int
-	// HasPrompts says that requests identify the parts of their prompts.
-	HasPrompts bool
+	// HasPromptParts says that requests identify the parts of their prompts.
+	HasPromptParts bool
 	// Resumable says that another endpoint may resume an interrupted stream.
 	Resumable bool
 	// Homes lists the regions that may serve the requests; empty means all.
@@ -69,10 +69,10 @@
 	ColdPerSecond float64
 	// IsEngine says that the endpoints are model engines, which report their load.
 	IsEngine bool
-	// CacheTokens is the capacity of an engine's KV cache, in tokens.
-	CacheTokens int
-	// EventTokens is the number of generated tokens per event of a stream.
-	EventTokens int
+	// CacheCapacityTokens is the capacity of an engine's KV cache, in tokens.
+	CacheCapacityTokens int
+	// TokensPerEvent is the number of generated tokens per event of a stream.
+	TokensPerEvent int
 }
 
 // Limits holds the limits on a caller's connection; zero means unlimited.
@@ -89,9 +89,9 @@
 	Routes   []Route
 	Services []Service
 	Limits   Limits
-	// Keyed says that requests on routes that are not public need an API key of one
+	// RequireKey says that requests on routes that are not public need an API key of one
 	// of Workspaces.
-	Keyed      bool
+	RequireKey bool
 	Workspaces []Workspace
 }
 
@@ -115,7 +115,7 @@
 		Limits:     o.Limits,
 		byHost:     make(map[string][]Route),
 		services:   make(map[string]Service, len(o.Services)),
-		keyed:      o.Keyed,
+		keyed:      o.RequireKey,
 		workspaces: o.Workspaces,
 	}
 	t.indexWorkspaces()
@@ -144,8 +144,8 @@
 	return nil, false
 }
 
-// Bound returns the allowed regions of each route of a host that restricts them.
-func (t *Table) Bound(host string) [][]string {
+// RegionRestrictions returns the allowed regions of each route of a host that restricts them.
+func (t *Table) RegionRestrictions(host string) [][]string {
 	var bound [][]string
 	for _, r := range t.byHost[normalizeHost(host)] {
 		if len(r.Homes) > 0 {
@@ -169,9 +169,9 @@
 	return s, ok
 }
 
-// Pick maps a random number to a service in proportion to the weights. It returns ""
+// PickService maps a random number to a service in proportion to the weights. It returns ""
 // if all weights are zero.
-func (r *Route) Pick(draw uint64) string {
+func (r *Route) PickService(draw uint64) string {
 	sum := 0
 	for _, s := range r.Shares {
 		sum += max(s.Weight, 0)
--- a/route/route_test.go
+++ b/route/route_test.go
@@ -36,8 +36,8 @@
 	}
 	counts := make(map[string]int)
 	for draw := range uint64(1000) {
-		counts[r.Pick(draw)]++
+		counts[r.PickService(draw)]++
 	}
 	assert.DeepEqual(t, counts, map[string]int{"a": 900, "b": 100})
-	assert.Equal(t, (&Route{}).Pick(1), "")
+	assert.Equal(t, (&Route{}).PickService(1), "")
 }
--- a/route/standing_test.go
+++ b/route/standing_test.go
@@ -21,7 +21,7 @@
 	}](t, "testdata/standing.json") {
 		t.Run(c.Name, func(t *testing.T) {
 			o := Options{
-				Keyed: c.Workspaces != nil,
+				RequireKey: c.Workspaces != nil,
 			}
 			for _, rank := range c.Routes {
 				o.Routes = append(o.Routes, Route{Rank: rank, Host: "h", Prefix: "/"})
--- a/route/workspace.go
+++ b/route/workspace.go
@@ -35,25 +35,25 @@
 	PerSecond float64
 	// Burst is the bucket's capacity, in units.
 	Burst float64
-	// TokensUnknown is the cost of a request that does not state its tokens.
-	TokensUnknown float64
+	// DefaultTokens is the cost of a request that does not state its tokens.
+	DefaultTokens float64
 }
 
-// IsZero reports whether the workspace is unlimited.
-func (l Limit) IsZero() bool {
+// IsUnlimited reports whether the workspace is unlimited.
+func (l Limit) IsUnlimited() bool {
 	return l.PerSecond <= 0
 }
 
-// Ask holds what Admit needs of a request, all of it known before the body is read.
-type Ask struct {
+// AdmitRequest holds what Admit needs of a request, all of it known before the body is read.
+type AdmitRequest struct {
 	Host string
 	Path string
 	// Key is the digest of the caller's API key, or zero if there is none.
 	Key apikey.Digest
 }
 
-// Terms is the configuration that applies to an admitted request.
-type Terms struct {
+// Admission is the configuration that applies to an admitted request.
+type Admission struct {
 	Table *Table
 	Route *Route
 	// Workspace is nil if the request needs no API key.
@@ -65,27 +65,27 @@
 
 // Admit matches a request to its route, authenticates it and returns the terms that
 // apply. Refusals have code 2002, 2005 or 2009.
-func (t *Table) Admit(a Ask) (Terms, *result.Refusal) {
+func (t *Table) Admit(a AdmitRequest) (Admission, *result.Refusal) {
 	found, ok := t.Match(a.Host, a.Path)
 	if !ok {
-		return Terms{}, result.Refuse(result.UnknownRoute, "no route begins the path")
+		return Admission{}, result.Refuse(result.UnknownRoute, "no route begins the path")
 	}
-	terms := Terms{
+	terms := Admission{
 		Table: t,
 		Route: found,
 		Homes: found.Homes,
 		Rank:  found.Rank,
 	}
-	if !t.Keyed() || found.Public {
+	if !t.RequiresKey() || found.Public {
 		return terms, nil
 	}
 	workspace, ok := t.workspaceOf(a.Key)
 	if !ok {
-		return Terms{}, result.Refuse(result.Unauthenticated, "the key is missing, malformed or unknown; expected one header Authorization: Bearer <key>")
+		return Admission{}, result.Refuse(result.Unauthenticated, "the key is missing, malformed or unknown; expected one header Authorization: Bearer <key>")
 	}
 	homes, ok := intersectHomes(found.Homes, workspace.Homes)
 	if !ok {
-		return Terms{}, result.Refuse(result.NoCommonHome, "no region is a home of both the route and the workspace")
+		return Admission{}, result.Refuse(result.NoCommonHome, "no region is a home of both the route and the workspace")
 	}
 	terms.Workspace = workspace
 	terms.Homes = homes
@@ -95,8 +95,8 @@
 	return terms, nil
 }
 
-// Keyed reports whether requests on routes that are not public need an API key.
-func (t *Table) Keyed() bool {
+// RequiresKey reports whether requests on routes that are not public need an API key.
+func (t *Table) RequiresKey() bool {
 	return t.keyed
 }
 
--- a/route/workspace_test.go
+++ b/route/workspace_test.go
@@ -49,9 +49,9 @@
 		Cases      []admitCase
 	}](t, "testdata/admit.json")
 	o := Options{
-		Version: 3,
-		Routes:  data.Routes,
-		Keyed:   true,
+		Version:    3,
+		Routes:     data.Routes,
+		RequireKey: true,
 	}
 	for _, w := range data.Workspaces {
 		o.Workspaces = append(o.Workspaces, w.workspace())
@@ -88,8 +88,8 @@
 	assert.Assert(t, terms.Workspace == nil)
 }
 
-func newRequest(path, key string) Ask {
-	a := Ask{
+func newRequest(path, key string) AdmitRequest {
+	a := AdmitRequest{
 		Host: "h",
 		Path: path,
 	}
@@ -104,8 +104,8 @@
 	for _, count := range []int{16, 15000} {
 		b.Run(fmt.Sprint(count), func(b *testing.B) {
 			o := Options{
-				Routes: []Route{{Host: "h", Prefix: "/a/"}},
-				Keyed:  true,
+				Routes:     []Route{{Host: "h", Prefix: "/a/"}},
+				RequireKey: true,
 			}
 			for i := range count {
 				o.Workspaces = append(o.Workspaces, workspaceCase{
--- a/routing/cache.go
+++ b/routing/cache.go
@@ -152,16 +152,16 @@
 }
 
 const (
-	// HoldingLeast is the minimum length, in tokens, of prefixes that are announced to
+	// MinHoldingTokens is the minimum length, in tokens, of prefixes that are announced to
 	// VMs of the same region.
-	HoldingLeast = 300
-	// FarHoldingLeast is the same for VMs of other regions, where bandwidth is scarcer.
-	FarHoldingLeast = 1000
+	MinHoldingTokens = 300
+	// MinRemoteHoldingTokens is the same for VMs of other regions, where bandwidth is scarcer.
+	MinRemoteHoldingTokens = 1000
 )
 
-// FarHoldings returns up to limit holdings of other regions' engines used at or after
+// RemoteHoldings returns up to limit holdings of other regions' engines used at or after
 // since.
-func (p *Pool) FarHoldings(since time.Time, limit int) []Holding {
+func (p *Pool) RemoteHoldings(since time.Time, limit int) []Holding {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var out []Holding
@@ -200,8 +200,8 @@
 	return out
 }
 
-// Learn applies holdings announced by another VM.
-func (p *Pool) Learn(list []Holding, now time.Time) {
+// AddHoldings applies holdings announced by another VM.
+func (p *Pool) AddHoldings(list []Holding, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, l := range list {
--- a/routing/cache_test.go
+++ b/routing/cache_test.go
@@ -42,7 +42,7 @@
 	first, ok := p.Choose(r, now)
 	assert.Assert(t, ok)
 	assert.Equal(t, first.FetchFrom, "")
-	assert.Equal(t, first.Cached, 5000)
+	assert.Equal(t, first.CachedTokens, 5000)
 
 	again, ok := p.Choose(r, now)
 	assert.Assert(t, ok)
@@ -53,7 +53,7 @@
 	other, ok := p.Choose(r, now)
 	assert.Assert(t, ok)
 	assert.Equal(t, other.FetchFrom, first.Endpoint.Addr)
-	assert.Equal(t, other.Cached, 5000)
+	assert.Equal(t, other.CachedTokens, 5000)
 }
 
 // The cache must stay within its limit, and expired prefixes must not count.
@@ -99,12 +99,12 @@
 	choice, _ := p.Choose(Request{}, now)
 	expected, ok := p.Expect(Request{MaxTokens: 100}, now)
 	assert.Assert(t, ok)
-	assert.Equal(t, expected.Whole(), expected.First)
+	assert.Equal(t, expected.TotalTime(), expected.TTFT)
 	for range minLiveTokenTimeSamples {
-		p.Paced(choice, 90*time.Millisecond, 9, now)
+		p.StreamProgress(choice, 90*time.Millisecond, 9, now)
 	}
 	expected, _ = p.Expect(Request{MaxTokens: 100}, now)
-	assert.Equal(t, expected.Token, 10*time.Millisecond)
+	assert.Equal(t, expected.TokenTime, 10*time.Millisecond)
 	later, _ := p.Expect(Request{MaxTokens: 100}, now.Add(liveTokenTimeTTL+time.Millisecond))
-	assert.Equal(t, later.Token, time.Duration(0))
+	assert.Equal(t, later.TokenTime, time.Duration(0))
 }
--- a/routing/choose.go
+++ b/routing/choose.go
@@ -39,7 +39,7 @@
 		return choice, true
 	}
 	c, ok := p.pick(r, now)
-	if !ok && r.Again {
+	if !ok && r.AllowExcluded {
 		r.Exclude = [2]string{}
 		c, ok = p.pick(r, now)
 	}
@@ -59,25 +59,25 @@
 		return 0, 0
 	}
 	choice := p.newChoice(c, r, now)
-	return choice.Wait, choice.ServiceTime
+	return choice.QueueTime, choice.ServiceTime
 }
 
 // Expectation is the expected latency and size of a call that is sent now.
 type Expectation struct {
-	// First is the time to the first token.
-	First time.Duration
-	// Token is the time per generated token; zero if it is not known yet.
-	Token time.Duration
-	// Answer is the expected number of generated tokens, Long its 90th percentile.
-	Answer float64
-	Long   float64
-	// ToRead is the number of prompt tokens to prefill.
-	ToRead float64
+	// TTFT is the time to the first token.
+	TTFT time.Duration
+	// TokenTime is the time per generated token; zero if it is not known yet.
+	TokenTime time.Duration
+	// AnswerTokens is the expected number of generated tokens, Long its 90th percentile.
+	AnswerTokens    float64
+	AnswerTokensP90 float64
+	// PrefillTokens is the number of prompt tokens to prefill.
+	PrefillTokens float64
 }
 
-// Whole returns the expected time to the end of the answer.
-func (e Expectation) Whole() time.Duration {
-	return e.First + time.Duration(e.Answer*float64(e.Token))
+// TotalTime returns the expected time to the end of the answer.
+func (e Expectation) TotalTime() time.Duration {
+	return e.TTFT + time.Duration(e.AnswerTokens*float64(e.TokenTime))
 }
 
 // Expect returns the expectation of a call that is sent now; ok is false if no endpoint
@@ -92,11 +92,11 @@
 	}
 	each, _ := p.measuredTokenSeconds(c, now)
 	return Expectation{
-		First:  p.newChoice(c, r, now).First,
-		Token:  seconds(each),
-		Answer: p.expectedAnswer(r),
-		Long:   p.longAnswerTokens(r),
-		ToRead: c.prefillTokens,
+		TTFT:            p.newChoice(c, r, now).TTFT,
+		TokenTime:       seconds(each),
+		AnswerTokens:    p.expectedAnswer(r),
+		AnswerTokensP90: p.longAnswerTokens(r),
+		PrefillTokens:   c.prefillTokens,
 	}, true
 }
 
@@ -241,7 +241,7 @@
 	prefill := p.estimates.baseTTFT.value + tokens/rate
 	predicted := wait + ahead/rate + prefill
 	lateness := max(e.currentBias(now)-latenessTolerance*p.estimates.meanLateness.valueOr(0), e.stallSeconds(slotTime, now), 0)
-	if p.without.Corrections {
+	if p.without.LatencyCorrection {
 		lateness = 0
 	}
 	weight := prefillWeight
@@ -300,12 +300,12 @@
 	}
 	return Choice{
 		FetchFrom:     fetchFrom,
-		Cached:        c.cachedTokens,
+		CachedTokens:  c.cachedTokens,
 		ReportAge:     reportAge,
 		Endpoint:      c.endpoint.Endpoint,
 		At:            now,
-		Wait:          seconds(c.ttft - c.predictedTTFT + c.wait),
-		First:         seconds(c.ttft),
+		QueueTime:     seconds(c.ttft - c.predictedTTFT + c.wait),
+		TTFT:          seconds(c.ttft),
 		ServiceTime:   seconds(service),
 		Affine:        c.affine,
 		state:         c.endpoint,
@@ -317,7 +317,7 @@
 		occupancy:     c.occupancy,
 		hasPrefix:     r.PrefixHash != 0,
 		maxTokens:     r.MaxTokens,
-		yields:        call.Yields(r.clampedTurn()),
+		yields:        call.IsLateLevel(r.clampedTurn()),
 	}
 }
 
@@ -331,7 +331,7 @@
 
 // measuredTokenSeconds is the same from measurements only; ok is false without any.
 func (p *Pool) measuredTokenSeconds(c candidate, now time.Time) (each float64, ok bool) {
-	if !p.without.LivePace && c.endpoint.liveTokenTimeSamples >= minLiveTokenTimeSamples && now.Sub(c.endpoint.liveTokenTimeAt) <= liveTokenTimeTTL {
+	if !p.without.LiveTokenTime && c.endpoint.liveTokenTimeSamples >= minLiveTokenTimeSamples && now.Sub(c.endpoint.liveTokenTimeAt) <= liveTokenTimeTTL {
 		return c.endpoint.liveTokenTime.value, true
 	}
 	return p.estimates.tokenTime.predict(c.occupancy)
@@ -359,7 +359,7 @@
 
 // clampedTurn returns the call's rank, limited to the valid ones.
 func (r Request) clampedTurn() int {
-	return min(max(r.Turn, 0), call.Turns-1)
+	return min(max(r.QueueLevel, 0), call.QueueLevels-1)
 }
 
 func (r Request) excludes(e *endpoint) bool {
--- a/routing/closed.go
+++ b/routing/closed.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// CloseUntil keeps this VM's calls from an endpoint until the given time; a zero time
+// PauseUntil keeps this VM's calls from an endpoint until the given time; a zero time
 // reopens it.
-func (p *Pool) CloseUntil(id string, until time.Time) {
+func (p *Pool) PauseUntil(id string, until time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if e := p.byID[id]; e != nil {
@@ -12,9 +12,9 @@
 	}
 }
 
-// Closed returns the eligible endpoints that are closed now, and when the first of them
+// Paused returns the eligible endpoints that are closed now, and when the first of them
 // opens.
-func (p *Pool) Closed(now time.Time) (ids []string, opensAt time.Time) {
+func (p *Pool) Paused(now time.Time) (ids []string, opensAt time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, e := range p.eligible {
--- a/routing/closed_test.go
+++ b/routing/closed_test.go
@@ -17,23 +17,23 @@
 			Policy: policy,
 		})
 		p.SetEndpoints([]fleet.Endpoint{{ID: "a"}, {ID: "b"}}, now)
-		p.CloseUntil("a", now.Add(time.Second))
+		p.PauseUntil("a", now.Add(time.Second))
 		for range 20 {
 			c, ok := p.Choose(Request{}, now)
 			assert.Assert(t, ok && c.Endpoint.ID == "b")
 		}
-		p.CloseUntil("b", now.Add(2*time.Second))
-		_, ok := p.Choose(Request{Again: true}, now)
+		p.PauseUntil("b", now.Add(2*time.Second))
+		_, ok := p.Choose(Request{AllowExcluded: true}, now)
 		assert.Assert(t, !ok)
 		_, ok = p.Expect(Request{}, now)
 		assert.Assert(t, !ok)
-		ids, opensAt := p.Closed(now)
+		ids, opensAt := p.Paused(now)
 		assert.Equal(t, len(ids), 2)
 		assert.Equal(t, opensAt, now.Add(time.Second))
 		c, ok := p.Choose(Request{}, opensAt)
 		assert.Assert(t, ok && c.Endpoint.ID == "a")
-		p.CloseUntil("b", time.Time{})
-		ids, _ = p.Closed(opensAt)
+		p.PauseUntil("b", time.Time{})
+		ids, _ = p.Paused(opensAt)
 		assert.Equal(t, len(ids), 0)
 	}
 }
@@ -56,10 +56,10 @@
 	p.Done(c, Outcome{Canceled: true}, now)
 	c, ok = p.Choose(r, now)
 	assert.Assert(t, ok)
-	assert.Equal(t, c.Cached, 0)
+	assert.Equal(t, c.CachedTokens, 0)
 	p.Confirm(c, r.Prefixes, now)
 	r.Exclude[0] = c.Endpoint.ID
 	again, ok := p.Choose(r, now)
 	assert.Assert(t, ok)
-	assert.Assert(t, again.FetchFrom == c.Endpoint.Addr && again.Cached == 5000)
+	assert.Assert(t, again.FetchFrom == c.Endpoint.Addr && again.CachedTokens == 5000)
 }
--- a/routing/decision_test.go
+++ b/routing/decision_test.go
@@ -175,8 +175,8 @@
 		cold += e.UncachedTokens
 	}
 	return runResult{
-		p50:  r.ttft.Milliseconds(50),
-		p99:  r.ttft.Milliseconds(99),
+		p50:  r.ttft.PercentileMS(50),
+		p99:  r.ttft.PercentileMS(99),
 		cold: 100 * float64(cold) / float64(prompt),
 	}
 }
@@ -186,14 +186,14 @@
 		e := &enginetest.Engine{
 			Clock:       r.clock,
 			Slots:       engineSlots,
-			Speed:       100,
-			Prefill:     8000,
-			Prefixes:    10,
+			DecodeRate:  100,
+			PrefillRate: 8000,
+			CacheSize:   10,
 			ReportsIdle: i == r.misreporting,
 		}
 		if i == r.slow {
-			e.Speed /= 4
-			e.Prefill /= 4
+			e.DecodeRate /= 4
+			e.PrefillRate /= 4
 		}
 		r.engines = append(r.engines, e)
 		r.list = append(r.list, fleet.Endpoint{
@@ -236,8 +236,8 @@
 		PromptTokens: suffixTokens,
 		Tokens:       20 + r.random.IntN(160),
 		Priority:     call.PriorityChat,
-		First:        func() {},
-		End:          func(call.Usage) {},
+		OnFirstToken: func() {},
+		OnEnd:        func(call.Usage) {},
 	})
 }
 
@@ -263,13 +263,13 @@
 		PromptTokens: prefixTokens + suffixTokens,
 		Tokens:       20 + r.random.IntN(160),
 		Priority:     call.PriorityChat,
-		First: func() {
+		OnFirstToken: func() {
 			firstAt = r.clock.Now()
 			if sentAt.After(r.measureFrom) {
 				r.ttft.Add(firstAt.Sub(sentAt))
 			}
 		},
-		End: func(u call.Usage) {
+		OnEnd: func(u call.Usage) {
 			r.pools[vm].Done(choice, routing.Outcome{
 				Code:    result.Done,
 				Usage:   u,
--- a/routing/enginetest/enginetest.go
+++ b/routing/enginetest/enginetest.go
@@ -80,9 +80,9 @@
 	PromptTokens int
 	Tokens       int
 	Priority     call.Priority
-	// First and End are called at the first token and after the last one.
-	First func()
-	End   func(u call.Usage)
+	// OnFirstToken and End are called at the first token and after the last one.
+	OnFirstToken func()
+	OnEnd        func(u call.Usage)
 }
 
 // Engine simulates continuous batching with up to Slots calls, sequential prefill and an
@@ -90,12 +90,12 @@
 type Engine struct {
 	Clock *Clock
 	Slots int
-	// Speed is the decode rate of a single call in tokens per second, halved in a full
+	// DecodeRate is the decode rate of a single call in tokens per second, halved in a full
 	// batch.
-	Speed   float64
-	Prefill float64
-	// Prefixes is the capacity of the prefix cache, in prefixes.
-	Prefixes int
+	DecodeRate  float64
+	PrefillRate float64
+	// CacheSize is the capacity of the prefix cache, in prefixes.
+	CacheSize int
 	// ReportsIdle makes load reports show no calls.
 	ReportsIdle bool
 
@@ -130,14 +130,14 @@
 	if e.prefillEndsAt.Before(e.Clock.now) {
 		e.prefillEndsAt = e.Clock.now
 	}
-	e.prefillEndsAt = e.prefillEndsAt.Add(seconds(0.01 + float64(cold)/e.Prefill))
+	e.prefillEndsAt = e.prefillEndsAt.Add(seconds(0.01 + float64(cold)/e.PrefillRate))
 	first := e.prefillEndsAt.Sub(e.Clock.now)
-	perToken := (1 + float64(e.running)/float64(e.Slots)) / e.Speed
-	e.Clock.After(first, j.First)
+	perToken := (1 + float64(e.running)/float64(e.Slots)) / e.DecodeRate
+	e.Clock.After(first, j.OnFirstToken)
 	e.Clock.After(first+seconds(perToken*float64(j.Tokens)), func() {
 		e.running--
 		e.startNext()
-		j.End(call.Usage{
+		j.OnEnd(call.Usage{
 			PromptTokens:    j.PromptTokens,
 			CachedTokens:    cached,
 			GeneratedTokens: j.Tokens,
@@ -167,7 +167,7 @@
 		return true
 	}
 	e.cache[prefix] = e.lru.PushFront(prefix)
-	if e.lru.Len() > e.Prefixes {
+	if e.lru.Len() > e.CacheSize {
 		oldest, _ := e.lru.Remove(e.lru.Back()).(uint64)
 		delete(e.cache, oldest)
 	}
@@ -206,8 +206,8 @@
 	_ = l.histogram.RecordValue(max(us, 1))
 }
 
-// Milliseconds returns a percentile in milliseconds, rounded to a tenth.
-func (l *Latencies) Milliseconds(percent float64) float64 {
+// PercentileMS returns a percentile in milliseconds, rounded to a tenth.
+func (l *Latencies) PercentileMS(percent float64) float64 {
 	return math.Round(float64(l.histogram.ValueAtPercentile(percent))/100) / 10
 }
 
--- a/routing/enginetest/pools.go
+++ b/routing/enginetest/pools.go
@@ -11,8 +11,8 @@
 // slotsPerEngine is the batch size of the listed engines.
 const slotsPerEngine = 64
 
-// Pools returns one pool for each of vms VMs that route to the same engines.
-func Pools(vms int, ids []string, random *rand.Rand, now time.Time) []*routing.Pool {
+// NewPools returns one pool for each of vms VMs that route to the same engines.
+func NewPools(vms int, ids []string, random *rand.Rand, now time.Time) []*routing.Pool {
 	engines := endpointList(ids)
 	pools := make([]*routing.Pool, 0, vms)
 	for range vms {
--- a/routing/enginetest/reader.go
+++ b/routing/enginetest/reader.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// Reader simulates an engine's prefill queue: prompts are processed one at a time without
+// PrefillServer simulates an engine's prefill queue: prompts are processed one at a time without
 // preemption, ordered by rank and then by arrival.
-type Reader struct {
+type PrefillServer struct {
 	Clock *Clock
 	// PerSecond is the prefill rate in tokens per second.
 	PerSecond float64
@@ -20,18 +20,18 @@
 type Prompt struct {
 	Tokens float64
 	Turn   int
-	// Read is called when the prefill is done.
-	Read func()
+	// OnDone is called when the prefill is done.
+	OnDone func()
 }
 
 // Send queues a prompt.
-func (r *Reader) Send(p *Prompt) {
+func (r *PrefillServer) Send(p *Prompt) {
 	r.waiting = append(r.waiting, p)
 	r.startNext()
 }
 
 // Drop removes a queued prompt; it returns false if its prefill has started or ended.
-func (r *Reader) Drop(p *Prompt) bool {
+func (r *PrefillServer) Drop(p *Prompt) bool {
 	at := slices.Index(r.waiting, p)
 	if at < 0 {
 		return false
@@ -40,7 +40,7 @@
 	return true
 }
 
-func (r *Reader) startNext() {
+func (r *PrefillServer) startNext() {
 	if r.busy || len(r.waiting) == 0 {
 		return
 	}
@@ -49,7 +49,7 @@
 	r.busy = true
 	r.Clock.After(time.Duration(first.Tokens/r.PerSecond*float64(time.Second)), func() {
 		r.busy = false
-		first.Read()
+		first.OnDone()
 		r.startNext()
 	})
 }
--- a/routing/estimates.go
+++ b/routing/estimates.go
@@ -241,8 +241,8 @@
 	}
 }
 
-// Paced records that an open stream produced a number of tokens within gap.
-func (p *Pool) Paced(c Choice, gap time.Duration, tokens int, now time.Time) {
+// StreamProgress records that an open stream produced a number of tokens within gap.
+func (p *Pool) StreamProgress(c Choice, gap time.Duration, tokens int, now time.Time) {
 	if c.state == nil || tokens <= 0 {
 		return
 	}
@@ -261,7 +261,7 @@
 // learnService updates the slot time, decode rate and answer length.
 func (p *Pool) learnService(e *endpoint, c Choice, o Outcome, now time.Time) {
 	decode := now.Sub(o.FirstAt).Seconds()
-	waited := min(c.Wait.Seconds(), o.FirstAt.Sub(c.At).Seconds())
+	waited := min(c.QueueTime.Seconds(), o.FirstAt.Sub(c.At).Seconds())
 	slotTime := decode + o.FirstAt.Sub(c.At).Seconds() - waited
 	e.slotTime.add(slotTime, sampleWeight)
 	p.estimates.slotTime.add(slotTime, sampleWeight)
@@ -291,7 +291,7 @@
 // learnFailure counts a failure and starts a backoff after ejectAfterFailures in a row.
 func (p *Pool) learnFailure(e *endpoint, c Choice, o Outcome, now time.Time) {
 	bias := failureBiasSeconds
-	if o.Answered {
+	if o.EndpointError {
 		bias = errorAnswerBiasSeconds
 	}
 	e.bias = min(e.currentBias(now)+bias, maxBiasSeconds)
@@ -300,7 +300,7 @@
 	switch {
 	case c.Probe:
 		e.startBackoff(now, p.rand())
-	case e.consecutiveFailures < ejectAfterFailures || e.eligibleIndex < 0 || p.without.BackOff:
+	case e.consecutiveFailures < ejectAfterFailures || e.eligibleIndex < 0 || p.without.Backoff:
 		p.suspect(e, o, now)
 	case p.ejectionLimitReached():
 	default:
--- a/routing/exclude_test.go
+++ b/routing/exclude_test.go
@@ -29,8 +29,8 @@
 			p := New(Options{})
 			p.SetEndpoints(c.endpoints, now)
 			choice, _ := p.Choose(Request{
-				Exclude: [2]string{"a"},
-				Again:   c.again,
+				Exclude:       [2]string{"a"},
+				AllowExcluded: c.again,
 			}, now)
 			assert.Equal(t, choice.Endpoint.ID, c.want)
 		})
--- a/routing/expect_test.go
+++ b/routing/expect_test.go
@@ -88,15 +88,15 @@
 	for i := range w.row.Engines {
 		id := string(rune('a' + i))
 		w.engines[id] = &enginetest.Engine{
-			Clock:    w.clock,
-			Slots:    64,
-			Speed:    200,
-			Prefill:  w.row.ReadsPerSecond,
-			Prefixes: 1,
+			Clock:       w.clock,
+			Slots:       64,
+			DecodeRate:  200,
+			PrefillRate: w.row.ReadsPerSecond,
+			CacheSize:   1,
 		}
 		ids = append(ids, id)
 	}
-	w.pools = enginetest.Pools(w.row.VMs, ids, w.random, w.clock.Now())
+	w.pools = enginetest.NewPools(w.row.VMs, ids, w.random, w.clock.Now())
 	w.clock.Every(500*time.Millisecond, w.report)
 	if w.row.Told {
 		w.clock.Every(shareInterval, w.shareQueues)
@@ -107,10 +107,10 @@
 func (w *expectSimulation) shareQueues() {
 	now := w.clock.Now()
 	for i, from := range w.pools {
-		list, _ := from.Unread()
+		list, _ := from.PrefillQueues()
 		for j, to := range w.pools {
 			if i != j {
-				to.TakeUnread(string(rune('a'+i)), list, now, now)
+				to.SetPeerQueues(string(rune('a'+i)), list, now, now)
 			}
 		}
 	}
@@ -152,11 +152,11 @@
 		Prefix:       w.nextPrefix,
 		PromptTokens: tokens,
 		Tokens:       100,
-		First: func() {
+		OnFirstToken: func() {
 			firstAt = w.clock.Now()
-			pool.Began(choice, firstAt)
+			pool.FirstToken(choice, firstAt)
 			w.calls++
-			w.totalError += (firstAt.Sub(sentAt) - choice.First).Abs()
+			w.totalError += (firstAt.Sub(sentAt) - choice.TTFT).Abs()
 			if !long {
 				w.shortCalls++
 				if firstAt.Sub(sentAt) > shortTTFTObjective {
@@ -164,7 +164,7 @@
 				}
 			}
 		},
-		End: func(u call.Usage) {
+		OnEnd: func(u call.Usage) {
 			pool.Done(choice, routing.Outcome{
 				Code:    result.Done,
 				Usage:   u,
@@ -194,8 +194,8 @@
 				AnswerTokens: c.AnswerTokens,
 			}, now)
 			assert.Assert(t, ok)
-			assert.Equal(t, e.Answer, c.Answer)
-			assert.Equal(t, e.Long, c.Long)
+			assert.Equal(t, e.AnswerTokens, c.Answer)
+			assert.Equal(t, e.AnswerTokensP90, c.Long)
 		})
 	}
 }
--- a/routing/incarnation.go
+++ b/routing/incarnation.go
@@ -82,7 +82,7 @@
 // calls per second, and the list may not show the restart yet.
 func (p *Pool) suspect(e *endpoint, o Outcome, now time.Time) {
 	broke := o.Sent && (o.Code == result.EndpointCut || o.Code == result.EndpointFailed)
-	if !broke || o.Answered || e.Incarnation == 0 || e.reportedAt.IsZero() || e.eligibleIndex < 0 {
+	if !broke || o.EndpointError || e.Incarnation == 0 || e.reportedAt.IsZero() || e.eligibleIndex < 0 {
 		return
 	}
 	if p.ejectionLimitReached() {
--- a/routing/incarnation_test.go
+++ b/routing/incarnation_test.go
@@ -85,8 +85,8 @@
 	case s.Report != nil:
 		p.Report("a", Load{At: ago, Running: s.Running, Incarnation: *s.Report}, now)
 	case s.Hear:
-		p.Learn([]Holding{{Hash: longest.Hash, Tokens: longest.Tokens, Endpoint: "a", UsedAt: ago}}, now)
-		p.TakeUnread("other", []Unread{{Endpoint: "a", MovedAt: ago, Prompts: []UnreadPrompt{{Tokens: 500, SentAt: ago}}}}, now, now)
+		p.AddHoldings([]Holding{{Hash: longest.Hash, Tokens: longest.Tokens, Endpoint: "a", UsedAt: ago}}, now)
+		p.SetPeerQueues("other", []PrefillQueue{{Endpoint: "a", HeadChangedAt: ago, Prompts: []QueuedPrompt{{Tokens: 500, SentAt: ago}}}}, now, now)
 	}
 	for range s.Send + s.Fail {
 		r := sharedPromptRequest()
@@ -132,13 +132,13 @@
 	now := time.Unix(1e9, 0)
 	p := New(Options{})
 	p.SetEndpoints([]fleet.Endpoint{endpointIncarnation("a", 1)}, now)
-	p.SetFar([]fleet.Endpoint{endpointIncarnation("x", 1), endpointIncarnation("y", 1)})
+	p.SetRemoteEndpoints([]fleet.Endpoint{endpointIncarnation("x", 1), endpointIncarnation("y", 1)})
 	prefixes := sharedPromptRequest().Prefixes
-	p.Learn([]Holding{
+	p.AddHoldings([]Holding{
 		{Hash: prefixes[0].Hash, Tokens: prefixes[0].Tokens, Endpoint: "y", UsedAt: now},
 		{Hash: prefixes[1].Hash, Tokens: prefixes[1].Tokens, Endpoint: "x", UsedAt: now},
 	}, now)
 	assert.Equal(t, p.remote.bestSource(prefixes, nil, now).addr, "addr-x")
-	p.SetFar([]fleet.Endpoint{endpointIncarnation("x", 2), endpointIncarnation("y", 1)})
+	p.SetRemoteEndpoints([]fleet.Endpoint{endpointIncarnation("x", 2), endpointIncarnation("y", 1)})
 	assert.Equal(t, p.remote.bestSource(prefixes, nil, now).addr, "addr-y")
 }
--- a/routing/late_endpoint_test.go
+++ b/routing/late_endpoint_test.go
@@ -37,16 +37,16 @@
 	now := time.Unix(1e9, 0)
 	p := New(Options{})
 	p.SetEndpoints(enginesInRegion("near", "a", "b"), now)
-	choice, ok := p.Choose(Request{Exclude: [2]string{"b"}, Turn: turn}, now)
+	choice, ok := p.Choose(Request{Exclude: [2]string{"b"}, QueueLevel: turn}, now)
 	assert.Assert(t, ok)
 	now = now.Add(delay)
-	p.Began(choice, now)
+	p.FirstToken(choice, now)
 	p.Done(choice, Outcome{Code: result.Done, Sent: true, FirstAt: now}, now)
 	answeredAt := now
 	for now.Sub(answeredAt) < time.Minute {
 		choice, ok := p.Choose(Request{}, now)
 		assert.Assert(t, ok)
-		p.Began(choice, now)
+		p.FirstToken(choice, now)
 		p.Done(choice, Outcome{Code: result.Done, Sent: true, FirstAt: now}, now)
 		if choice.Endpoint.ID == "a" {
 			break
--- a/routing/many_vms_test.go
+++ b/routing/many_vms_test.go
@@ -80,15 +80,15 @@
 	var ids []string
 	for i := range w.row.Engines {
 		w.engines = append(w.engines, &enginetest.Engine{
-			Clock:    w.clock,
-			Slots:    64,
-			Speed:    200,
-			Prefill:  48_000,
-			Prefixes: 30,
+			Clock:       w.clock,
+			Slots:       64,
+			DecodeRate:  200,
+			PrefillRate: 48_000,
+			CacheSize:   30,
 		})
 		ids = append(ids, engineID(i))
 	}
-	w.pools = enginetest.Pools(w.row.VMs, ids, w.random, w.clock.Now())
+	w.pools = enginetest.NewPools(w.row.VMs, ids, w.random, w.clock.Now())
 	for i := range w.engines {
 		w.clock.After(time.Duration(i)*time.Second/time.Duration(len(w.engines)), func() {
 			w.clock.Every(time.Second, func() { w.report(i) })
@@ -130,15 +130,15 @@
 		PrefixTokens: manyVMsPrefixTokens,
 		PromptTokens: manyVMsPrefixTokens + own,
 		Tokens:       100,
-		First: func() {
+		OnFirstToken: func() {
 			firstAt = w.clock.Now()
-			pool.Began(choice, firstAt)
+			pool.FirstToken(choice, firstAt)
 			w.calls++
 			if firstAt.Sub(sentAt) > manyVMsTTFTObjective {
 				w.late++
 			}
 		},
-		End: func(u call.Usage) {
+		OnEnd: func(u call.Usage) {
 			pool.Done(choice, routing.Outcome{
 				Code:    result.Done,
 				Usage:   u,
--- a/routing/prefill_queue_test.go
+++ b/routing/prefill_queue_test.go
@@ -74,7 +74,7 @@
 	p := New(Options{})
 	p.SetEndpoints(enginesInRegion("near", "a"), now)
 	takeUnread := func(vm string, at time.Time) {
-		p.TakeUnread(vm, []Unread{{Endpoint: "a", Prompts: []UnreadPrompt{{Tokens: 100, SentAt: at}}}}, at, at)
+		p.SetPeerQueues(vm, []PrefillQueue{{Endpoint: "a", Prompts: []QueuedPrompt{{Tokens: 100, SentAt: at}}}}, at, at)
 	}
 	for i := range 50 {
 		takeUnread(fmt.Sprintf("vm-%d", i), now)
--- a/routing/routing.go
+++ b/routing/routing.go
@@ -27,25 +27,25 @@
 	Policy string
 	// Rand returns 64 random bits; nil means math/rand/v2.
 	Rand func() uint64
-	// Without disables individual mechanisms, for ablation tests.
-	Without Without
+	// Disabled disables individual mechanisms, for ablation tests.
+	Disabled DisabledFeatures
 }
 
-// Without lists the mechanisms to disable.
-type Without struct {
+// DisabledFeatures lists the mechanisms to disable.
+type DisabledFeatures struct {
 	// Affinity is the extra score weight of prefill work, which favours endpoints that
 	// have the prompt prefix cached.
 	Affinity bool
-	// Fetches are prefix cache transfers between engines, FarFetches only those from
+	// CacheFetch are prefix cache transfers between engines, FarFetches only those from
 	// other regions.
-	Fetches    bool
-	FarFetches bool
-	// LivePace is the time per token measured on open streams.
-	LivePace bool
-	// BackOff is the backoff of failing endpoints.
-	BackOff bool
-	// Corrections are the latency corrections of endpoints whose first tokens were late.
-	Corrections bool
+	CacheFetch       bool
+	RemoteCacheFetch bool
+	// LiveTokenTime is the time per token measured on open streams.
+	LiveTokenTime bool
+	// Backoff is the backoff of failing endpoints.
+	Backoff bool
+	// LatencyCorrection are the latency corrections of endpoints whose first tokens were late.
+	LatencyCorrection bool
 }
 
 // Load is one load report of an endpoint. It is out of date by the report's delay.
@@ -79,17 +79,17 @@
 	// estimate.
 	AnswerTokens int
 	Priority     call.Priority
-	// Turn is the call's rank in an endpoint's queue; 0 is served first. Values of
+	// QueueLevel is the call's rank in an endpoint's queue; 0 is served first. Values of
 	// call.Turns or more count as the last rank.
-	Turn int
+	QueueLevel int
 	// Exclude holds the IDs of endpoints that were already tried; empty strings are
 	// ignored.
 	Exclude [2]string
 	// Homes are the regions that may hold the prompt; empty means all.
 	Homes []string
-	// Again allows an excluded endpoint if no other is available. It is set if the call
+	// AllowExcluded allows an excluded endpoint if no other is available. It is set if the call
 	// ran there and failed by itself, so that a retry may succeed.
-	Again bool
+	AllowExcluded bool
 	// Tentative is set for a call that may not be sent to the chosen endpoint after all.
 	// Confirm records the prefixes there once it is sent.
 	Tentative bool
@@ -104,19 +104,19 @@
 type Choice struct {
 	Endpoint fleet.Endpoint
 	At       time.Time
-	// Wait is the expected time in the endpoint's queue, First the expected time to the
+	// QueueTime is the expected time in the endpoint's queue, First the expected time to the
 	// first token, and ServiceTime the expected time from the start of the prefill to the end
 	// of the answer.
-	Wait        time.Duration
-	First       time.Duration
+	QueueTime   time.Duration
+	TTFT        time.Duration
 	ServiceTime time.Duration
 	// Affine is set if the endpoint is expected to have the prompt's prefix cached.
 	Affine bool
 	// FetchFrom is the address of an engine to fetch cached prefixes from; empty if a
 	// fetch would not pay off.
 	FetchFrom string
-	// Cached is the number of prompt tokens that need no prefill.
-	Cached int
+	// CachedTokens is the number of prompt tokens that need no prefill.
+	CachedTokens int
 	// ReportAge is the age of the endpoint's last load report; zero without one.
 	ReportAge time.Duration
 	// Probe is set on the single call that tests an endpoint after its backoff.
@@ -153,9 +153,9 @@
 	Sent bool
 	// Canceled is set if the caller canceled the call; its outcome is ignored.
 	Canceled bool
-	// Answered is set if the endpoint ran the call and returned an error, which may be
+	// EndpointError is set if the endpoint ran the call and returned an error, which may be
 	// the call's own fault.
-	Answered bool
+	EndpointError bool
 	// FirstAt is when the first token or byte of the answer arrived; zero if none did.
 	FirstAt time.Time
 }
@@ -164,7 +164,7 @@
 type Pool struct {
 	policy  string
 	rand    func() uint64
-	without Without
+	without DisabledFeatures
 
 	mu        sync.Mutex
 	vms       int
@@ -194,7 +194,7 @@
 	return &Pool{
 		policy:        o.Policy,
 		rand:          o.Rand,
-		without:       o.Without,
+		without:       o.Disabled,
 		vms:           1,
 		byID:          map[string]*endpoint{},
 		estimates:     newEstimates(),
@@ -330,9 +330,9 @@
 	p.updateTotals(e, now)
 }
 
-// Began records that the first token of a call's answer arrived, so that its prefill is
+// FirstToken records that the first token of a call's answer arrived, so that its prefill is
 // done.
-func (p *Pool) Began(c Choice, now time.Time) {
+func (p *Pool) FirstToken(c Choice, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if c.state == nil {
--- a/routing/routing_test.go
+++ b/routing/routing_test.go
@@ -197,7 +197,7 @@
 					assert.Assert(t, e.inFlight >= 0)
 				}
 				assert.Assert(t, counted <= len(inFlight))
-				assert.Equal(t, len(p.eligible) > 0, p.Supply(now).Slots > 0)
+				assert.Equal(t, len(p.eligible) > 0, p.Capacity(now).Slots > 0)
 			},
 		})
 	})
--- a/routing/source.go
+++ b/routing/source.go
@@ -26,8 +26,8 @@
 	holders   map[uint64]Holding
 }
 
-// SetFar replaces the engines of other regions.
-func (p *Pool) SetFar(list []fleet.Endpoint) {
+// SetRemoteEndpoints replaces the engines of other regions.
+func (p *Pool) SetRemoteEndpoints(list []fleet.Endpoint) {
 	endpoints := make(map[string]fleet.Endpoint, len(list))
 	for _, e := range list {
 		endpoints[e.ID] = e
@@ -89,11 +89,11 @@
 // findSource returns the engine with the longest cached prefix: the prefix's primary on
 // the ring, another engine of this region, or one of another region.
 func (p *Pool) findSource(primary *endpoint, r Request, now time.Time) fetchSource {
-	if p.without.Fetches {
+	if p.without.CacheFetch {
 		return fetchSource{}
 	}
 	local := p.localSource(primary, r.Prefixes, now)
-	if p.without.FarFetches {
+	if p.without.RemoteCacheFetch {
 		return local
 	}
 	if remote := p.remote.bestSource(r.Prefixes, r.Homes, now); remote.tokens > local.tokens {
--- a/routing/source_test.go
+++ b/routing/source_test.go
@@ -38,12 +38,12 @@
 		t.Run(c.Name, func(t *testing.T) {
 			p := New(Options{})
 			p.SetEndpoints(enginesInRegion("near", "a", "b"), now)
-			p.SetFar(enginesInRegion("far", "x", "y"))
+			p.SetRemoteEndpoints(enginesInRegion("far", "x", "y"))
 			prefixes := Prefixes("", promptParts(9))
 			for _, h := range c.Held {
-				p.Learn([]Holding{newHolding(h, prefixes, now)}, now)
+				p.AddHoldings([]Holding{newHolding(h, prefixes, now)}, now)
 			}
-			p.SetFar(slices.DeleteFunc(enginesInRegion("far", "x", "y"), func(e fleet.Endpoint) bool {
+			p.SetRemoteEndpoints(slices.DeleteFunc(enginesInRegion("far", "x", "y"), func(e fleet.Endpoint) bool {
 				return slices.Contains(c.Gone, e.ID)
 			}))
 			got := p.findSource(p.byID[c.Ring], Request{Prefixes: prefixes, Homes: c.Homes}, now)
@@ -83,9 +83,9 @@
 	now := time.Unix(1e9, 0)
 	p := New(Options{})
 	p.SetEndpoints(enginesInRegion("near", "a", "b"), now)
-	p.SetFar(enginesInRegion("far", "x"))
+	p.SetRemoteEndpoints(enginesInRegion("far", "x"))
 	prefixes := Prefixes("", promptParts(9))
-	p.Learn([]Holding{newHolding(holdingRow{Endpoint: "x", Tokens: 5000}, prefixes, now)}, now)
+	p.AddHoldings([]Holding{newHolding(holdingRow{Endpoint: "x", Tokens: 5000}, prefixes, now)}, now)
 	r := Request{
 		PrefixHash:   call.SharedPrefix("", promptParts(9)),
 		Prefixes:     prefixes,
@@ -95,13 +95,13 @@
 	assert.Assert(t, ok)
 	assert.Assert(t, first.Endpoint.ID != "x")
 	assert.Equal(t, first.FetchFrom, "addr-x")
-	assert.Equal(t, first.Cached, 5000)
+	assert.Equal(t, first.CachedTokens, 5000)
 	again, ok := p.Choose(r, now)
 	assert.Assert(t, ok)
 	assert.Equal(t, again.FetchFrom, "")
 
-	assert.Equal(t, len(p.FarHoldings(now, 10)), 1)
-	assert.Equal(t, len(p.FarHoldings(now.Add(time.Millisecond), 10)), 0)
+	assert.Equal(t, len(p.RemoteHoldings(now, 10)), 1)
+	assert.Equal(t, len(p.RemoteHoldings(now.Add(time.Millisecond), 10)), 0)
 }
 
 // The index of remote holdings must stay within its bound, and expired entries must be
@@ -109,11 +109,11 @@
 func TestRemoteHoldingsPruned(t *testing.T) {
 	now := time.Unix(1e9, 0)
 	p := New(Options{})
-	p.SetFar(enginesInRegion("far", "x"))
+	p.SetRemoteEndpoints(enginesInRegion("far", "x"))
 	for i := range uint64(maxHolders) {
-		p.Learn([]Holding{{Hash: i + 1, Tokens: 5000, Endpoint: "x", UsedAt: now}}, now)
+		p.AddHoldings([]Holding{{Hash: i + 1, Tokens: 5000, Endpoint: "x", UsedAt: now}}, now)
 	}
 	later := now.Add(remoteHoldingTTL + time.Millisecond)
-	p.Learn([]Holding{{Hash: maxHolders + 1, Tokens: 5000, Endpoint: "x", UsedAt: later}}, later)
+	p.AddHoldings([]Holding{{Hash: maxHolders + 1, Tokens: 5000, Endpoint: "x", UsedAt: later}}, later)
 	assert.Equal(t, len(p.remote.holders), 1)
 }
--- a/routing/supply.go
+++ b/routing/supply.go
@@ -5,33 +5,33 @@
 	"time"
 )
 
-// Supply sums up the capacity of the pool's endpoints, for admission.
-type Supply struct {
+// Capacity sums up the capacity of the pool's endpoints, for admission.
+type Capacity struct {
 	// Endpoints is the number of eligible endpoints.
 	Endpoints int
 	// Slots is the number of their batch slots, Free the estimated number of empty ones,
 	// and Own the number of this VM's calls in flight there.
-	Slots float64
-	Free  float64
-	Own   int
-	// Hold is the time a call occupies a slot, First the time to its first token with a
+	Slots       float64
+	Free        float64
+	OwnInFlight int
+	// SlotTime is the time a call occupies a slot, First the time to its first token with a
 	// cached prefix and no queue.
-	Hold  time.Duration
-	First time.Duration
-	// TokensPerSecond is the decode rate of one call, PrefillPerSecond the rate at which
+	SlotTime time.Duration
+	BaseTTFT time.Duration
+	// DecodeRate is the decode rate of one call, PrefillPerSecond the rate at which
 	// prompt tokens are prefilled.
-	TokensPerSecond  float64
-	PrefillPerSecond float64
-	// ColdShare is the fraction of prompt tokens that are prefilled.
-	ColdShare float64
-	// SlotTokensPerSecond is the throughput of one busy slot, in prompt and generated
+	DecodeRate  float64
+	PrefillRate float64
+	// UncachedFraction is the fraction of prompt tokens that are prefilled.
+	UncachedFraction float64
+	// SlotThroughput is the throughput of one busy slot, in prompt and generated
 	// tokens.
-	SlotTokensPerSecond float64
-	// AnswerShare is the fraction of MaxTokens that answers use.
-	AnswerShare float64
-	// RetryAt is when the next endpoint in backoff may be probed; zero if none awaits a
+	SlotThroughput float64
+	// AnswerFraction is the fraction of MaxTokens that answers use.
+	AnswerFraction float64
+	// NextProbeAt is when the next endpoint in backoff may be probed; zero if none awaits a
 	// probe.
-	RetryAt time.Time
+	NextProbeAt time.Time
 }
 
 // poolTotals are the running sums over the eligible endpoints.
@@ -65,24 +65,24 @@
 	p.totals.own += e.contribution.own
 }
 
-// Supply returns the sums in constant time; each endpoint's part dates from its last
+// Capacity returns the sums in constant time; each endpoint's part dates from its last
 // report, choice or outcome.
-func (p *Pool) Supply(_ time.Time) Supply {
+func (p *Pool) Capacity(_ time.Time) Capacity {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return Supply{
-		Endpoints:           len(p.eligible),
-		Slots:               p.totals.slots,
-		Free:                p.totals.free,
-		Own:                 p.totals.own,
-		Hold:                seconds(p.estimates.slotTime.valueOr(defaultSlotSeconds)),
-		First:               seconds(p.estimates.baseTTFT.value),
-		TokensPerSecond:     p.estimates.decodeRate.valueOr(defaultDecodeRate),
-		PrefillPerSecond:    p.estimates.prefillRate.perSecond(),
-		SlotTokensPerSecond: p.estimates.slotThroughput.valueOr(defaultDecodeRate),
-		ColdShare:           p.estimates.uncachedFraction.valueOr(1),
-		AnswerShare:         p.estimates.answerFraction.valueOr(defaultAnswerFraction),
-		RetryAt:             p.nextProbeAt(),
+	return Capacity{
+		Endpoints:        len(p.eligible),
+		Slots:            p.totals.slots,
+		Free:             p.totals.free,
+		OwnInFlight:      p.totals.own,
+		SlotTime:         seconds(p.estimates.slotTime.valueOr(defaultSlotSeconds)),
+		BaseTTFT:         seconds(p.estimates.baseTTFT.value),
+		DecodeRate:       p.estimates.decodeRate.valueOr(defaultDecodeRate),
+		PrefillRate:      p.estimates.prefillRate.perSecond(),
+		SlotThroughput:   p.estimates.slotThroughput.valueOr(defaultDecodeRate),
+		UncachedFraction: p.estimates.uncachedFraction.valueOr(1),
+		AnswerFraction:   p.estimates.answerFraction.valueOr(defaultAnswerFraction),
+		NextProbeAt:      p.nextProbeAt(),
 	}
 }
 
--- a/routing/unread.go
+++ b/routing/unread.go
@@ -6,16 +6,16 @@
 	"github.com/fuchsianotch/fuchsianotch/call"
 )
 
-// Unread is the prefill queue of one endpoint for one VM's calls.
-type Unread struct {
+// PrefillQueue is the prefill queue of one endpoint for one VM's calls.
+type PrefillQueue struct {
 	Endpoint string
-	// MovedAt is when a prompt last left the queue.
-	MovedAt time.Time
-	Prompts []UnreadPrompt
+	// HeadChangedAt is when a prompt last left the queue.
+	HeadChangedAt time.Time
+	Prompts       []QueuedPrompt
 }
 
-// UnreadPrompt is the part of a call's prompt that an endpoint has to prefill.
-type UnreadPrompt struct {
+// QueuedPrompt is the part of a call's prompt that an endpoint has to prefill.
+type QueuedPrompt struct {
 	Tokens int
 	// Turn is the call's rank in the endpoint's queue.
 	Turn   int
@@ -25,21 +25,21 @@
 // peerTTL is how long a VM counts as reporting its queues; it reports every second.
 const peerTTL = 3 * time.Second
 
-// Unread returns the prefill queues of this VM's calls; changes counts how often they
+// PrefillQueues returns the prefill queues of this VM's calls; changes counts how often they
 // have changed.
-func (p *Pool) Unread() (list []Unread, changes uint64) {
+func (p *Pool) PrefillQueues() (list []PrefillQueue, changes uint64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, e := range p.endpoints {
 		if len(e.prefillQueue.prompts) == 0 {
 			continue
 		}
-		u := Unread{
-			Endpoint: e.ID,
-			MovedAt:  e.prefillQueue.headChangedAt,
+		u := PrefillQueue{
+			Endpoint:      e.ID,
+			HeadChangedAt: e.prefillQueue.headChangedAt,
 		}
 		for _, q := range e.prefillQueue.prompts {
-			u.Prompts = append(u.Prompts, UnreadPrompt{
+			u.Prompts = append(u.Prompts, QueuedPrompt{
 				Tokens: int(q.tokens),
 				Turn:   q.turn,
 				SentAt: q.sentAt,
@@ -50,14 +50,14 @@
 	return list, p.queueChanges
 }
 
-// TakeUnread stores another VM's prefill queues as of at. Endpoints that are not in the
+// SetPeerQueues stores another VM's prefill queues as of at. Endpoints that are not in the
 // list have empty ones.
-func (p *Pool) TakeUnread(vm string, list []Unread, at, now time.Time) {
+func (p *Pool) SetPeerQueues(vm string, list []PrefillQueue, at, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.peersHeardAt[vm] = now
 	p.dropSilentPeers(now)
-	byEndpoint := make(map[string]Unread, len(list))
+	byEndpoint := make(map[string]PrefillQueue, len(list))
 	for _, u := range list {
 		byEndpoint[u.Endpoint] = u
 	}
@@ -80,16 +80,16 @@
 	}
 }
 
-func (u Unread) toPeerQueue(vm string, at time.Time) peerQueue {
+func (u PrefillQueue) toPeerQueue(vm string, at time.Time) peerQueue {
 	o := peerQueue{
 		vm:            vm,
-		headChangedAt: u.MovedAt,
+		headChangedAt: u.HeadChangedAt,
 		reportedAt:    at,
 	}
 	for _, q := range u.Prompts {
 		o.prompts = append(o.prompts, queuedPrompt{
 			tokens: float64(q.Tokens),
-			turn:   min(max(q.Turn, 0), call.Turns-1),
+			turn:   min(max(q.Turn, 0), call.QueueLevels-1),
 			sentAt: q.SentAt,
 		})
 	}
--- a/routing/yields_test.go
+++ b/routing/yields_test.go
@@ -12,7 +12,7 @@
 
 // A call that can be on time must not be expected to wait for queued late calls.
 func TestLateCallsYield(t *testing.T) {
-	late := call.Routed{Late: true}
+	late := call.Routed{MissesObjective: true}
 	for _, c := range datatest.Read[[]struct {
 		Name string
 		// Waiting is the number of calls without a first token.
@@ -32,16 +32,16 @@
 				PromptTokens: 5100,
 			}
 			if !c.OnTime {
-				r.Turn = late.Turn()
+				r.QueueLevel = late.QueueLevel()
 			}
 			for range c.Waiting {
 				_, ok := p.Choose(r, now)
 				assert.Assert(t, ok)
 			}
-			r.Turn = 0
+			r.QueueLevel = 0
 			e, ok := p.Expect(r, now)
 			assert.Assert(t, ok)
-			got := e.First.Milliseconds()
+			got := e.TTFT.Milliseconds()
 			assert.Assert(t, got >= c.Least && got <= c.Most, "%d ms", got)
 		})
 	}
--- a/serving/answer_tracker.go
+++ b/serving/answer_tracker.go
@@ -62,19 +62,19 @@
 }
 
 // placeResult describes the outcome at one VM and what the caller received of it.
-func (t *answerTracker) placeResult(c *call.Call, o call.Outcome) retry.Place {
-	return retry.Place{
+func (t *answerTracker) placeResult(c *call.Call, o call.Outcome) retry.ForwardResult {
+	return retry.ForwardResult{
 		Code:       o.Code,
-		Ran:        o.Ran,
+		Ran:        o.EndpointsRun,
 		Idempotent: c.Idempotent,
-		Headed:     t.headSent,
+		HeadSent:   t.headSent,
 		Resumable:  c.Routed.Resumable,
-		HasEvent:   t.lastEventID != "",
+		EventSent:  t.lastEventID != "",
 	}
 }
 
 // nextCall returns the call to send to the next place, after the previous one failed.
-func (t *answerTracker) nextCall(c *call.Call, previous retry.Place, attemptsLeft int) *call.Call {
+func (t *answerTracker) nextCall(c *call.Call, previous retry.ForwardResult, attemptsLeft int) *call.Call {
 	next := *c
 	routed := *c.Routed
 	routed.MaxAttempts = attemptsLeft
@@ -82,10 +82,10 @@
 	if t.lastEventID != "" {
 		routed.ResumeAfter = t.lastEventID
 	}
-	if previous.IsRepeat() {
-		routed.Repeated = true
+	if previous.NextIsRetry() {
+		routed.Retry = true
 		// A quarantine trial ends with its first attempt.
-		next.Trial = false
+		next.QuarantineTrial = false
 	}
 	return &next
 }
--- a/serving/at_most_once_test.go
+++ b/serving/at_most_once_test.go
@@ -153,8 +153,8 @@
 	}
 }
 
-func holderOf(p *process) ticket.Holder {
-	return ticket.Holder{
+func holderOf(p *process) ticket.IncarnationID {
+	return ticket.IncarnationID{
 		VM:          p.vm.ID,
 		Incarnation: 1,
 	}
@@ -198,10 +198,10 @@
 	case "drain":
 		vm(1).server.Stop()
 	case "give_up":
-		cl.handOver = vm(1).desk.GiveUp(time.Now())
+		cl.handOver = vm(1).desk.Relinquish(time.Now())
 	case "adopt":
 		to := vm(1)
-		assert.Assert(cl.t, to.desk.Adopt(cl.handOver.Addressed(holderOf(to)), time.Now()))
+		assert.Assert(cl.t, to.desk.TakeOver(cl.handOver.WithReceiver(holderOf(to)), time.Now()))
 	default:
 		cl.t.Fatalf("unknown step %q", words)
 	}
@@ -214,7 +214,7 @@
 		VM:          p.vm.ID,
 		Incarnation: 2,
 	})
-	p.server.options.Desk = p.desk
+	p.server.options.Tickets = p.desk
 	return p
 }
 
--- a/serving/charge.go
+++ b/serving/charge.go
@@ -26,8 +26,8 @@
 // charge reserves the call's estimated cost from the workspace's limits.
 func (s *Server) charge(ctx context.Context, c *call.Call, terms Terms) (limit.Reservation, *result.Refusal) {
 	reservation, refusal := s.reserve(ctx, c, terms)
-	if refusal != nil && refusal.ComeBackAt.IsZero() {
-		refusal = refusal.Until(s.options.Now().Add(defaultRetryAfter))
+	if refusal != nil && refusal.RetryAt.IsZero() {
+		refusal = refusal.WithRetryAt(s.options.Now().Add(defaultRetryAfter))
 	}
 	return reservation, refusal
 }
@@ -54,18 +54,18 @@
 
 // LimitRequest builds a ledger request from this VM's share in the view. The cost is
 // left unset.
-func LimitRequest(workspace string, terms contract.RegionTerms, view *membership.View, now time.Time) limit.Request {
+func LimitRequest(workspace string, terms contract.RegionLimits, view *membership.View, now time.Time) limit.Request {
 	owner, ok := view.Owner(workspace)
-	hold := view.Hold(workspace, now)
+	hold := view.ShareHistory(workspace, now)
 	return limit.Request{
-		Workspace: workspace,
-		Terms:     terms,
-		Share:     hold.Share,
-		Since:     hold.Since,
-		Base:      hold.Base,
-		BaseSince: hold.BaseSince,
-		VMs:       view.VMs,
-		Owner:     ok && owner.ID == view.Self.ID,
+		Workspace:          workspace,
+		Terms:              terms,
+		Share:              hold.Share,
+		ShareSince:         hold.Since,
+		PreviousShare:      hold.Base,
+		PreviousShareSince: hold.BaseSince,
+		VMs:                view.VMs,
+		Owner:              ok && owner.ID == view.Self.ID,
 	}
 }
 
@@ -82,7 +82,7 @@
 }
 
 func (s *Server) fetchLease(ctx context.Context, owner fleet.VM, workspace string, terms Terms) *result.Refusal {
-	want, unused, needed := s.options.Ledger.Want(workspace, terms.Region, s.options.Now())
+	want, unused, needed := s.options.Ledger.LeaseRequest(workspace, terms.Region, s.options.Now())
 	if !needed {
 		return nil
 	}
--- a/serving/cluster_test.go
+++ b/serving/cluster_test.go
@@ -46,7 +46,7 @@
 // process holds the serving components of one VM. A killed one sends nothing more.
 type process struct {
 	vm     fleet.VM
-	desk   *ticket.Desk
+	desk   *ticket.Registry
 	server *Server
 	ledger *limit.Ledger
 	killed atomic.Bool
@@ -83,7 +83,7 @@
 			Contract: &contract.Contract{
 				Workspace: workspace,
 			},
-			Region: contract.RegionTerms{
+			Region: contract.RegionLimits{
 				Region:            region,
 				RequestsPerSecond: 100,
 				TokensPerSecond:   1000,
@@ -115,16 +115,16 @@
 		Incarnation: 1,
 	})
 	p.server = New(Options{
-		Now:      time.Now,
-		VM:       p.vm.ID,
-		Region:   region,
-		Snapshot: cl.snapshot(),
-		View:     viewOf(p.vm),
-		Pool:     cl.pool(),
-		Forward:  cl.forward,
-		Borrow:   func(*call.Call, Terms) (fleet.VM, bool) { return fleet.VM{}, false },
-		Ledger:   p.ledger,
-		Desk:     p.desk,
+		Now:            time.Now,
+		VM:             p.vm.ID,
+		Region:         region,
+		Snapshot:       cl.snapshot(),
+		View:           viewOf(p.vm),
+		Pool:           cl.pool(),
+		Forward:        cl.forward,
+		ChooseOverflow: func(*call.Call, Terms) (fleet.VM, bool) { return fleet.VM{}, false },
+		Ledger:         p.ledger,
+		Tickets:        p.desk,
 		Endpoint: endpoint.New(endpoint.Options{
 			Client: &http.Client{
 				Transport: &http.Transport{
@@ -133,8 +133,8 @@
 				},
 			},
 		}),
-		Budget: budgetOf(retry.New(1)),
-		Ring: timeline.New(timeline.Options{
+		Budget: budgetOf(retry.NewBudget(1)),
+		Timeline: timeline.New(timeline.Options{
 			VM:       p.vm.ID,
 			Capacity: 64,
 			Now:      time.Now,
@@ -273,8 +273,8 @@
 		Header: http.Header{
 			"Idempotency-Key": {"operation"},
 		},
-		Body:    []byte(`{}`),
-		WholeBy: time.Now().Add(callTimeout),
+		Body:     []byte(`{}`),
+		Deadline: time.Now().Add(callTimeout),
 	}
 	switch kind {
 	case "book":
--- a/serving/overflow.go
+++ b/serving/overflow.go
@@ -47,7 +47,7 @@
 
 // overflowOnce sends the call to one other region. It returns false if nothing was sent.
 func (s *Server) overflowOnce(ctx context.Context, c *call.Call, terms Terms, sink call.Sink) (call.Outcome, bool) {
-	vm, ok := s.options.Borrow(c, terms)
+	vm, ok := s.options.ChooseOverflow(c, terms)
 	if !ok {
 		return call.Outcome{}, false
 	}
@@ -56,12 +56,12 @@
 		return call.Outcome{}, false
 	}
 	overflowCall := *c
-	overflowCall.Origin = s.options.Region
+	overflowCall.ChargedRegion = s.options.Region
 	s.addEvent(c, "call_sent_away", timeline.Event{
 		Peer:   vm.ID,
 		Detail: vm.Region,
 	})
-	s.options.Metrics.SentAway(vm.Region)
+	s.options.Metrics.CountCrossRegionCall(vm.Region)
 	outcome := s.options.Forward(ctx, vm, &overflowCall, sink)
 	s.settleBorrowed(borrowed, outcome)
 	return outcome, true
--- a/serving/overflow_test.go
+++ b/serving/overflow_test.go
@@ -41,11 +41,11 @@
 	origin := cl.processes[0]
 	var asked []int
 	origin.server.options.Pool = func(string) (*Pool, bool) { return nil, false }
-	origin.server.options.Borrow = func(*call.Call, Terms) (fleet.VM, bool) {
+	origin.server.options.ChooseOverflow = func(*call.Call, Terms) (fleet.VM, bool) {
 		return cl.processes[1+len(asked)%2].vm, true
 	}
 	for i, p := range cl.processes {
-		p.server.options.Accept = func(*call.Call) (func(), *result.Refusal) {
+		p.server.options.AcceptOverflow = func(*call.Call) (func(), *result.Refusal) {
 			asked = append(asked, i)
 			if slices.Contains(c.Refusing, i) {
 				return nil, result.Refuse(result.NoSurplus, "none")
--- a/serving/placement.go
+++ b/serving/placement.go
@@ -24,7 +24,7 @@
 // Terms is a contract with its terms in this region.
 type Terms struct {
 	Contract *contract.Contract
-	Region   contract.RegionTerms
+	Region   contract.RegionLimits
 }
 
 // Placement is the decision on where a call is served. It depends on headers only, so
@@ -53,7 +53,7 @@
 // Place decides where a call is served. It is a pure function of its arguments.
 func Place(r PlaceRequest, view *membership.View) Placement {
 	region := view.Self.Region
-	terms, ok := r.Contract.Terms(region)
+	terms, ok := r.Contract.LimitsIn(region)
 	if !ok {
 		return placeOutsideContract(r, view)
 	}
@@ -78,10 +78,10 @@
 // the call was forwarded before.
 func placeOutsideContract(r PlaceRequest, view *membership.View) Placement {
 	refusal := result.Refuse(result.WrongRegion, "the contract of workspace %s does not allow region %s", r.Contract.Workspace, view.Self.Region)
-	if r.Contract.Bound || r.Forwarded {
+	if r.Contract.HomeOnly || r.Forwarded {
 		return refusedPlacement(refusal)
 	}
-	vms := view.EntriesIn(r.Contract.Home, r.Contract.Workspace)
+	vms := view.VMsByRank(r.Contract.Home, r.Contract.Workspace)
 	if len(vms) == 0 {
 		return refusedPlacement(refusal)
 	}
@@ -97,14 +97,14 @@
 	if refusal != nil {
 		return refusedPlacement(refusal)
 	}
-	vm, ok := view.Executor(t.VM, t.Incarnation)
+	vm, ok := view.TicketExecutor(t.VM, t.Incarnation)
 	if !ok {
 		return refusedPlacement(result.Refuse(result.ExecutorGone, "the executor %s of the ticket is gone", t.VM))
 	}
 	if vm.ID == view.Self.ID {
 		return here
 	}
-	if _, allowed := r.Contract.Terms(vm.Region); !allowed {
+	if _, allowed := r.Contract.LimitsIn(vm.Region); !allowed {
 		return refusedPlacement(result.Refuse(result.TicketInvalid, "the ticket's executor is in a region that the contract does not allow"))
 	}
 	return Placement{
@@ -123,8 +123,8 @@
 // placeEntry serves the call here if this VM is one of the workspace's entry VMs, and
 // forwards it to the owner otherwise.
 func placeEntry(r PlaceRequest, view *membership.View, here Placement) Placement {
-	vms := view.Entries(r.Contract.Workspace)
-	entryCount := entry.Spread(here.Terms.Region, len(vms))
+	vms := view.OwnersByRank(r.Contract.Workspace)
+	entryCount := entry.EntryVMCount(here.Terms.Region, len(vms))
 	isSelf := func(vm fleet.VM) bool { return vm.ID == view.Self.ID }
 	if len(vms) == 0 || slices.ContainsFunc(vms[:min(entryCount, len(vms))], isSelf) {
 		return here
--- a/serving/placement_test.go
+++ b/serving/placement_test.go
@@ -127,8 +127,8 @@
 	c := &contract.Contract{
 		Workspace: workspace,
 		Home:      region,
-		Bound:     bound,
-		Regions: []contract.RegionTerms{
+		HomeOnly:  bound,
+		Regions: []contract.RegionLimits{
 			{
 				Region:            region,
 				RequestsPerSecond: homeRequestsPerSecond,
@@ -136,7 +136,7 @@
 		},
 	}
 	if listsElsewhere {
-		c.Regions = append(c.Regions, contract.RegionTerms{
+		c.Regions = append(c.Regions, contract.RegionLimits{
 			Region: otherRegion,
 		})
 	}
@@ -156,7 +156,7 @@
 	s.SetReady(true, testTime)
 	for _, rank := range reaches {
 		for range 2 {
-			s.Heard(membership.Beat{
+			s.HandleBeat(membership.Beat{
 				VM:          rankedHomeVMs()[rank].ID,
 				Incarnation: peerIncarnation,
 				Region:      region,
--- a/serving/quarantine.go
+++ b/serving/quarantine.go
@@ -13,13 +13,13 @@
 // It is called on arrival, before each attempt, and right before the first byte, as
 // the content may be quarantined while the call waits.
 func (s *Server) checkQuarantine(c *call.Call) *result.Refusal {
-	if c.Trial {
+	if c.QuarantineTrial {
 		return nil
 	}
-	refusal, trial := s.options.Crashes.Admit(c.Content)
+	refusal, trial := s.options.Quarantine.Admit(c.ContentDigest)
 	if trial {
-		c.Trial = true
-		c.Trail.Fail("call_tried", contentAttr(c), slog.String("service", c.Target()))
+		c.QuarantineTrial = true
+		c.Log.Fail("call_tried", contentAttr(c), slog.String("service", c.Target()))
 	}
 	return refusal
 }
@@ -40,10 +40,10 @@
 func (s *Server) reportToQuarantine(c *call.Call, e fleet.Endpoint, out endpoint.Outcome) {
 	switch {
 	case out.Code == result.Done:
-		s.options.Crashes.EndedWell(c.Content)
-	case !out.Sent || out.CallerGone || out.Held != nil:
+		s.options.Quarantine.Succeeded(c.ContentDigest)
+	case !out.Sent || out.CallerDisconnected || out.ErrorResponse != nil:
 	case out.Code == result.EndpointCut || out.Code == result.EndpointFailed:
-		c.Trial = false
-		s.options.Crashes.Cut(c.Content, e, out.FirstAt)
+		c.QuarantineTrial = false
+		s.options.Quarantine.ConnectionLost(c.ContentDigest, e, out.FirstByteAt)
 	}
 }
--- a/serving/quarantine_test.go
+++ b/serving/quarantine_test.go
@@ -54,10 +54,10 @@
 				VM:       "a",
 				Pool:     poolOf(2, server.Listener.Addr().String()),
 				Endpoint: endpoint.New(endpoint.Options{}),
-				Budget:   budgetOf(retry.New(1)),
-				Ring:     timeline.New(timeline.Options{Capacity: 16, Now: time.Now}),
+				Budget:   budgetOf(retry.NewBudget(1)),
+				Timeline: timeline.New(timeline.Options{Capacity: 16, Now: time.Now}),
 				Metrics:  metrics.New(),
-				Crashes: Crashes{
+				Quarantine: Quarantine{
 					Admit: func(uint64) (*result.Refusal, bool) {
 						next := admits[0]
 						admits = admits[1:]
@@ -66,8 +66,8 @@
 						}
 						return nil, next == "trial"
 					},
-					Cut:       func(uint64, fleet.Endpoint, time.Time) { reported = append(reported, "cut") },
-					EndedWell: func(uint64) { reported = append(reported, "ended_well") },
+					ConnectionLost: func(uint64, fleet.Endpoint, time.Time) { reported = append(reported, "cut") },
+					Succeeded:      func(uint64) { reported = append(reported, "ended_well") },
 				},
 			})
 			out := s.sendWithRetries(t.Context(), &call.Call{
@@ -77,7 +77,7 @@
 				Method:     http.MethodGet,
 				Path:       "/look",
 				Idempotent: true,
-				WholeBy:    time.Now().Add(time.Minute),
+				Deadline:   time.Now().Add(time.Minute),
 			}, call.Sink{
 				Head:  func(int, http.Header) error { return nil },
 				Chunk: func([]byte) error { return nil },
@@ -95,11 +95,11 @@
 func TestHeldAtArrival(t *testing.T) {
 	for _, forwarded := range []bool{false, true} {
 		s := New(Options{
-			Now:     time.Now,
-			VM:      "a",
-			Ring:    timeline.New(timeline.Options{Capacity: 16, Now: time.Now}),
-			Metrics: metrics.New(),
-			Crashes: Crashes{
+			Now:      time.Now,
+			VM:       "a",
+			Timeline: timeline.New(timeline.Options{Capacity: 16, Now: time.Now}),
+			Metrics:  metrics.New(),
+			Quarantine: Quarantine{
 				Admit: func(uint64) (*result.Refusal, bool) { return result.Refuse(result.Quarantined, "held"), false },
 			},
 		})
--- a/serving/routed.go
+++ b/serving/routed.go
@@ -14,7 +14,7 @@
 // region. A forwarded call is served here only.
 func (s *Server) serveRouted(ctx context.Context, c *call.Call, sink call.Sink) call.Outcome {
 	if r := s.refuseIfStopping(); r != nil {
-		return call.Refused(r.Until(s.options.Now().Add(defaultRetryAfter)))
+		return call.Refused(r.WithRetryAt(s.options.Now().Add(defaultRetryAfter)))
 	}
 	if r := s.checkQuarantine(c); r != nil {
 		return call.Refused(r)
@@ -32,7 +32,7 @@
 	outcome := s.serveWithFailover(ctx, c, tracker)
 	outcome.LongestGap = tracker.longestGap
 	if outcome.Code.Class() == result.ClassNotRun {
-		s.options.Limits.GiveBack(c)
+		s.options.Limits.Refund(c)
 	}
 	return outcome
 }
@@ -42,7 +42,7 @@
 	var tried []string
 	var outcome call.Outcome
 	var ambiguous ambiguity
-	for len(tried) < retry.PlacesPerCall {
+	for len(tried) < retry.MaxVMsPerCall {
 		vm, remote, refusal := s.options.PlaceRouted(ctx, c, tried)
 		if refusal != nil {
 			return refusedUnlessTried(outcome, tried, refusal)
@@ -56,10 +56,10 @@
 			outcome = s.forwardToRegion(ctx, c, vm, tracker.wrappedSink())
 		}
 		tried = append(tried, vm.ID)
-		attemptsLeft := tracker.placeResult(c, outcome).RunsLeft(c.Routed.MaxAttempts)
+		attemptsLeft := tracker.placeResult(c, outcome).RemainingRuns(c.Routed.MaxAttempts)
 		outcome = ambiguous.resolve(outcome)
 		current := tracker.placeResult(c, outcome)
-		if ctx.Err() != nil || attemptsLeft < 1 || !current.MayMove() {
+		if ctx.Err() != nil || attemptsLeft < 1 || !current.MayForwardElsewhere() {
 			return outcome
 		}
 		c = tracker.nextCall(c, current, attemptsLeft)
@@ -101,6 +101,6 @@
 		Detail: vm.Region,
 	})
 	traceOverflow(c, vm)
-	s.options.Metrics.SentAway(vm.Region)
+	s.options.Metrics.CountCrossRegionCall(vm.Region)
 	return s.options.Forward(ctx, vm, c, sink)
 }
--- a/serving/routed_test.go
+++ b/serving/routed_test.go
@@ -63,16 +63,16 @@
 					place := c.Places[len(sent)]
 					sent = append(sent, vm.ID)
 					assert.Equal(t, sentCall.Routed.ResumeAfter, place.WantResume)
-					assert.Equal(t, sentCall.Routed.Repeated, place.WantRepeated)
+					assert.Equal(t, sentCall.Routed.Retry, place.WantRepeated)
 					if place.WantAttempts > 0 {
 						assert.Equal(t, sentCall.Routed.MaxAttempts, place.WantAttempts)
 					}
 					out := place.serve(sink)
-					out.Ran = place.Ran
+					out.EndpointsRun = place.Ran
 					return out
 				},
-				Ring:    timeline.New(timeline.Options{Capacity: 16, Now: time.Now}),
-				Metrics: metrics.New(),
+				Timeline: timeline.New(timeline.Options{Capacity: 16, Now: time.Now}),
+				Metrics:  metrics.New(),
 			})
 			var got strings.Builder
 			heads := 0
@@ -101,7 +101,7 @@
 		Service:    "s",
 		Stream:     true,
 		Idempotent: c.Idempotent,
-		WholeBy:    time.Now().Add(time.Minute),
+		Deadline:   time.Now().Add(time.Minute),
 		Routed: &call.Routed{
 			Resumable:   c.Resumable,
 			MaxAttempts: 2,
@@ -116,10 +116,10 @@
 	}
 	if p.Events > 0 {
 		if err := sink.Head(status, http.Header{}); err != nil {
-			return call.Refused(result.Refuse(result.PeerLost, "the caller has gone").Because(err))
+			return call.Refused(result.Refuse(result.PeerLost, "the caller has gone").WithCause(err))
 		}
 		if err := sink.Chunk([]byte(eventsText(p.From, p.Events))); err != nil {
-			return call.Refused(result.Refuse(result.PeerLost, "the caller has gone").Because(err))
+			return call.Refused(result.Refuse(result.PeerLost, "the caller has gone").WithCause(err))
 		}
 	}
 	if p.Code.Class() == result.ClassDone {
@@ -140,15 +140,15 @@
 // when the retry budget is exhausted.
 func TestSpentBudget(t *testing.T) {
 	s := New(Options{
-		Now:     time.Now,
-		VM:      "a",
-		Budget:  Budget{Allow: func(string) bool { return false }},
-		Ring:    timeline.New(timeline.Options{Capacity: 16, Now: time.Now}),
-		Metrics: metrics.New(),
+		Now:      time.Now,
+		VM:       "a",
+		Budget:   Budget{Allow: func(string) bool { return false }},
+		Timeline: timeline.New(timeline.Options{Capacity: 16, Now: time.Now}),
+		Metrics:  metrics.New(),
 	})
 	c := routedTestCall(routedCase{Idempotent: true})
 	c.Forwarded = true
-	c.Routed.Repeated = true
+	c.Routed.Retry = true
 	out := s.Serve(t.Context(), c, Placement{Kind: PlaceHere}, call.Sink{})
 	assert.Equal(t, out.Code, result.RetryBudget)
 	assert.Assert(t, out.Refusal != nil)
--- a/serving/run.go
+++ b/serving/run.go
@@ -47,7 +47,7 @@
 		return
 	}
 	used := Cost(c, outcome.Usage, s.options.Snapshot())
-	s.options.Metrics.Spent(used.Spend)
+	s.options.Metrics.AddSpend(used.Spend)
 	s.options.Ledger.Settle(reservation, used, now)
 }
 
@@ -70,8 +70,8 @@
 func (s *Server) sendWithRetries(ctx context.Context, c *call.Call, sink call.Sink, beforeSend beforeSendFunc) call.Outcome {
 	var p progress
 	if !s.countFirstAttempt(c) {
-		c.Trail.Fail("repeat_refused", slog.String("service", c.Target()))
-		return call.Refused(result.Refuse(result.RetryBudget, "the retry budget is spent").Until(s.options.Now().Add(defaultRetryAfter)))
+		c.Log.Fail("repeat_refused", slog.String("service", c.Target()))
+		return call.Refused(result.Refuse(result.RetryBudget, "the retry budget is spent").WithRetryAt(s.options.Now().Add(defaultRetryAfter)))
 	}
 	for {
 		if refusal := s.attemptOnce(ctx, c, sink, beforeSend, &p); refusal != nil {
@@ -81,7 +81,7 @@
 			return s.finish(&p, sink, p.outcome)
 		}
 		if p.lastAttempt.Sent && !s.options.Budget.Allow(c.Target()) {
-			c.Trail.Fail("repeat_refused", slog.String("service", c.Target()))
+			c.Log.Fail("repeat_refused", slog.String("service", c.Target()))
 			return s.finish(&p, sink, p.outcomeOnBudgetExhausted())
 		}
 		s.options.Metrics.Retried()
@@ -92,7 +92,7 @@
 // another VM sent the call to an endpoint before, it is a retry, which the budget
 // may refuse.
 func (s *Server) countFirstAttempt(c *call.Call) bool {
-	if c.Routed != nil && c.Routed.Repeated {
+	if c.Routed != nil && c.Routed.Retry {
 		return s.options.Budget.Allow(c.Target())
 	}
 	s.options.Budget.OnRequest(c.Target())
@@ -101,8 +101,8 @@
 
 // finish passes the endpoint's own error response on if no retry follows.
 func (s *Server) finish(p *progress, sink call.Sink, o call.Outcome) call.Outcome {
-	o.Ran = p.history.Ran()
-	held := p.lastAttempt.Held
+	o.EndpointsRun = p.history.MayHaveRun()
+	held := p.lastAttempt.ErrorResponse
 	if held == nil || o.Code.Class() == result.ClassDone || p.delivered > 0 {
 		return o
 	}
@@ -136,11 +136,11 @@
 		Endpoint: chosen,
 	})
 	attempt := s.newAttempt(c, slot, permit, beforeSend, p)
-	attempt.Began = func() {
-		pool.Endpoints.Began(slot.Choice, s.options.Now())
+	attempt.OnFirstByte = func() {
+		pool.Endpoints.FirstToken(slot.Choice, s.options.Now())
 	}
-	attempt.Paced = func(gap time.Duration, tokens int) {
-		pool.Endpoints.Paced(slot.Choice, gap, tokens, s.options.Now())
+	attempt.OnEventGap = func(gap time.Duration, tokens int) {
+		pool.Endpoints.StreamProgress(slot.Choice, gap, tokens, s.options.Now())
 	}
 	out := s.options.Endpoint.Send(ctx, attempt, endpoint.Sink(sink))
 	pool.Queue.Release(slot, routingOutcome(out, slot.Choice), s.options.Now())
@@ -161,7 +161,7 @@
 
 func (s *Server) newAttempt(c *call.Call, slot admission.Slot, permit *throttle.Permit, beforeSend beforeSendFunc, p *progress) endpoint.Attempt {
 	checkedBeforeSend := s.withQuarantineCheck(c, func() error {
-		if err := s.options.Throttle.Sending(slot.Choice.Endpoint, permit, p.attemptKind(c)); err != nil {
+		if err := s.options.Throttle.UsePermit(slot.Choice.Endpoint, permit, p.attemptKind(c)); err != nil {
 			return err
 		}
 		if beforeSend == nil {
@@ -174,12 +174,12 @@
 	}
 	n := s.attempts.Add(1)
 	return endpoint.Attempt{
-		ID:         c.ID + "." + s.options.VM + "." + strconv.FormatUint(n, attemptIDBase),
-		AnswerID:   c.ID,
-		Endpoint:   slot.Choice.Endpoint,
-		Call:       c,
-		ResumeFrom: p.delivered,
-		Sending:    checkedBeforeSend,
+		ID:               c.ID + "." + s.options.VM + "." + strconv.FormatUint(n, attemptIDBase),
+		CallerResponseID: c.ID,
+		Endpoint:         slot.Choice.Endpoint,
+		Call:             c,
+		ResumeFrom:       p.delivered,
+		BeforeSend:       checkedBeforeSend,
 	}
 }
 
@@ -193,8 +193,8 @@
 		Call:        c,
 		ResumeAfter: p.lastEventID,
 		FetchFrom:   slot.Choice.FetchFrom,
-		Rated:       func(r fleet.Rate) { s.options.Throttle.Answered(e, r, startedAt) },
-		Sending:     beforeSend,
+		OnRateLimit: func(r fleet.Rate) { s.options.Throttle.ObserveRate(e, r, startedAt) },
+		BeforeSend:  beforeSend,
 	}
 }
 
@@ -210,7 +210,7 @@
 }
 
 func (s *Server) shouldRetry(c *call.Call, p *progress) bool {
-	if p.lastAttempt.CallerGone {
+	if p.lastAttempt.CallerDisconnected {
 		return false
 	}
 	a := retry.Attempt{
@@ -220,10 +220,10 @@
 		Delivered:  p.delivered > 0,
 		Resumable:  p.lastAttempt.Resumable,
 		Attempts:   p.history.Attempts,
-		WholeBy:    c.WholeBy,
+		WholeBy:    c.Deadline,
 	}
 	if c.Kind == call.KindRouted {
-		a.Attempts, a.MaxAttempts = p.history.Routed(c.Routed.MaxAttempts)
+		a.Attempts, a.MaxAttempts = p.history.AttemptsAndLimit(c.Routed.MaxAttempts)
 	}
 	verdict := s.decide(a, s.options.Now())
 	traceVerdict(c, a, verdict)
@@ -232,20 +232,20 @@
 
 func (p *progress) admissionRequest(c *call.Call) admission.Request {
 	r := admission.Request{
-		Priority:     c.Priority,
-		FirstBy:      c.FirstBy,
-		WholeBy:      c.WholeBy,
-		PrefixHash:   c.PrefixHash,
-		PromptTokens: c.PromptTokens,
-		MaxTokens:    c.MaxTokens,
-		Turn:         int(c.Priority),
-		Exclude:      p.excluded,
-		Again:        p.lastAttempt.Held != nil,
+		Priority:           c.Priority,
+		FirstTokenDeadline: c.FirstTokenDeadline,
+		Deadline:           c.Deadline,
+		PrefixHash:         c.PrefixHash,
+		PromptTokens:       c.PromptTokens,
+		MaxTokens:          c.MaxTokens,
+		QueueLevel:         int(c.Priority),
+		Exclude:            p.excluded,
+		AllowExcluded:      p.lastAttempt.ErrorResponse != nil,
 	}
 	if c.Routed != nil {
-		r.Prefixes = routing.Prefixes(c.Workspace, c.Routed.Parts)
+		r.Prefixes = routing.Prefixes(c.Workspace, c.Routed.PromptParts)
 		r.Homes = c.Routed.Homes
-		r.Turn = c.Routed.Turn()
+		r.QueueLevel = c.Routed.QueueLevel()
 	}
 	return r
 }
@@ -254,7 +254,7 @@
 func (p *progress) addAttempt(out endpoint.Outcome, endpointID string) {
 	p.lastAttempt = out
 	p.excluded[p.history.Attempts%len(p.excluded)] = endpointID
-	p.history.Take(out.Code, out.Sent)
+	p.history.Record(out.Code, out.Sent)
 	p.delivered += out.Delivered
 	if out.LastEvent != "" {
 		p.lastEventID = out.LastEvent
@@ -263,15 +263,15 @@
 	usage.PromptTokens += out.Usage.PromptTokens
 	usage.CachedTokens += out.Usage.CachedTokens
 	usage.GeneratedTokens += out.Usage.GeneratedTokens
-	firstAt := p.outcome.FirstAt
+	firstAt := p.outcome.FirstChunkAt
 	if firstAt.IsZero() {
-		firstAt = out.FirstAt
+		firstAt = out.FirstByteAt
 	}
 	p.outcome = call.Outcome{
-		Code:     out.Code,
-		Usage:    usage,
-		FirstAt:  firstAt,
-		Endpoint: endpointID,
+		Code:         out.Code,
+		Usage:        usage,
+		FirstChunkAt: firstAt,
+		Endpoint:     endpointID,
 	}
 	p.setRefusal()
 }
@@ -281,18 +281,18 @@
 	if p.lastAttempt.Code.Class() == result.ClassDone {
 		return
 	}
-	code := p.history.Code(p.lastAttempt.Code)
+	code := p.history.FinalCode(p.lastAttempt.Code)
 	p.outcome.Code = code
 	p.outcome.Refusal = refusalOf(code, p.lastAttempt)
 }
 
 func refusalOf(code result.Code, out endpoint.Outcome) *result.Refusal {
 	info, _ := result.Lookup(code)
-	refusal := result.Of(out.Err, code)
+	refusal := result.FromError(out.Err, code)
 	if refusal.Code != code {
-		refusal = result.Refuse(code, "%s", info.Meaning).Because(out.Err)
+		refusal = result.Refuse(code, "%s", info.Meaning).WithCause(out.Err)
 	}
-	return refusal.Until(out.ComeBackAt)
+	return refusal.WithRetryAt(out.RetryAt)
 }
 
 // outcomeOnRefusal returns the refusal, unless an earlier attempt may have run.
@@ -312,7 +312,7 @@
 	if p.outcome.Code.Class() != result.ClassNotRun {
 		return p.outcome
 	}
-	return call.Refused(result.Refuse(result.RetryBudget, "the endpoint refused and the retry budget is spent").Until(p.lastAttempt.ComeBackAt))
+	return call.Refused(result.Refuse(result.RetryBudget, "the endpoint refused and the retry budget is spent").WithRetryAt(p.lastAttempt.RetryAt))
 }
 
 // routingOutcome converts an attempt's outcome into routing's feedback. Endpoints of
@@ -320,14 +320,14 @@
 func routingOutcome(out endpoint.Outcome, chosen routing.Choice) routing.Outcome {
 	usage := out.Usage
 	if usage.PromptTokens > 0 && usage.CachedTokens == 0 {
-		usage.CachedTokens = min(chosen.Cached, usage.PromptTokens)
+		usage.CachedTokens = min(chosen.CachedTokens, usage.PromptTokens)
 	}
 	return routing.Outcome{
-		Code:     out.Code,
-		Usage:    usage,
-		Sent:     out.Sent,
-		Canceled: out.CallerGone,
-		Answered: out.Held != nil,
-		FirstAt:  out.FirstAt,
+		Code:          out.Code,
+		Usage:         usage,
+		Sent:          out.Sent,
+		Canceled:      out.CallerDisconnected,
+		EndpointError: out.ErrorResponse != nil,
+		FirstAt:       out.FirstByteAt,
 	}
 }
--- a/serving/serving.go
+++ b/serving/serving.go
@@ -38,36 +38,36 @@
 	Allow func(target string) bool
 }
 
-// Crashes quarantines calls whose content repeatedly crashed endpoints.
-type Crashes struct {
+// Quarantine quarantines calls whose content repeatedly crashed endpoints.
+type Quarantine struct {
 	// Admit refuses content that is quarantined; trial is set when the call is let
 	// through to test whether it still crashes endpoints.
 	Admit func(content uint64) (refusal *result.Refusal, trial bool)
-	// Cut reports that the connection to an endpoint broke during an attempt, and
+	// ConnectionLost reports that the connection to an endpoint broke during an attempt, and
 	// when the response began (zero if it did not).
-	Cut func(content uint64, e fleet.Endpoint, firstAt time.Time)
-	// EndedWell reports that an endpoint completed a call with this content.
-	EndedWell func(content uint64)
+	ConnectionLost func(content uint64, e fleet.Endpoint, firstAt time.Time)
+	// Succeeded reports that an endpoint completed a call with this content.
+	Succeeded func(content uint64)
 }
 
 // noQuarantine admits every call.
-var noQuarantine = Crashes{
-	Admit:     func(uint64) (*result.Refusal, bool) { return nil, false },
-	Cut:       func(uint64, fleet.Endpoint, time.Time) {},
-	EndedWell: func(uint64) {},
+var noQuarantine = Quarantine{
+	Admit:          func(uint64) (*result.Refusal, bool) { return nil, false },
+	ConnectionLost: func(uint64, fleet.Endpoint, time.Time) {},
+	Succeeded:      func(uint64) {},
 }
 
 // Limits charges routed calls against the limits of their workspaces.
 type Limits struct {
 	Take func(ctx context.Context, c *call.Call) *result.Refusal
-	// GiveBack refunds the charge of a call that certainly did not run.
-	GiveBack func(c *call.Call)
+	// Refund refunds the charge of a call that certainly did not run.
+	Refund func(c *call.Call)
 }
 
 // noLimits admits every call without a charge.
 var noLimits = Limits{
-	Take:     func(context.Context, *call.Call) *result.Refusal { return nil },
-	GiveBack: func(*call.Call) {},
+	Take:   func(context.Context, *call.Call) *result.Refusal { return nil },
+	Refund: func(*call.Call) {},
 }
 
 // PlaceRouted chooses where a routed call is served: on vm in another region if
@@ -90,24 +90,24 @@
 	Forward func(ctx context.Context, vm fleet.VM, c *call.Call, sink call.Sink) call.Outcome
 	// Lease requests part of a workspace's limits from the VM that owns them.
 	Lease func(ctx context.Context, owner fleet.VM, workspace string, want, unused limit.Amounts) (Lease, *result.Refusal)
-	// Borrow chooses a VM in a region with spare capacity; it returns false if there is none.
-	Borrow func(c *call.Call, terms Terms) (fleet.VM, bool)
-	// Accept admits a call from another region to this region's spare capacity; done
+	// ChooseOverflow chooses a VM in a region with spare capacity; it returns false if there is none.
+	ChooseOverflow func(c *call.Call, terms Terms) (fleet.VM, bool)
+	// AcceptOverflow admits a call from another region to this region's spare capacity; done
 	// must be called once the call has ended.
-	Accept func(c *call.Call) (done func(), refusal *result.Refusal)
+	AcceptOverflow func(c *call.Call) (done func(), refusal *result.Refusal)
 	// PlaceRouted is required for routed calls only.
 	PlaceRouted PlaceRouted
 
 	Ledger   *limit.Ledger
-	Desk     *ticket.Desk
+	Tickets  *ticket.Registry
 	Endpoint *endpoint.Client
 	Budget   Budget
-	// Crashes, Limits and Throttle are optional.
-	Crashes  Crashes
-	Limits   Limits
-	Throttle Throttle
-	Ring     *timeline.Ring
-	Metrics  *metrics.Metrics
+	// Quarantine, Limits and Throttle are optional.
+	Quarantine Quarantine
+	Limits     Limits
+	Throttle   Throttle
+	Timeline   *timeline.Ring
+	Metrics    *metrics.Metrics
 }
 
 // Lease is a part of a workspace's limits, valid until it expires.
@@ -130,8 +130,8 @@
 
 // New creates a Server.
 func New(o Options) *Server {
-	if o.Crashes.Admit == nil {
-		o.Crashes = noQuarantine
+	if o.Quarantine.Admit == nil {
+		o.Quarantine = noQuarantine
 	}
 	if o.Limits.Take == nil {
 		o.Limits = noLimits
@@ -141,7 +141,7 @@
 	}
 	return &Server{
 		options:  o,
-		markSent: (*ticket.Entry).Sending,
+		markSent: (*ticket.Entry).MarkSent,
 		decide:   retry.Decide,
 	}
 }
@@ -165,7 +165,7 @@
 		Detail: c.Target() + " " + c.Priority.String(),
 	})
 	arrivedAt := s.options.Now()
-	c.Content = c.ContentHash()
+	c.ContentDigest = c.ContentHash()
 	traceArrival(c, arrivedAt)
 	outcome := s.dispatch(ctx, c, place, sink)
 	s.recordOutcome(c, outcome, arrivedAt)
@@ -192,7 +192,7 @@
 	if c.Kind == call.KindRouted {
 		return s.serveRouted(ctx, c, sink)
 	}
-	if c.Origin != "" {
+	if c.ChargedRegion != "" {
 		return s.serveBorrowed(ctx, c, sink)
 	}
 	if c.Idempotent {
@@ -245,7 +245,7 @@
 	if c.Idempotent || c.Ticket == "" {
 		return call.Refused(r)
 	}
-	return call.Refused(result.Refuse(result.ExecutorGone, "VM %s did not look at the ticket", vm.ID).Because(r))
+	return call.Refused(result.Refuse(result.ExecutorGone, "VM %s did not look at the ticket", vm.ID).WithCause(r))
 }
 
 // serveBorrowed serves a call from another region, where it was already charged.
@@ -253,7 +253,7 @@
 	if r := s.refuseIfStopping(); r != nil {
 		return call.Refused(r)
 	}
-	done, r := s.options.Accept(c)
+	done, r := s.options.AcceptOverflow(c)
 	if r != nil {
 		return call.Refused(r)
 	}
@@ -277,5 +277,5 @@
 	e.Kind = kind
 	e.Request = c.ID
 	e.Workspace = c.Workspace
-	s.options.Ring.Add(e)
+	s.options.Timeline.Add(e)
 }
--- a/serving/serving_test.go
+++ b/serving/serving_test.go
@@ -29,7 +29,7 @@
 			s := New(Options{
 				Now:     time.Now,
 				Metrics: metrics.New(),
-				Ring: timeline.New(timeline.Options{
+				Timeline: timeline.New(timeline.Options{
 					Capacity: 8,
 					Now:      time.Now,
 				}),
--- a/serving/throttle.go
+++ b/serving/throttle.go
@@ -17,13 +17,13 @@
 	// Take returns a permit for one request to an endpoint, or nil and when the endpoint
 	// accepts the next request.
 	Take func(ctx context.Context, e fleet.Endpoint) (permit *throttle.Permit, opensAt time.Time)
-	// Sending consumes a permit right before the first byte of the request is sent.
-	Sending func(e fleet.Endpoint, permit *throttle.Permit, way throttle.Way) error
-	// Answered reports the rate limit in a response, and when its request was sent.
-	Answered func(e fleet.Endpoint, r fleet.Rate, sentAt time.Time)
-	// ComeBackAt returns the retry-after time for a caller when all endpoints of a target
+	// UsePermit consumes a permit right before the first byte of the request is sent.
+	UsePermit func(e fleet.Endpoint, permit *throttle.Permit, way throttle.RequestKind) error
+	// ObserveRate reports the rate limit in a response, and when its request was sent.
+	ObserveRate func(e fleet.Endpoint, r fleet.Rate, sentAt time.Time)
+	// CallerRetryAt returns the retry-after time for a caller when all endpoints of a target
 	// are closed; opensAt is when the first of them opens.
-	ComeBackAt func(target string, endpointIDs []string, opensAt time.Time) time.Time
+	CallerRetryAt func(target string, endpointIDs []string, opensAt time.Time) time.Time
 }
 
 // noThrottle permits every request.
@@ -31,9 +31,9 @@
 	Take: func(context.Context, fleet.Endpoint) (*throttle.Permit, time.Time) {
 		return &throttle.Permit{}, time.Time{}
 	},
-	Sending:    func(fleet.Endpoint, *throttle.Permit, throttle.Way) error { return nil },
-	Answered:   func(fleet.Endpoint, fleet.Rate, time.Time) {},
-	ComeBackAt: func(_ string, _ []string, opensAt time.Time) time.Time { return opensAt },
+	UsePermit:     func(fleet.Endpoint, *throttle.Permit, throttle.RequestKind) error { return nil },
+	ObserveRate:   func(fleet.Endpoint, fleet.Rate, time.Time) {},
+	CallerRetryAt: func(_ string, _ []string, opensAt time.Time) time.Time { return opensAt },
 }
 
 const (
@@ -55,7 +55,7 @@
 	for range maxEndpointChoices {
 		slot, refusal := pool.Queue.Admit(ctx, r, s.options.Now())
 		if refusal != nil {
-			return slot, nil, s.UntilOpen(c, pool, refusal)
+			return slot, nil, s.RateLimitRefusal(c, pool, refusal)
 		}
 		e := slot.Choice.Endpoint
 		permit, opensAt := s.options.Throttle.Take(permitCtx, e)
@@ -67,33 +67,33 @@
 		if earliest := now.Add(minClosedDuration); opensAt.Before(earliest) {
 			opensAt = earliest
 		}
-		pool.Endpoints.CloseUntil(e.ID, opensAt)
+		pool.Endpoints.PauseUntil(e.ID, opensAt)
 		pool.Queue.Release(slot, routing.Outcome{Canceled: true}, now)
 		traceEndpointClosed(c, e, opensAt.Sub(now))
 	}
-	return admission.Slot{}, nil, s.UntilOpen(c, pool, result.Refuse(result.NoEndpoint, "no endpoint of %s takes a request now", c.Target()))
+	return admission.Slot{}, nil, s.RateLimitRefusal(c, pool, result.Refuse(result.NoEndpoint, "no endpoint of %s takes a request now", c.Target()))
 }
 
-// UntilOpen converts a NoEndpoint refusal into LimitEndpoint with a retry-after time if
+// RateLimitRefusal converts a NoEndpoint refusal into LimitEndpoint with a retry-after time if
 // endpoints are closed by their rate limits. Other refusals are returned unchanged.
-func (s *Server) UntilOpen(c *call.Call, pool *Pool, refusal *result.Refusal) *result.Refusal {
+func (s *Server) RateLimitRefusal(c *call.Call, pool *Pool, refusal *result.Refusal) *result.Refusal {
 	if refusal.Code != result.NoEndpoint {
 		return refusal
 	}
-	ids, opensAt := pool.Endpoints.Closed(s.options.Now())
+	ids, opensAt := pool.Endpoints.Paused(s.options.Now())
 	if len(ids) == 0 {
 		return refusal
 	}
 	refusal = result.Refuse(result.LimitEndpoint, "%d endpoints of %s have named limits and take no request now", len(ids), c.Target())
-	return refusal.Until(s.options.Throttle.ComeBackAt(c.Target(), ids, opensAt))
+	return refusal.WithRetryAt(s.options.Throttle.CallerRetryAt(c.Target(), ids, opensAt))
 }
 
 // attemptKind classifies the next attempt for the throttle.
-func (p *progress) attemptKind(c *call.Call) throttle.Way {
+func (p *progress) attemptKind(c *call.Call) throttle.RequestKind {
 	switch {
 	case p.delivered > 0 || (c.Routed != nil && c.Routed.ResumeAfter != ""):
 		return throttle.WayResumed
-	case p.history.Attempts > 0 || (c.Routed != nil && c.Routed.Repeated):
+	case p.history.Attempts > 0 || (c.Routed != nil && c.Routed.Retry):
 		return throttle.WayRepeat
 	case c.Forwarded:
 		return throttle.WayForwarded
--- a/serving/throttle_test.go
+++ b/serving/throttle_test.go
@@ -67,7 +67,7 @@
 		VM:       "a",
 		Pool:     poolOf(len(c.Takes), server.Listener.Addr().String()),
 		Endpoint: endpoint.New(endpoint.Options{}),
-		Budget:   budgetOf(retry.New(1)),
+		Budget:   budgetOf(retry.NewBudget(1)),
 		Throttle: Throttle{
 			Take: func(context.Context, fleet.Endpoint) (*throttle.Permit, time.Time) {
 				take := takes[0]
@@ -81,20 +81,20 @@
 					return &throttle.Permit{Until: opensAt}, time.Time{}
 				}
 			},
-			Sending: func(_ fleet.Endpoint, p *throttle.Permit, way throttle.Way) error {
+			UsePermit: func(_ fleet.Endpoint, p *throttle.Permit, way throttle.RequestKind) error {
 				if p == late {
 					return result.Refuse(result.LimitEndpoint, "too late")
 				}
 				ways = append(ways, string(way))
 				return nil
 			},
-			ComeBackAt: func(_ string, ids []string, at time.Time) time.Time {
+			CallerRetryAt: func(_ string, ids []string, at time.Time) time.Time {
 				assert.Assert(t, len(ids) > 0)
 				return at
 			},
 		},
-		Ring:    timeline.New(timeline.Options{Capacity: 16, Now: time.Now}),
-		Metrics: metrics.New(),
+		Timeline: timeline.New(timeline.Options{Capacity: 16, Now: time.Now}),
+		Metrics:  metrics.New(),
 	})
 	out := s.sendWithRetries(t.Context(), &call.Call{
 		ID:         "x",
@@ -103,7 +103,7 @@
 		Method:     http.MethodGet,
 		Path:       "/",
 		Idempotent: true,
-		WholeBy:    time.Now().Add(time.Minute),
+		Deadline:   time.Now().Add(time.Minute),
 	}, call.Sink{
 		Head:  func(int, http.Header) error { return nil },
 		Chunk: func([]byte) error { return nil },
@@ -115,7 +115,7 @@
 	if c.ComesBack {
 		var refusal *result.Refusal
 		assert.Assert(t, errors.As(out.Refusal, &refusal))
-		assert.Equal(t, refusal.ComeBackAt, opensAt)
+		assert.Equal(t, refusal.RetryAt, opensAt)
 	}
 }
 
