--- a/serving/ticketed.go
+++ b/serving/ticketed.go
@@ -21,7 +21,7 @@
 		return call.Refused(result.Refuse(result.TicketRequired, "a non-idempotent call needs a ticket"))
 	}
 	for {
-		step := s.options.Desk.Begin(c.Ticket, c.Workspace, hashCall(c), s.options.Now())
+		step := s.options.Tickets.Begin(c.Ticket, c.Workspace, hashCall(c), s.options.Now())
 		switch step.Kind {
 		case ticket.Run:
 			return s.runTicket(ctx, c, terms, sink, step.Entry)
@@ -50,7 +50,7 @@
 // runTicket runs the call to completion even if the caller disconnects, so that a
 // repeated request with the same ticket finds the response.
 func (s *Server) runTicket(ctx context.Context, c *call.Call, terms Terms, sink call.Sink, e *ticket.Entry) call.Outcome {
-	ctx, cancel := clock.WithDeadline(context.WithoutCancel(ctx), s.options.Now(), c.WholeBy)
+	ctx, cancel := clock.WithDeadline(context.WithoutCancel(ctx), s.options.Now(), c.Deadline)
 	defer cancel()
 	defer e.Abandon()
 	var recorder answerRecorder
@@ -115,7 +115,7 @@
 		return call.Refused(result.Refuse(r.Code, "the ticket's call ended so: %s", r.Code))
 	}
 	if err := writeRecord(r, sink); err != nil {
-		return call.Refused(result.Refuse(result.PeerLost, "the caller has gone").Because(err))
+		return call.Refused(result.Refuse(result.PeerLost, "the caller has gone").WithCause(err))
 	}
 	return call.Outcome{
 		Code: result.Replayed,
--- a/serving/trace.go
+++ b/serving/trace.go
@@ -23,16 +23,16 @@
 	if c.Routed == nil {
 		return
 	}
-	c.Trail.Add("call_arrived",
+	c.Log.Add("call_arrived",
 		slog.String("service", c.Target()),
 		slog.String("route", c.Routed.Route),
 		slog.Uint64("version", c.Routed.Version),
 		slog.Int("rank", c.Routed.Rank),
 		slog.Bool("forwarded", c.Forwarded),
 		slog.Bool("idempotent", c.Idempotent),
-		milliseconds("first_in_ms", c.FirstBy.Sub(now)),
-		milliseconds("whole_in_ms", c.WholeBy.Sub(now)),
-		milliseconds("gap_ms", c.Routed.Gap),
+		milliseconds("first_in_ms", c.FirstTokenDeadline.Sub(now)),
+		milliseconds("whole_in_ms", c.Deadline.Sub(now)),
+		milliseconds("gap_ms", c.Routed.MaxEventGap),
 		slog.Int("prompt_tokens", c.PromptTokens),
 		slog.Int("max_tokens", c.MaxTokens),
 		contentAttr(c),
@@ -41,7 +41,7 @@
 
 // contentAttr returns the content hash, which is shared by retries under several ids.
 func contentAttr(c *call.Call) slog.Attr {
-	return slog.String("content", strconv.FormatUint(c.Content, contentHashBase))
+	return slog.String("content", strconv.FormatUint(c.ContentDigest, contentHashBase))
 }
 
 // contentHashBase is the numeric base of content hashes in log lines.
@@ -49,26 +49,26 @@
 
 func traceChoice(c *call.Call, slot admission.Slot, p *progress) {
 	choice := slot.Choice
-	c.Trail.Add("endpoint_chosen",
+	c.Log.Add("endpoint_chosen",
 		slog.String("endpoint", choice.Endpoint.ID),
 		slog.Int("attempt", p.history.Attempts+1),
-		milliseconds("expected_first_ms", choice.First),
-		milliseconds("expected_wait_ms", choice.Wait),
+		milliseconds("expected_first_ms", choice.TTFT),
+		milliseconds("expected_wait_ms", choice.QueueTime),
 		milliseconds("report_age_ms", choice.ReportAge),
-		slog.Int("cached_tokens", choice.Cached),
+		slog.Int("cached_tokens", choice.CachedTokens),
 		slog.String("fetch_from", choice.FetchFrom),
 		slog.Bool("probe", choice.Probe),
 	)
 }
 
 func traceAttempt(c *call.Call, p *progress) {
-	c.Trail.Fail("attempt_failed",
+	c.Log.Fail("attempt_failed",
 		slog.String("endpoint", p.outcome.Endpoint),
 		slog.Int("attempt", p.history.Attempts),
 		slog.Int("code", int(p.lastAttempt.Code)),
 		slog.Bool("sent", p.lastAttempt.Sent),
 		slog.Int("events", p.lastAttempt.Delivered),
-		slog.Bool("caller_gone", p.lastAttempt.CallerGone),
+		slog.Bool("caller_gone", p.lastAttempt.CallerDisconnected),
 		contentAttr(c),
 		slog.String("reason", errorText(p.lastAttempt.Err)),
 		slog.String("cause", causeOf(p.lastAttempt.Err)),
@@ -88,7 +88,7 @@
 }
 
 func traceVerdict(c *call.Call, a retry.Attempt, verdict retry.Verdict) {
-	c.Trail.Add("repeat_decided",
+	c.Log.Add("repeat_decided",
 		slog.String("verdict", string(verdict)),
 		slog.Int("attempts", a.Attempts),
 		slog.Int("most", a.MaxAttempts),
@@ -96,7 +96,7 @@
 }
 
 func traceOverflow(c *call.Call, vm fleet.VM) {
-	c.Trail.Add("call_sent_away",
+	c.Log.Add("call_sent_away",
 		slog.String("peer", vm.ID),
 		slog.String("region", vm.Region),
 		slog.String("after_event", c.Routed.ResumeAfter),
@@ -112,27 +112,27 @@
 		slog.String("endpoint", o.Endpoint),
 		milliseconds("took_ms", now.Sub(arrivedAt)),
 	}
-	if !o.FirstAt.IsZero() {
-		attrs = append(attrs, milliseconds("first_ms", o.FirstAt.Sub(arrivedAt)))
+	if !o.FirstChunkAt.IsZero() {
+		attrs = append(attrs, milliseconds("first_ms", o.FirstChunkAt.Sub(arrivedAt)))
 	}
 	if o.LongestGap > 0 {
 		attrs = append(attrs, milliseconds("pause_ms", o.LongestGap))
 	}
 	if o.Code == result.Done {
-		c.Trail.Add("call_ended", attrs...)
+		c.Log.Add("call_ended", attrs...)
 		return
 	}
 	if o.Refusal != nil {
 		attrs = append(attrs, slog.String("reason", o.Refusal.Message))
-		if !o.Refusal.ComeBackAt.IsZero() {
-			attrs = append(attrs, milliseconds("come_back_in_ms", o.Refusal.ComeBackAt.Sub(now)))
+		if !o.Refusal.RetryAt.IsZero() {
+			attrs = append(attrs, milliseconds("come_back_in_ms", o.Refusal.RetryAt.Sub(now)))
 		}
 	}
-	c.Trail.Fail("call_ended", attrs...)
+	c.Log.Fail("call_ended", attrs...)
 }
 
 func traceEndpointClosed(c *call.Call, e fleet.Endpoint, left time.Duration) {
-	c.Trail.Add("endpoint_closed",
+	c.Log.Add("endpoint_closed",
 		slog.String("endpoint", e.ID),
 		milliseconds("opens_in_ms", left),
 	)
--- a/settings/check.go
+++ b/settings/check.go
@@ -37,15 +37,15 @@
 	v.OneOf("/log_format", s.LogFormat, LogFormats)
 	v.OneOf("/log_level", s.LogLevel, LogLevels)
 	v.limits(&s.Limits)
-	v.Whole("/queue/length", s.Queue.Length, 1, maxCount)
+	v.IntRange("/queue/length", s.Queue.Length, 1, maxCount)
 	v.Number("/queue/report_share", s.Queue.ReportShare, 0, 1)
-	v.Whole("/records/count", s.Records.Count, 1, maxCount)
-	v.Whole("/records/bytes", s.Records.Bytes, 1, maxBytes)
+	v.IntRange("/records/count", s.Records.Count, 1, maxCount)
+	v.IntRange("/records/bytes", s.Records.Bytes, 1, maxBytes)
 	v.policies(&s.Policies)
-	v.Whole("/timeline_events", s.TimelineEvents, 1, maxCount)
-	v.Duration("/ticket_good_for", s.TicketGoodFor, minInterval, maxDuration)
-	v.Duration("/entries_good_for", s.EntriesGoodFor, minInterval, maxDuration)
-	v.Duration("/stop_within", s.StopWithin, minInterval, maxDuration)
+	v.IntRange("/timeline_events", s.TimelineEvents, 1, maxCount)
+	v.Duration("/ticket_good_for", s.TicketTTL, minInterval, maxDuration)
+	v.Duration("/entries_good_for", s.EntriesTTL, minInterval, maxDuration)
+	v.Duration("/stop_within", s.StopTimeout, minInterval, maxDuration)
 	v.Duration("/heartbeat_every", s.HeartbeatEvery, minInterval, maxInterval)
 	v.Duration("/lease_term", s.LeaseTerm, leaseHeartbeats*s.HeartbeatEvery.Duration, maxDuration)
 	v.Duration("/endpoint_report_every", s.EndpointReportEvery, minInterval, maxInterval)
@@ -53,19 +53,19 @@
 
 func (v *verifier) platform(s *Platform) {
 	v.OneOf("/log_level", s.LogLevel, LogLevels)
-	v.Whole("/log_sample_every", s.LogSampleEvery, 0, maxCount)
-	v.Whole("/log_lines", s.LogLines, 1, maxLogLines)
-	v.Whole("/metrics_port", s.MetricsPort, 0, maxPort)
-	for i, name := range s.Without {
+	v.IntRange("/log_sample_every", s.LogSampleEvery, 0, maxCount)
+	v.IntRange("/log_lines", s.LogLines, 1, maxLogLines)
+	v.IntRange("/metrics_port", s.MetricsPort, 0, maxPort)
+	for i, name := range s.Disabled {
 		v.OneOf("/without/"+strconv.Itoa(i), name, Mechanisms)
 	}
 }
 
 func (v *verifier) limits(l *Limits) {
-	v.Whole("/limits/max_body_bytes", l.MaxBodyBytes, 1, maxBytes)
-	v.Whole("/limits/max_header_bytes", l.MaxHeaderBytes, minHeaderBytes, maxBytes)
-	v.Whole("/limits/max_connections", l.MaxConnections, 1, maxCount)
-	v.Whole("/limits/max_connections_per_address", l.MaxConnectionsPerAddress, 1, maxCount)
+	v.IntRange("/limits/max_body_bytes", l.MaxBodyBytes, 1, maxBytes)
+	v.IntRange("/limits/max_header_bytes", l.MaxHeaderBytes, minHeaderBytes, maxBytes)
+	v.IntRange("/limits/max_connections", l.MaxConnections, 1, maxCount)
+	v.IntRange("/limits/max_connections_per_address", l.MaxConnectionsPerAddress, 1, maxCount)
 	v.Duration("/limits/header_within", l.HeaderWithin, minInterval, maxDuration)
 	v.Duration("/limits/body_within", l.BodyWithin, minInterval, maxDuration)
 	v.Duration("/limits/idle_within", l.IdleWithin, minInterval, maxDuration)
@@ -100,33 +100,33 @@
 			addr:    s.OperatorListen,
 		},
 	}
-	seen := jsonc.Names{}
+	seen := jsonc.NameSet{}
 	for _, f := range listeners {
 		if addr := v.addr(f.pointer, f.addr); addr.Port() != 0 {
-			v.Once(seen, f.pointer, f.addr)
+			v.Unique(seen, f.pointer, f.addr)
 		}
 	}
 }
 
 func (v *verifier) peers(s *Settings) {
-	vms := jsonc.Names{}
+	vms := jsonc.NameSet{}
 	for i, route := range s.PeerRoutes {
 		at := elementPointer("/peer_routes", i)
 		v.Name(at+"/vm", route.VM)
-		v.Once(vms, at+"/vm", route.VM)
+		v.Unique(vms, at+"/vm", route.VM)
 		v.addr(at+"/addr", route.Addr)
 	}
-	seeds := jsonc.Names{}
+	seeds := jsonc.NameSet{}
 	for i, seed := range s.Seeds {
 		at := elementPointer("/seeds", i)
 		v.addr(at, seed)
-		v.Once(seeds, at, seed)
+		v.Unique(seeds, at, seed)
 	}
 }
 
 func (v *verifier) addr(pointer, text string) netip.AddrPort {
 	addr, err := netip.ParseAddrPort(text)
-	v.That(err == nil, pointer, `an IP address with a port such as "127.0.0.1:7101"`)
+	v.Require(err == nil, pointer, `an IP address with a port such as "127.0.0.1:7101"`)
 	return addr
 }
 
@@ -137,5 +137,5 @@
 func (v *verifier) baseURL(pointer, text string) {
 	u, err := url.Parse(text)
 	ok := err == nil && (u.Scheme == "http" || u.Scheme == "https") && u.Host != "" && u.RawQuery == "" && u.Fragment == ""
-	v.That(ok, pointer, `a base URL such as "http://127.0.0.1:7201"`)
+	v.Require(ok, pointer, `a base URL such as "http://127.0.0.1:7201"`)
 }
--- a/settings/platform.go
+++ b/settings/platform.go
@@ -17,8 +17,8 @@
 	LogLines int `json:"log_lines"`
 	// MetricsPort is the port of /metrics on the VM's address; zero disables it.
 	MetricsPort int `json:"metrics_port"`
-	// Without lists mechanisms to disable, for ablation experiments only.
-	Without []string `json:"without"`
+	// Disabled lists mechanisms to disable, for ablation experiments only.
+	Disabled []string `json:"without"`
 }
 
 // Mechanisms that Without can disable.
@@ -45,9 +45,9 @@
 	Yielding, LateRefusal, EndRefusal, RankOrder, LivePace, BackOff, Corrections,
 }
 
-// Has reports whether a mechanism is enabled.
-func (s *Platform) Has(mechanism string) bool {
-	return !slices.Contains(s.Without, mechanism)
+// Enabled reports whether a mechanism is enabled.
+func (s *Platform) Enabled(mechanism string) bool {
+	return !slices.Contains(s.Disabled, mechanism)
 }
 
 // Maximum values of settings.
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -46,14 +46,14 @@
 
 	// TimelineEvents is the number of events that the timeline keeps.
 	TimelineEvents int `json:"timeline_events"`
-	// TicketGoodFor is how long a ticket is valid after its issue, and how long the
+	// TicketTTL is how long a ticket is valid after its issue, and how long the
 	// answer to its call is kept.
-	TicketGoodFor jsonc.Duration `json:"ticket_good_for"`
-	// EntriesGoodFor is how long a caller may cache its list of entry VMs.
-	EntriesGoodFor jsonc.Duration `json:"entries_good_for"`
-	// StopWithin is the timeout for draining before a planned stop. Calls in flight end
+	TicketTTL jsonc.Duration `json:"ticket_good_for"`
+	// EntriesTTL is how long a caller may cache its list of entry VMs.
+	EntriesTTL jsonc.Duration `json:"entries_good_for"`
+	// StopTimeout is the timeout for draining before a planned stop. Calls in flight end
 	// by then, unless their own deadlines are later.
-	StopWithin jsonc.Duration `json:"stop_within"`
+	StopTimeout jsonc.Duration `json:"stop_within"`
 	// HeartbeatEvery and LeaseTerm apply to a small fleet; both increase with its size.
 	HeartbeatEvery jsonc.Duration `json:"heartbeat_every"`
 	LeaseTerm      jsonc.Duration `json:"lease_term"`
@@ -119,9 +119,9 @@
 		Records:             defaultRecords(),
 		Policies:            defaultPolicies(),
 		TimelineEvents:      65_536,
-		TicketGoodFor:       duration(2 * time.Minute),
-		EntriesGoodFor:      duration(30 * time.Second),
-		StopWithin:          duration(10 * time.Minute),
+		TicketTTL:           duration(2 * time.Minute),
+		EntriesTTL:          duration(30 * time.Second),
+		StopTimeout:         duration(10 * time.Minute),
 		HeartbeatEvery:      duration(500 * time.Millisecond),
 		LeaseTerm:           duration(1500 * time.Millisecond),
 		EndpointReportEvery: duration(time.Second),
@@ -181,7 +181,7 @@
 func read(path string) ([]byte, *result.Refusal) {
 	data, err := os.ReadFile(path)
 	if err != nil {
-		return nil, result.Refuse(result.SettingFile, "%s: want a file that can be read: %v", path, err).Because(err)
+		return nil, result.Refuse(result.SettingFile, "%s: want a file that can be read: %v", path, err).WithCause(err)
 	}
 	return data, nil
 }
--- a/site/cold.go
+++ b/site/cold.go
@@ -31,7 +31,7 @@
 	}
 	timeoutCtx, cancel := context.WithTimeout(ctx, healthTimeout)
 	defer cancel()
-	remaining, err := p.node.endpointClient.ColdFor(timeoutCtx, e, service.HealthPath)
+	remaining, err := p.node.endpointClient.FetchColdStart(timeoutCtx, e, service.HealthPath)
 	if err != nil {
 		p.node.log.Debug("health_failed", "endpoint", e.ID, "reason", err.Error())
 		return
@@ -39,7 +39,7 @@
 	if remaining > 0 {
 		p.node.control.send(ctx, func(c *control, now time.Time) {
 			until := now.Add(remaining)
-			if c.discovery.Cold(e.ID, until, now) {
+			if c.discovery.ReportCold(e.ID, until, now) {
 				c.markCold(e.ID, until, now)
 				c.spread(context.WithoutCancel(ctx), coldFanout, now)
 			}
@@ -58,7 +58,7 @@
 	changed := false
 	for _, m := range list {
 		until := sentAt.Add(time.Duration(m.GetLeftMs()) * time.Millisecond)
-		if c.discovery.HeardCold(m.GetEndpoint(), m.GetNumber(), until, now) {
+		if c.discovery.ReportColdFromPeer(m.GetEndpoint(), m.GetNumber(), until, now) {
 			c.markCold(m.GetEndpoint(), until, now)
 			changed = true
 		}
@@ -68,14 +68,14 @@
 	}
 }
 
-func coldEndpointMessages(endpoints []discovery.Ready, now time.Time) []*peerpb.ColdEndpoint {
+func coldEndpointMessages(endpoints []discovery.AvailableEndpoint, now time.Time) []*peerpb.ColdEndpoint {
 	var out []*peerpb.ColdEndpoint
 	for _, e := range endpoints {
 		if !e.ColdUntil.IsZero() {
 			out = append(out, &peerpb.ColdEndpoint{
 				Endpoint: e.ID,
 				LeftMs:   uint32(e.ColdUntil.Sub(now).Milliseconds()),
-				Number:   e.ColdNumber,
+				Number:   e.ColdReportNumber,
 			})
 		}
 	}
--- a/site/control.go
+++ b/site/control.go
@@ -34,8 +34,8 @@
 // snapshot is the immutable state that request goroutines read.
 type snapshot struct {
 	table     *route.Table
-	endpoints []discovery.Ready
-	members   *roster.Picture
+	endpoints []discovery.AvailableEndpoint
+	members   *roster.Snapshot
 	// meteringFleet holds the members as the limit meter sees them.
 	meteringFleet metering.Fleet
 	// regionLoads holds the latest load reports of other regions by service.
@@ -77,13 +77,13 @@
 		}),
 		mirror: discovery.NewMirror(),
 		discovery: discovery.New(discovery.Options{
-			Grace: n.deployment.Bounds.LapseWithin,
+			Grace: n.deployment.Bounds.EntryRenewalTimeout,
 		}),
 		regionLoads: make(map[loadKey]regionLoad),
 		rtts:        make(map[string]time.Duration),
 	}
 	first := &snapshot{
-		members: c.roster.Picture(),
+		members: c.roster.Snapshot(),
 	}
 	first.meteringFleet = c.buildMeteringFleet(first)
 	c.published.Store(first)
@@ -113,7 +113,7 @@
 
 // query runs a request on the control goroutine and returns its result.
 func query[T any](ctx context.Context, c *control, request func(c *control, now time.Time) T) (T, error) {
-	return mailbox.Ask(ctx, c.inbox, func(reply chan<- T) command {
+	return mailbox.Call(ctx, c.inbox, func(reply chan<- T) command {
 		return func(c *control, now time.Time) {
 			reply <- request(c, now)
 		}
@@ -154,8 +154,8 @@
 	if !c.nextEndpointChange.IsZero() && !now.Before(c.nextEndpointChange) {
 		c.endpointsChanged = true
 	}
-	c.discovery.Step(now)
-	c.nextEndpointChange = c.discovery.Next(now)
+	c.discovery.RemoveExpired(now)
+	c.nextEndpointChange = c.discovery.NextChange(now)
 	before := c.snapshot()
 	after := &snapshot{
 		table:       c.discovery.Table(),
@@ -164,7 +164,7 @@
 		revision:    c.mirror.Revision(),
 	}
 	c.roster.SetReady(after.table != nil && !c.node.draining.Load())
-	after.members = c.roster.Picture()
+	after.members = c.roster.Snapshot()
 	after.meteringFleet = before.meteringFleet
 	if before.members.Generation != after.members.Generation {
 		after.meteringFleet = c.buildMeteringFleet(after)
@@ -278,7 +278,7 @@
 				continue
 			}
 		}
-		if c.discovery.Take(change, now) {
+		if c.discovery.Apply(change, now) {
 			c.endpointsChanged = true
 		}
 	}
--- a/site/entries_test.go
+++ b/site/entries_test.go
@@ -31,7 +31,7 @@
 	c := n.control
 	for _, remote := range fleetRumors() {
 		if remote.VM.Region == "r2" {
-			c.roster.Heard(remote, []roster.Rumor{remote}, now)
+			c.roster.Receive(remote, []roster.Rumor{remote}, now)
 			break
 		}
 	}
--- a/site/fleet_test.go
+++ b/site/fleet_test.go
@@ -54,7 +54,7 @@
 			Value:    fmt.Appendf(nil, `{"Service":"s","Addr":"10.0.0.1:%d","Zone":"r%d-a","Slots":64,"State":"ready"}`, 1000+i, region),
 		}}, now())
 	}
-	c.roster.Heard(fleetRumor(1), fleetRumors(), now())
+	c.roster.Receive(fleetRumor(1), fleetRumors(), now())
 	c.publish(now())
 	n.fillPool(now())
 	return n
@@ -73,7 +73,7 @@
 			UsedAt:   now.Add(-time.Duration(i) * time.Millisecond),
 		})
 	}
-	pool.Learn(holdings, now)
+	pool.AddHoldings(holdings, now)
 	for i, e := range n.pools.table.Load().engines {
 		n.pools.recordReport(e.ID, loadReport{
 			service: "s",
@@ -115,7 +115,7 @@
 	assert.NilError(tb, proto.Unmarshal(data, &in))
 	c := n.control
 	c.applyGossip(tb.Context(), &in, now, now)
-	answer, err := proto.Marshal(c.gossipMessage(in.GetFrom().GetRegion(), c.roster.Differing(digestOf(&in)), now))
+	answer, err := proto.Marshal(c.gossipMessage(in.GetFrom().GetRegion(), c.roster.DifferingRumors(digestOf(&in)), now))
 	assert.NilError(tb, err)
 	c.publish(now)
 	return answer
--- a/site/forward.go
+++ b/site/forward.go
@@ -24,14 +24,14 @@
 // forward runs a call on another VM and reports an unreachable VM to the control
 // goroutine.
 func (n *Node) forward(ctx context.Context, vm fleet.VM, c *call.Call, sink call.Sink) call.Outcome {
-	timeoutCtx, cancel := clock.WithDeadline(ctx, n.now(), c.WholeBy.Add(forwardGrace))
+	timeoutCtx, cancel := clock.WithDeadline(ctx, n.now(), c.Deadline.Add(forwardGrace))
 	defer cancel()
 	outcome := n.peers.Forward(timeoutCtx, vm, &peerpb.ForwardRequest{
 		From: n.identity(),
-		Call: peer.CallMessage(n.withRemoteObjective(c, vm), n.now()),
+		Call: peer.CallToProto(n.withRemoteObjective(c, vm), n.now()),
 	}, sink, func(uint64) {})
 	if ctx.Err() != nil && outcome.Code == result.PeerLost {
-		return call.Refused(result.Refuse(result.EndpointTimeout, "VM %s had the call as its time ended or the caller left", vm.ID).Because(ctx.Err()))
+		return call.Refused(result.Refuse(result.EndpointTimeout, "VM %s had the call as its time ended or the caller left", vm.ID).WithCause(ctx.Err()))
 	}
 	if ctx.Err() == nil && outcome.Code == result.PeerUnreachable {
 		n.control.send(ctx, func(c *control, now time.Time) {
@@ -44,11 +44,11 @@
 // withRemoteObjective returns a copy of the call with the round-trip time deducted from
 // its time to first token, as the remote VM measures deadlines without network latency.
 func (n *Node) withRemoteObjective(c *call.Call, vm fleet.VM) *call.Call {
-	if c.FirstBy.IsZero() {
+	if c.FirstTokenDeadline.IsZero() {
 		return c
 	}
 	remote := *c
-	remote.FirstBy = c.FirstBy.Add(-n.control.snapshot().rttTo(c.Target(), vm.Region))
+	remote.FirstTokenDeadline = c.FirstTokenDeadline.Add(-n.control.snapshot().rttTo(c.Target(), vm.Region))
 	return &remote
 }
 
@@ -67,7 +67,7 @@
 		Published: n.puller.handlePublished,
 		Reports:   n.pools.handleReportNote,
 		Unread:    n.pools.handlePendingNote,
-		Crashes:   n.quarantine.Take,
+		Crashes:   n.quarantine.Receive,
 		Limits:    n.handleLimitNote,
 		Permit:    n.handlePermitRequest,
 		Forward:   n.serveForwarded,
@@ -76,7 +76,7 @@
 
 		CountBytes: n.countPeerBytes,
 		Now:        n.now,
-		Transit:    n.transit,
+		Delays:     n.transit,
 	}
 }
 
@@ -95,9 +95,9 @@
 	if !c.Routed.Allows(n.deployment.Region) {
 		return call.Refused(n.notServed())
 	}
-	ctx, cancel := clock.WithDeadline(ctx, n.now(), c.WholeBy)
+	ctx, cancel := clock.WithDeadline(ctx, n.now(), c.Deadline)
 	defer cancel()
-	c.Routed.Late = n.isLate(c)
+	c.Routed.MissesObjective = n.isLate(c)
 	return n.serve(ctx, c, sink)
 }
 
@@ -109,7 +109,7 @@
 // revoked, or the route may lead to another service.
 func (n *Node) readmit(c *call.Call, table *route.Table) *result.Refusal {
 	path, _, _ := strings.Cut(c.Path, "?")
-	terms, refusal := table.Admit(route.Ask{
+	terms, refusal := table.Admit(route.AdmitRequest{
 		Host: c.Routed.Host,
 		Path: path,
 		Key:  c.Routed.Key,
@@ -119,7 +119,7 @@
 	}
 	service := ""
 	if refusal == nil {
-		service = terms.Route.Pick(rand.Uint64())
+		service = terms.Route.PickService(rand.Uint64())
 	}
 	if service == "" {
 		return result.Refuse(result.NotReady, "VM %s has a newer table without the route", n.deployment.VM)
@@ -138,5 +138,5 @@
 // receiver decides because its view of the local engines is newer than the sender's.
 func (n *Node) isLate(c *call.Call) bool {
 	now := n.now()
-	return n.settings.Has(settings.Yielding) && placement.Yields(n.localLoad(c, now), c.FirstBy, now)
+	return n.settings.Enabled(settings.Yielding) && placement.MissesObjective(n.localLoad(c, now), c.FirstTokenDeadline, now)
 }
--- a/site/freshness.go
+++ b/site/freshness.go
@@ -8,7 +8,7 @@
 // longer than operators allow for the revocation of a key. Without such a bound the last
 // table stays valid.
 func (n *Node) keysTooStale() bool {
-	bound := n.bounds.Load().KeysEndWithin
+	bound := n.bounds.Load().KeyRevocationTimeout
 	if bound <= 0 {
 		return false
 	}
@@ -48,7 +48,7 @@
 // watchTimeout bounds one wait for store changes. A bound on key revocation shortens it,
 // so that the absence of changes is confirmed often enough.
 func (n *Node) watchTimeout() time.Duration {
-	bound := n.bounds.Load().KeysEndWithin
+	bound := n.bounds.Load().KeyRevocationTimeout
 	if bound <= 0 {
 		return maxWatchTimeout
 	}
--- a/site/freshness_test.go
+++ b/site/freshness_test.go
@@ -38,7 +38,7 @@
 			now := time.Unix(1e9, 0)
 			at := func(ms int64) time.Time { return time.Unix(1e9, 0).Add(time.Duration(ms) * time.Millisecond) }
 			n := newFleetNode(func() time.Time { return now })
-			n.bounds.Load().KeysEndWithin = time.Duration(c.WithinMs) * time.Millisecond
+			n.bounds.Load().KeyRevocationTimeout = time.Duration(c.WithinMs) * time.Millisecond
 			n.control.applyItems([]discovery.Item{{
 				Key:      "op/config",
 				Revision: 900,
@@ -54,7 +54,7 @@
 				n.control.applyPeerFreshness(m.GetPublishedRevision(), m.GetCompleteMs(), at(c.HeardMs))
 			}
 			now = at(c.NowMs)
-			_, refusal := n.admit(route.Ask{
+			_, refusal := n.admit(route.AdmitRequest{
 				Host: "h",
 				Path: "/p/x",
 				Key:  apikey.Sum("k"),
--- a/site/gauges.go
+++ b/site/gauges.go
@@ -26,7 +26,7 @@
 	}
 	n.metrics.SetEndpoints(warm, cold)
 	if snap.table != nil {
-		n.metrics.SetRoutes(snap.table.Version)
+		n.metrics.SetRoutesVersion(snap.table.Version)
 	}
 	if at := n.inSyncAt.Load(); at > 0 {
 		n.metrics.SetPublishedAge(n.now().Sub(time.Unix(0, at)))
--- a/site/gossip.go
+++ b/site/gossip.go
@@ -23,7 +23,7 @@
 // gossipRequest builds the message that starts an exchange with a VM of the given
 // region.
 func (c *control) gossipRequest(region string, now time.Time) *peerpb.GossipMessage {
-	m := c.gossipMessage(region, c.roster.Recent(now), now)
+	m := c.gossipMessage(region, c.roster.RecentRumors(now), now)
 	digest := c.roster.Digest()
 	m.Digest = digest[:]
 	return m
@@ -49,8 +49,8 @@
 
 // localUnavailable returns the endpoints of the local region that are cold or
 // unreachable.
-func (c *control) localUnavailable(now time.Time) []discovery.Ready {
-	return slices.DeleteFunc(c.discovery.Held(now), func(e discovery.Ready) bool {
+func (c *control) localUnavailable(now time.Time) []discovery.AvailableEndpoint {
+	return slices.DeleteFunc(c.discovery.Degraded(now), func(e discovery.AvailableEndpoint) bool {
 		return e.Region != c.node.deployment.Region
 	})
 }
@@ -97,10 +97,10 @@
 		return
 	}
 	if errors.Is(err, peer.ErrDial) && errors.Is(err, syscall.ECONNREFUSED) {
-		c.roster.Refused(vm.ID, now)
+		c.roster.RecordRefused(vm.ID, now)
 		return
 	}
-	c.roster.Missed(vm.ID, now)
+	c.roster.RecordMiss(vm.ID, now)
 }
 
 // applyGossip merges a message from a peer. Ages and remaining times in it are relative
@@ -111,7 +111,7 @@
 		rumors = append(rumors, rumorFromMessage(r))
 	}
 	from := rumorFromMessage(m.GetFrom())
-	c.roster.Heard(from, rumors, now)
+	c.roster.Receive(from, rumors, now)
 	c.applyRegionLoads(m.GetLoads(), sentAt)
 	c.applyCold(ctx, m.GetCold(), sentAt, now)
 	c.applyUnreachable(ctx, m.GetUnreached(), sentAt, now)
@@ -138,7 +138,7 @@
 		if len(in.GetDigest()) == 0 {
 			return c.urgentMessage(in.GetFrom().GetRegion(), now)
 		}
-		m := c.gossipMessage(in.GetFrom().GetRegion(), c.roster.Differing(digestOf(in)), now)
+		m := c.gossipMessage(in.GetFrom().GetRegion(), c.roster.DifferingRumors(digestOf(in)), now)
 		if m.GetLimitsDigest() != in.GetLimitsDigest() {
 			m.Limits = endpointLimitMessages(c.node.throttle.Limits())
 		}
@@ -177,7 +177,7 @@
 
 // spread sends an urgent message to random VMs of the region.
 func (c *control) spread(ctx context.Context, count int, now time.Time) {
-	for _, target := range c.roster.Spread(count) {
+	for _, target := range c.roster.RandomTargets(count) {
 		go c.node.exchangeGossip(ctx, target, c.urgentMessage(target.VM.Region, now))
 	}
 }
@@ -195,7 +195,7 @@
 		Version:     r.Version,
 		State:       uint32(r.State),
 		Ready:       r.Ready,
-		TurnedAway:  r.TurnedAway,
+		TurnedAway:  r.StoreUnreadable,
 		Region:      r.VM.Region,
 		DataCentre:  r.VM.DataCentre,
 		CallerAddr:  r.VM.CallerAddr,
@@ -213,10 +213,10 @@
 			PeerAddr:   m.GetPeerAddr(),
 			State:      fleet.StateLive,
 		},
-		Incarnation: m.GetIncarnation(),
-		Version:     m.GetVersion(),
-		State:       roster.State(m.GetState()),
-		Ready:       m.GetReady(),
-		TurnedAway:  m.GetTurnedAway(),
+		Incarnation:     m.GetIncarnation(),
+		Version:         m.GetVersion(),
+		State:           roster.State(m.GetState()),
+		Ready:           m.GetReady(),
+		StoreUnreadable: m.GetTurnedAway(),
 	}
 }
--- a/site/holdings.go
+++ b/site/holdings.go
@@ -24,21 +24,21 @@
 // VMs of the region, whose engines can fetch them.
 func (p *pools) regionHoldings(now time.Time) []*peerpb.PrefixHolding {
 	return p.holdingMessages(maxRegionHoldings, now, func(pool *pool) []routing.Holding {
-		return pool.Endpoints.Holdings(routing.HoldingLeast, now.Add(-holdingMaxAge), maxRegionHoldings)
+		return pool.Endpoints.Holdings(routing.MinHoldingTokens, now.Add(-holdingMaxAge), maxRegionHoldings)
 	})
 }
 
 // crossRegionHoldings lists prefixes long enough to be fetched from another region.
 func (p *pools) crossRegionHoldings(now time.Time) []*peerpb.PrefixHolding {
 	return p.holdingMessages(maxCrossRegionHoldings, now, func(pool *pool) []routing.Holding {
-		return pool.Endpoints.Holdings(routing.FarHoldingLeast, now.Add(-holdingMaxAge), maxCrossRegionHoldings)
+		return pool.Endpoints.Holdings(routing.MinRemoteHoldingTokens, now.Add(-holdingMaxAge), maxCrossRegionHoldings)
 	})
 }
 
 // remoteHoldings lists prefixes held in other regions for VMs of this region.
 func (p *pools) remoteHoldings(now time.Time) []*peerpb.PrefixHolding {
 	return p.holdingMessages(maxCrossRegionHoldings, now, func(pool *pool) []routing.Holding {
-		return pool.Endpoints.FarHoldings(now.Add(-remoteHoldingMaxAge), maxCrossRegionHoldings)
+		return pool.Endpoints.RemoteHoldings(now.Add(-remoteHoldingMaxAge), maxCrossRegionHoldings)
 	})
 }
 
@@ -73,7 +73,7 @@
 	}
 	for service, holdings := range byService {
 		if pool := p.table.Load().byService[service]; pool != nil {
-			pool.Endpoints.Learn(holdings, now)
+			pool.Endpoints.AddHoldings(holdings, now)
 		}
 	}
 }
--- a/site/keys_test.go
+++ b/site/keys_test.go
@@ -75,7 +75,7 @@
 			Homes:  c.RouteHomes,
 			Public: c.Public,
 		}},
-		Keyed:      true,
+		RequireKey: true,
 		Workspaces: []route.Workspace{w},
 	})
 }
@@ -83,7 +83,7 @@
 // TestKeyStays checks that messages to other VMs contain no API key.
 func TestKeyStays(t *testing.T) {
 	const key = "m68k7b2ex5wa5xwyhks8"
-	m, err := proto.Marshal(peer.CallMessage(routedCall(key), time.Unix(1e9, 0)))
+	m, err := proto.Marshal(peer.CallToProto(routedCall(key), time.Unix(1e9, 0)))
 	assert.NilError(t, err)
 	assert.Assert(t, !strings.Contains(string(m), key))
 	assert.Assert(t, !strings.Contains(fmt.Sprintf("%+v", routedCall(key).Routed), key))
--- a/site/limits.go
+++ b/site/limits.go
@@ -27,9 +27,9 @@
 		Region:  n.deployment.Region,
 		Regions: regionsOf(n.deployment.Regions),
 		Tolerance: metering.Tolerance{
-			Window: n.deployment.Bounds.LimitWindow,
-			Part:   n.deployment.Bounds.LimitOvershoot,
-			Amount: n.deployment.Bounds.LimitSlack,
+			Window:   n.deployment.Bounds.LimitWindow,
+			Fraction: n.deployment.Bounds.LimitOvershoot,
+			Amount:   n.deployment.Bounds.LimitSlack,
 		},
 		StartedAt: n.startedAt,
 	})
@@ -51,11 +51,11 @@
 		return nil
 	}
 	verdict := n.meter.Take(w, c.Routed.Cost, snap.meteringFleet, n.now())
-	if verdict.Keeper != nil {
-		verdict = n.requestCharge(ctx, w, *verdict.Keeper, c.Routed.Cost)
+	if verdict.Coordinator != nil {
+		verdict = n.requestCharge(ctx, w, *verdict.Coordinator, c.Routed.Cost)
 	}
 	if verdict.Refusal != nil {
-		n.metrics.LimitRefused(w.Name)
+		n.metrics.CountLimitRejection(w.Name)
 	}
 	return verdict.Refusal
 }
@@ -66,27 +66,27 @@
 	timeoutCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), limitRequestTimeout)
 	defer cancel()
 	reply, err := n.peers.Limits(timeoutCtx, keeper, n.identity(), metering.Note{
-		Uses: []metering.Use{{
+		Usage: []metering.Usage{{
 			Workspace: w.Name,
-			Wanted:    cost,
+			Requested: cost,
 		}},
 	})
 	if err != nil {
 		n.log.Debug("limit_not_asked", "peer", keeper.ID, "reason", err.Error())
 	}
-	answered := err == nil && len(reply.Answers) == 1 && reply.Answers[0].Kept
-	n.metrics.LimitAsked(answered)
+	answered := err == nil && len(reply.Answers) == 1 && reply.Answers[0].IsCoordinator
+	n.metrics.CountLimitRequest(answered)
 	if !answered {
-		return n.meter.TakeAlone(w, keeper, cost, n.now())
+		return n.meter.TakeFallback(w, keeper, cost, n.now())
 	}
-	return n.meter.Answered(w, cost, reply.Answers[0])
+	return n.meter.ApplyAnswer(w, cost, reply.Answers[0])
 }
 
 // refundLimit returns the charge of a call that did not run.
 func (n *Node) refundLimit(c *call.Call) {
 	snap := n.control.snapshot()
 	if w, ok := snap.limitedWorkspace(c); ok {
-		n.meter.GiveBack(w, c.Routed.Cost, snap.meteringFleet, n.now())
+		n.meter.Refund(w, c.Routed.Cost, snap.meteringFleet, n.now())
 	}
 }
 
@@ -102,8 +102,8 @@
 		case <-timer.C:
 		}
 		snap := n.control.snapshot()
-		if snap.table != nil && snap.table.Keyed() {
-			for _, note := range n.meter.Notes(snap.table, snap.meteringFleet, n.now()) {
+		if snap.table != nil && snap.table.RequiresKey() {
+			for _, note := range n.meter.DueNotes(snap.table, snap.meteringFleet, n.now()) {
 				go n.sendLimitNote(ctx, note)
 			}
 		}
@@ -118,10 +118,10 @@
 	reply, err := n.peers.Limits(timeoutCtx, note.To, n.identity(), note.Note)
 	if err != nil {
 		n.log.Debug("limits_not_told", "peer", note.To.ID, "reason", err.Error())
-		n.meter.Failed(note, n.now())
+		n.meter.HandleFailure(note, n.now())
 		return
 	}
-	n.meter.Sent(note, reply, n.now())
+	n.meter.HandleReply(note, reply, n.now())
 }
 
 // handleLimitNote answers a usage note of another VM.
@@ -137,8 +137,8 @@
 func (c *control) buildMeteringFleet(snap *snapshot) metering.Fleet {
 	own := c.node.deployment.Region
 	out := metering.Fleet{
-		Near: snap.members.Reached(own),
-		Far:  make(map[string][]fleet.VM),
+		Local:  snap.members.ReachableVMs(own),
+		Remote: make(map[string][]fleet.VM),
 	}
 	for _, m := range snap.members.Members {
 		if m.VM.Region == own {
@@ -146,8 +146,8 @@
 		}
 	}
 	for _, region := range regionsOf(c.node.deployment.Regions) {
-		if vms := snap.members.Reached(region); region != own && len(vms) > 0 {
-			out.Far[region] = vms
+		if vms := snap.members.ReachableVMs(region); region != own && len(vms) > 0 {
+			out.Remote[region] = vms
 		}
 	}
 	return out
--- a/site/loads.go
+++ b/site/loads.go
@@ -31,7 +31,7 @@
 func (snap *snapshot) rttTo(service, region string) time.Duration {
 	for _, l := range snap.regionLoads[service] {
 		if l.Region == region {
-			return l.Way
+			return l.RoundTrip
 		}
 	}
 	return 0
@@ -61,7 +61,7 @@
 			Load: placement.Load{
 				Region:    l.GetRegion(),
 				Endpoints: int(l.GetEndpoints()),
-				First:     time.Duration(l.GetFirstMs()) * time.Millisecond,
+				TTFT:      time.Duration(l.GetFirstMs()) * time.Millisecond,
 			},
 			timePerToken:           time.Duration(l.GetTokenUs()) * time.Microsecond,
 			prefillTokensPerSecond: float64(l.GetReadsPerSecond()),
@@ -78,7 +78,7 @@
 			delete(c.regionLoads, key)
 			continue
 		}
-		load.Way = c.rtt(key.region)
+		load.RoundTrip = c.rtt(key.region)
 		out[key.service] = append(out[key.service], load)
 	}
 	return out
@@ -95,7 +95,7 @@
 		out = append(out, &peerpb.RegionLoad{
 			Service:        key.service,
 			Endpoints:      uint32(load.Endpoints),
-			FirstMs:        uint32(load.First.Milliseconds()),
+			FirstMs:        uint32(load.TTFT.Milliseconds()),
 			TokenUs:        uint32(load.timePerToken.Microseconds()),
 			Region:         key.region,
 			AgeMs:          uint32(max(age.Milliseconds(), 0)),
@@ -113,7 +113,7 @@
 			PromptTokens: referencePromptTokens,
 		}, now)
 		endpoints := 0
-		supply := pool.Endpoints.Supply(now)
+		supply := pool.Endpoints.Capacity(now)
 		if ok {
 			endpoints = supply.Endpoints
 		}
@@ -121,9 +121,9 @@
 			Region:         p.node.deployment.Region,
 			Service:        service,
 			Endpoints:      uint32(endpoints),
-			FirstMs:        uint32(expected.First.Milliseconds()),
-			TokenUs:        uint32(expected.Token.Microseconds()),
-			ReadsPerSecond: uint32(supply.PrefillPerSecond),
+			FirstMs:        uint32(expected.TTFT.Milliseconds()),
+			TokenUs:        uint32(expected.TokenTime.Microseconds()),
+			ReadsPerSecond: uint32(supply.PrefillRate),
 		})
 	}
 	return out
--- a/site/loads_test.go
+++ b/site/loads_test.go
@@ -43,8 +43,8 @@
 	got := receiver.regionLoadsByService(later)["s"]
 	assert.Equal(t, len(got), 1)
 	assert.Equal(t, got[0].Region, "b")
-	assert.Equal(t, got[0].First, 300*time.Millisecond)
-	assert.Equal(t, got[0].Way, defaultRTT)
+	assert.Equal(t, got[0].TTFT, 300*time.Millisecond)
+	assert.Equal(t, got[0].RoundTrip, defaultRTT)
 	assert.Equal(t, len(receiver.regionLoadsByService(now.Add(regionLoadTTL))), 0)
 	assert.Equal(t, len(source.remoteLoadMessages(now.Add(regionLoadTTL))), 0)
 }
@@ -56,7 +56,7 @@
 	c := newTestControl("a")
 	c.applyRegionLoads(regionLoadMessages("b", 300, 0), now)
 	c.applyRegionLoads(regionLoadMessages("b", 900, 500), now)
-	assert.Equal(t, c.regionLoads[loadKey{region: "b", service: "s"}].First, 300*time.Millisecond)
+	assert.Equal(t, c.regionLoads[loadKey{region: "b", service: "s"}].TTFT, 300*time.Millisecond)
 
 	one, two := newTestControl("a"), newTestControl("a")
 	one.applyRegionLoads(regionLoadMessages("b", 300, 0), now)
--- a/site/pending.go
+++ b/site/pending.go
@@ -36,7 +36,7 @@
 func (p *pools) sharePendingPrompts(ctx context.Context) error {
 	var lastChanges uint64
 	var lastSentAt time.Time
-	if !p.node.settings.Has(settings.UnreadNotes) {
+	if !p.node.settings.Enabled(settings.UnreadNotes) {
 		<-ctx.Done()
 		return nil
 	}
@@ -80,7 +80,7 @@
 		From: p.node.identity(),
 	}
 	for _, pool := range p.table.Load().byService {
-		list, poolChanges := pool.Endpoints.Unread()
+		list, poolChanges := pool.Endpoints.PrefillQueues()
 		changes += poolChanges
 		for _, u := range list {
 			note.Engines = append(note.Engines, pendingPromptsMessage(u, now))
@@ -106,19 +106,19 @@
 	if m.GetFrom().GetRegion() != p.node.deployment.Region {
 		return
 	}
-	var list []routing.Unread
+	var list []routing.PrefillQueue
 	for _, e := range m.GetEngines() {
 		list = append(list, pendingPromptsFromMessage(e, sentAt))
 	}
 	for _, pool := range p.table.Load().byService {
-		pool.Endpoints.TakeUnread(m.GetFrom().GetVm(), list, sentAt, p.node.now())
+		pool.Endpoints.SetPeerQueues(m.GetFrom().GetVm(), list, sentAt, p.node.now())
 	}
 }
 
-func pendingPromptsMessage(u routing.Unread, now time.Time) *peerpb.EngineUnread {
+func pendingPromptsMessage(u routing.PrefillQueue, now time.Time) *peerpb.EngineUnread {
 	m := &peerpb.EngineUnread{
 		Endpoint: u.Endpoint,
-		MovedMs:  ageMs(u.MovedAt, now),
+		MovedMs:  ageMs(u.HeadChangedAt, now),
 	}
 	for _, q := range u.Prompts {
 		m.Prompts = append(m.Prompts, &peerpb.UnreadPrompt{
@@ -140,13 +140,13 @@
 	return uint32(min(max(now.Sub(at).Milliseconds(), 0), maxAgeMs))
 }
 
-func pendingPromptsFromMessage(m *peerpb.EngineUnread, sentAt time.Time) routing.Unread {
-	u := routing.Unread{
-		Endpoint: m.GetEndpoint(),
-		MovedAt:  sentAt.Add(-time.Duration(m.GetMovedMs()) * time.Millisecond),
+func pendingPromptsFromMessage(m *peerpb.EngineUnread, sentAt time.Time) routing.PrefillQueue {
+	u := routing.PrefillQueue{
+		Endpoint:      m.GetEndpoint(),
+		HeadChangedAt: sentAt.Add(-time.Duration(m.GetMovedMs()) * time.Millisecond),
 	}
 	for _, q := range m.GetPrompts() {
-		u.Prompts = append(u.Prompts, routing.UnreadPrompt{
+		u.Prompts = append(u.Prompts, routing.QueuedPrompt{
 			Tokens: int(q.GetTokens()),
 			Turn:   int(q.GetTurn()),
 			SentAt: sentAt.Add(-time.Duration(q.GetAgeMs()) * time.Millisecond),
--- a/site/place.go
+++ b/site/place.go
@@ -24,25 +24,25 @@
 
 // serve runs a call, received from a caller or from another VM.
 func (n *Node) serve(ctx context.Context, c *call.Call, sink call.Sink) call.Outcome {
-	c.Trail = logs.NewTrail(n.log, c.ID, n.sampleLog())
-	if !n.settings.Has(settings.RankOrder) {
+	c.Log = logs.NewRequestLog(n.log, c.ID, n.sampleLog())
+	if !n.settings.Enabled(settings.RankOrder) {
 		c.Routed.Rank = 0
 	}
 	if refusal := n.awaitFreshState(ctx); refusal != nil {
-		c.Trail.Fail("request_refused", slog.Int("code", int(refusal.Code)), slog.String("reason", refusal.Error()))
+		c.Log.Fail("request_refused", slog.Int("code", int(refusal.Code)), slog.String("reason", refusal.Error()))
 		return call.Refused(refusal)
 	}
 	out := n.serving.Serve(ctx, c, serving.Placement{
 		Kind: serving.PlaceHere,
 	}, sink)
-	if c.Routed.Late && !c.Forwarded && out.Code != result.DeadlineUnmeetable {
-		n.lateOutcomes.Ended(lateGroup(c), out.Code.Class() == result.ClassDone, n.now())
+	if c.Routed.MissesObjective && !c.Forwarded && out.Code != result.DeadlineUnmeetable {
+		n.lateOutcomes.Record(lateGroup(c), out.Code.Class() == result.ClassDone, n.now())
 	}
 	return out
 }
 
-func lateGroup(c *call.Call) placement.LateGroup {
-	return placement.LateGroup{
+func lateGroup(c *call.Call) placement.CallGroup {
+	return placement.CallGroup{
 		Service: c.Target(),
 		Rank:    c.Routed.Rank,
 	}
@@ -57,12 +57,12 @@
 // place decides whether a call is served locally, on a VM of another region, or refused.
 func (n *Node) place(ctx context.Context, c *call.Call, tried []string) (vm fleet.VM, away bool, refusal *result.Refusal) {
 	res := n.evaluatePlacement(c, tried)
-	for res.decision.Refused == placement.ReasonNoRegion && n.waitForMembers(ctx, c) {
+	for res.decision.Refusal == placement.ReasonNoRegion && n.waitForMembers(ctx, c) {
 		res = n.evaluatePlacement(c, tried)
 	}
-	c.Routed.Late = res.decision.Late
+	c.Routed.MissesObjective = res.decision.Late
 	region := res.decision.Region
-	if res.decision.Refused != "" {
+	if res.decision.Refusal != "" {
 		res.logPlacement(c)
 		return vm, false, n.withReopenTime(c, placementRefusal(res.decision))
 	}
@@ -70,7 +70,7 @@
 		return vm, false, nil
 	}
 	res.logPlacement(c)
-	n.sentAway.Add(region, c.Target(), res.local.ToRead, n.now())
+	n.sentAway.Add(region, c.Target(), res.local.PrefillTokens, n.now())
 	return res.vm, true, nil
 }
 
@@ -88,24 +88,24 @@
 	snap := n.control.snapshot()
 	local := n.localLoad(c, now)
 	if c.Routed.AnswerTokens == 0 {
-		local.Answer = max(local.Answer, minAnswerRatio*float64(c.MaxTokens))
+		local.AnswerTokens = max(local.AnswerTokens, minAnswerRatio*float64(c.MaxTokens))
 	}
 	remotes := n.remoteLoads(c, snap, tried, local)
 	decision := placement.Decide(placement.Request{
-		Own:        local,
-		OwnAllowed: c.Routed.Allows(n.deployment.Region) && !slices.Contains(tried, n.deployment.VM),
-		Others:     remotes,
-		Moved:      len(tried) > 0,
-		FirstBy:    c.FirstBy,
-		WholeBy:    c.WholeBy,
-		Rank:       snap.rankPosition(c.Routed.Rank),
-		Missed:     n.lateOutcomes.Missed(lateGroup(c), now),
-		EndDraw:    rand.Float64(),
-		LateDraw:   rand.Float64(),
-		WaitDraw:   rand.Float64(),
-		Without:    n.disabledPlacement(),
+		Local:         local,
+		LocalAllowed:  c.Routed.Allows(n.deployment.Region) && !slices.Contains(tried, n.deployment.VM),
+		Remote:        remotes,
+		Forwarded:     len(tried) > 0,
+		FirstBy:       c.FirstTokenDeadline,
+		WholeBy:       c.Deadline,
+		Rank:          snap.rankPosition(c.Routed.Rank),
+		MissRate:      n.lateOutcomes.MissRate(lateGroup(c), now),
+		DeadlineDraw:  rand.Float64(),
+		ObjectiveDraw: rand.Float64(),
+		RetryDraw:     rand.Float64(),
+		Disabled:      n.disabledPlacement(),
 	}, now)
-	vm, _ := pickVM(snap.members.Taking(decision.Region), tried)
+	vm, _ := pickVM(snap.members.AcceptingVMs(decision.Region), tried)
 	return placementResult{
 		local:    local,
 		remotes:  remotes,
@@ -149,7 +149,7 @@
 // if waiting is pointless and the call has to be refused.
 func (n *Node) waitForMembers(ctx context.Context, c *call.Call) bool {
 	now := n.now()
-	deadline := c.FirstBy
+	deadline := c.FirstTokenDeadline
 	if arrivedAt := c.Routed.ArrivedAt; deadline.IsZero() || arrivedAt.Add(startupWait).Before(deadline) {
 		deadline = arrivedAt.Add(startupWait)
 	}
@@ -162,10 +162,10 @@
 
 func placementRefusal(d placement.Decision) *result.Refusal {
 	code := result.DeadlineUnmeetable
-	if d.Refused == placement.ReasonNoRegion {
+	if d.Refusal == placement.ReasonNoRegion {
 		code = result.NoEndpoint
 	}
-	return result.Refuse(code, "%s", d.Refused).Until(d.ComeBackAt)
+	return result.Refuse(code, "%s", d.Refusal).WithRetryAt(d.RetryAt)
 }
 
 // withReopenTime adds to a refusal when a rate-limited endpoint of the local region
@@ -175,15 +175,15 @@
 	if !ok || !c.Routed.Allows(n.deployment.Region) {
 		return refusal
 	}
-	return n.serving.UntilOpen(c, pool, refusal)
+	return n.serving.RateLimitRefusal(c, pool, refusal)
 }
 
 // disabledPlacement returns the placement mechanisms that the settings disable.
-func (n *Node) disabledPlacement() placement.Without {
-	return placement.Without{
-		Yielding:    !n.settings.Has(settings.Yielding),
-		LateRefusal: !n.settings.Has(settings.LateRefusal),
-		EndRefusal:  !n.settings.Has(settings.EndRefusal),
+func (n *Node) disabledPlacement() placement.DisabledFeatures {
+	return placement.DisabledFeatures{
+		Yielding:    !n.settings.Enabled(settings.Yielding),
+		LateRefusal: !n.settings.Enabled(settings.LateRefusal),
+		EndRefusal:  !n.settings.Enabled(settings.EndRefusal),
 	}
 }
 
@@ -196,13 +196,13 @@
 			chosen = o
 		}
 	}
-	c.Trail.Add("region_chosen",
+	c.Log.Add("region_chosen",
 		slog.String("region", region),
 		slog.Int("own_endpoints", local.Endpoints),
-		slog.Int64("own_first_ms", local.First.Milliseconds()),
-		slog.Int64("own_whole_ms", local.Whole.Milliseconds()),
-		slog.Int64("other_whole_ms", (chosen.Whole+chosen.Way).Milliseconds()),
-		slog.Int64("other_first_ms", (chosen.First+chosen.Way).Milliseconds()),
+		slog.Int64("own_first_ms", local.TTFT.Milliseconds()),
+		slog.Int64("own_whole_ms", local.TotalTime.Milliseconds()),
+		slog.Int64("other_whole_ms", (chosen.TotalTime+chosen.RoundTrip).Milliseconds()),
+		slog.Int64("other_first_ms", (chosen.TTFT+chosen.RoundTrip).Milliseconds()),
 	)
 }
 
@@ -211,38 +211,38 @@
 	load := placement.Load{
 		Region: n.deployment.Region,
 	}
-	load.ToRead = float64(c.PromptTokens)
+	load.PrefillTokens = float64(c.PromptTokens)
 	pool, ok := n.pools.find(c.Target())
 	if !ok {
 		return load
 	}
 	expected, ok := pool.Endpoints.Expect(routing.Request{
 		PrefixHash:   c.PrefixHash,
-		Prefixes:     routing.Prefixes(c.Workspace, c.Routed.Parts),
+		Prefixes:     routing.Prefixes(c.Workspace, c.Routed.PromptParts),
 		Homes:        c.Routed.Homes,
 		PromptTokens: c.PromptTokens,
 		MaxTokens:    c.MaxTokens,
 		AnswerTokens: c.Routed.AnswerTokens,
 		Priority:     c.Priority,
-		Turn:         c.Routed.Turn(),
+		QueueLevel:   c.Routed.QueueLevel(),
 	}, now)
 	if !ok {
 		return load
 	}
-	load.Endpoints = pool.Endpoints.Supply(now).Endpoints
-	load.First = expected.First
-	load.Whole = expected.Whole()
-	load.Answer = expected.Answer
-	load.ToRead = expected.ToRead
-	load.Long = expected.Long
-	load.LongWhole = expected.First + time.Duration(expected.Long*float64(expected.Token))
+	load.Endpoints = pool.Endpoints.Capacity(now).Endpoints
+	load.TTFT = expected.TTFT
+	load.TotalTime = expected.TotalTime()
+	load.AnswerTokens = expected.AnswerTokens
+	load.PrefillTokens = expected.PrefillTokens
+	load.AnswerTokensP90 = expected.AnswerTokensP90
+	load.TotalTimeP90 = expected.TTFT + time.Duration(expected.AnswerTokensP90*float64(expected.TokenTime))
 	return load
 }
 
 // remoteLoads estimates how other regions would serve the call, for those that are
 // allowed and have a reachable VM. local supplies the expected answer length.
 func (n *Node) remoteLoads(c *call.Call, snap *snapshot, tried []string, local placement.Load) []placement.Load {
-	if !n.settings.Has(settings.Borrowing) && local.Endpoints > 0 && c.Routed.Allows(n.deployment.Region) {
+	if !n.settings.Enabled(settings.Borrowing) && local.Endpoints > 0 && c.Routed.Allows(n.deployment.Region) {
 		return nil
 	}
 	var out []placement.Load
@@ -250,13 +250,13 @@
 		if !c.Routed.Allows(reported.Region) {
 			continue
 		}
-		if _, ok := pickVM(snap.members.Taking(reported.Region), tried); !ok {
+		if _, ok := pickVM(snap.members.AcceptingVMs(reported.Region), tried); !ok {
 			continue
 		}
 		load := reported.Load
-		load.First += n.remoteDelay(c, reported, local, len(snap.members.Taking(n.deployment.Region)))
-		load.Whole = load.First + time.Duration(local.Answer*float64(reported.timePerToken))
-		load.LongWhole = load.First + time.Duration(local.Long*float64(reported.timePerToken))
+		load.TTFT += n.remoteDelay(c, reported, local, len(snap.members.AcceptingVMs(n.deployment.Region)))
+		load.TotalTime = load.TTFT + time.Duration(local.AnswerTokens*float64(reported.timePerToken))
+		load.TotalTimeP90 = load.TTFT + time.Duration(local.AnswerTokensP90*float64(reported.timePerToken))
 		out = append(out, load)
 	}
 	return out
@@ -270,10 +270,10 @@
 		return 0
 	}
 	sentTokens := 0.0
-	if n.settings.Has(settings.SentAway) {
-		sentTokens = n.sentAway.Since(reported.Region, c.Target(), reported.reportedAt.Add(-reported.Way/2), vms)
+	if n.settings.Enabled(settings.SentAway) {
+		sentTokens = n.sentAway.Since(reported.Region, c.Target(), reported.reportedAt.Add(-reported.RoundTrip/2), vms)
 	}
-	queued := placement.Queued(sentTokens, reported.Endpoints, reported.prefillTokensPerSecond, n.now().Sub(reported.reportedAt))
-	tokens := local.ToRead - referencePromptTokens + queued
+	queued := placement.BacklogPerEndpoint(sentTokens, reported.Endpoints, reported.prefillTokensPerSecond, n.now().Sub(reported.reportedAt))
+	tokens := local.PrefillTokens - referencePromptTokens + queued
 	return time.Duration(tokens / reported.prefillTokensPerSecond * float64(time.Second))
 }
--- a/site/polling.go
+++ b/site/polling.go
@@ -75,7 +75,7 @@
 
 // pollInterval returns the interval at which each engine is polled.
 func (p *pools) pollInterval() time.Duration {
-	if p.node.control.snapshot().members.StoreAway() {
+	if p.node.control.snapshot().members.StoreUnreadable() {
 		return storeLostReportInterval
 	}
 	return reportInterval
@@ -107,7 +107,7 @@
 		return
 	}
 	salt := rand.Uint64() | 1
-	for _, vm := range relay.Heads(p.node.deployment.VM, salt, p.reachableVMs()) {
+	for _, vm := range relay.Relays(p.node.deployment.VM, salt, p.reachableVMs()) {
 		go p.sendReports(ctx, vm, list, salt)
 	}
 }
@@ -170,24 +170,24 @@
 
 // reachableVMs returns the reachable VMs of the region. The caller must not modify them.
 func (p *pools) reachableVMs() []fleet.VM {
-	return p.node.control.snapshot().members.Reached(p.node.deployment.Region)
+	return p.node.control.snapshot().members.ReachableVMs(p.node.deployment.Region)
 }
 
 // pollEngine requests the load of an engine if that is due, and probes whether it is
 // cold.
 func (p *pools) pollEngine(ctx context.Context, e fleet.Endpoint) {
 	due := p.reportDue(e)
-	asksCold := due || p.node.control.snapshot().members.StoreAway()
-	if !asksCold || !p.node.throttle.QuestionDue(e, requestsPerPoll, p.node.now()) {
+	asksCold := due || p.node.control.snapshot().members.StoreUnreadable()
+	if !asksCold || !p.node.throttle.ProbeDue(e, requestsPerPoll, p.node.now()) {
 		return
 	}
 	go p.probeCold(ctx, e)
-	if !due || !p.node.settings.Has(settings.Reports) || !p.node.acquireProbePermit(ctx, e, throttle.WayReport) {
+	if !due || !p.node.settings.Enabled(settings.Reports) || !p.node.acquireProbePermit(ctx, e, throttle.WayReport) {
 		return
 	}
 	timeoutCtx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
-	load, err := p.node.endpointClient.Report(timeoutCtx, e)
+	load, err := p.node.endpointClient.FetchLoad(timeoutCtx, e)
 	if err != nil {
 		p.node.log.Debug("report_failed", "endpoint", e.ID, "reason", err.Error())
 		p.reportUnreachable(ctx, e)
--- a/site/pools.go
+++ b/site/pools.go
@@ -70,7 +70,7 @@
 			after.engines = append(after.engines, e.Endpoint)
 		}
 		endpoint := e.Endpoint
-		if e.UnreachedUntil.IsZero() || unreachableServices[e.Service] {
+		if e.UnreachableUntil.IsZero() || unreachableServices[e.Service] {
 			after.available = append(after.available, endpoint)
 		} else {
 			// A leaving endpoint gets no calls, but the pool retains its statistics.
@@ -93,14 +93,14 @@
 // mostlyUnreachable returns the services of a region with more than half of their
 // endpoints unreachable. The cause is then likely on the side of the VMs, so the
 // endpoints stay in use.
-func mostlyUnreachable(endpoints []discovery.Ready, region string) map[string]bool {
+func mostlyUnreachable(endpoints []discovery.AvailableEndpoint, region string) map[string]bool {
 	total, unreached := make(map[string]int), make(map[string]int)
 	for _, e := range endpoints {
 		if e.Region != region {
 			continue
 		}
 		total[e.Service]++
-		if !e.UnreachedUntil.IsZero() {
+		if !e.UnreachableUntil.IsZero() {
 			unreached[e.Service]++
 		}
 	}
@@ -117,7 +117,7 @@
 	remote := p.remoteEndpoints(snap)
 	vms := p.countRegionVMs(snap)
 	for service, pool := range p.table.Load().byService {
-		pool.Endpoints.SetFar(remote[service])
+		pool.Endpoints.SetRemoteEndpoints(remote[service])
 		pool.Endpoints.SetVMs(vms)
 	}
 }
@@ -127,7 +127,7 @@
 func (p *pools) remoteEndpoints(snap *snapshot) map[string][]fleet.Endpoint {
 	out := make(map[string][]fleet.Endpoint)
 	for _, e := range snap.endpoints {
-		if e.Region != p.node.deployment.Region && len(snap.members.Reached(e.Region)) > 0 {
+		if e.Region != p.node.deployment.Region && len(snap.members.ReachableVMs(e.Region)) > 0 {
 			out[e.Service] = append(out[e.Service], e.Endpoint)
 		}
 	}
@@ -159,7 +159,7 @@
 		return existing
 	}
 	endpoints := routing.New(routing.Options{
-		Without: p.disabledRouting(),
+		Disabled: p.disabledRouting(),
 	})
 	return &pool{
 		Pool: serving.Pool{
@@ -174,15 +174,15 @@
 }
 
 // disabledRouting returns the routing mechanisms that the settings disable.
-func (p *pools) disabledRouting() routing.Without {
+func (p *pools) disabledRouting() routing.DisabledFeatures {
 	s := p.node.settings
-	return routing.Without{
-		Affinity:    !s.Has(settings.Affinity),
-		Fetches:     !s.Has(settings.Fetches),
-		FarFetches:  !s.Has(settings.FarFetches),
-		LivePace:    !s.Has(settings.LivePace),
-		BackOff:     !s.Has(settings.BackOff),
-		Corrections: !s.Has(settings.Corrections),
+	return routing.DisabledFeatures{
+		Affinity:          !s.Enabled(settings.Affinity),
+		CacheFetch:        !s.Enabled(settings.Fetches),
+		RemoteCacheFetch:  !s.Enabled(settings.FarFetches),
+		LiveTokenTime:     !s.Enabled(settings.LivePace),
+		Backoff:           !s.Enabled(settings.BackOff),
+		LatencyCorrection: !s.Enabled(settings.Corrections),
 	}
 }
 
@@ -192,7 +192,7 @@
 		Ratio:  bounds.RetryRatio,
 		Slack:  bounds.RetrySlack,
 		Length: bounds.RetryWindow,
-		VMs:    func() int { return p.node.control.snapshot().members.Most },
+		VMs:    func() int { return p.node.control.snapshot().members.MaxKnown },
 		Now:    p.node.now,
 
 		SlackFrom: p.node.startedAt.Add(bounds.RetryWindow),
--- a/site/pull.go
+++ b/site/pull.go
@@ -100,7 +100,7 @@
 	}
 	// The only error is the end of the context.
 	_, _ = query(timeoutCtx, n.control, func(c *control, now time.Time) bool {
-		c.discovery.SettleUntil(now.Add(time.Duration(reply.GetSettlingMs()) * time.Millisecond))
+		c.discovery.ExtendGrace(now.Add(time.Duration(reply.GetSettlingMs()) * time.Millisecond))
 		c.applyAndSpread(ctx, c.mergeRead(read), now)
 		return true
 	})
@@ -110,7 +110,7 @@
 // region are reachable, which will soon hold the same revision.
 func (p *puller) prefersLocal(vm fleet.VM) bool {
 	own := p.node.deployment.Region
-	return vm.Region != own && len(p.node.control.snapshot().members.Reached(own)) > 1
+	return vm.Region != own && len(p.node.control.snapshot().members.ReachableVMs(own)) > 1
 }
 
 // handlePublished returns the store contents that this VM holds after a revision.
@@ -127,14 +127,14 @@
 // packReply encodes a reply. A full reply is encoded once for all requests.
 func (p *puller) packReply(r *peerpb.PublishedReply) (*peerpb.PublishedReply, error) {
 	if !r.GetWhole() {
-		return peer.Pack(r)
+		return peer.CompressItems(r)
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.fullReply.GetRevision() == r.GetRevision() && p.fullReply.GetSettlingMs() == r.GetSettlingMs() {
 		return p.fullReply, nil
 	}
-	packed, err := peer.Pack(r)
+	packed, err := peer.CompressItems(r)
 	if err != nil {
 		return nil, err
 	}
@@ -143,11 +143,11 @@
 }
 
 func (c *control) publishedReply(revision uint64, now time.Time) *peerpb.PublishedReply {
-	items, full := c.mirror.Since(revision)
+	items, full := c.mirror.ChangesSince(revision)
 	reply := &peerpb.PublishedReply{
 		Revision:   c.mirror.Revision(),
 		Whole:      full,
-		SettlingMs: uint32(c.discovery.Settling(now).Milliseconds()),
+		SettlingMs: uint32(c.discovery.GraceRemaining(now).Milliseconds()),
 	}
 	for _, item := range items {
 		reply.Items = append(reply.Items, &peerpb.PublishedItem{
--- a/site/quarantine.go
+++ b/site/quarantine.go
@@ -14,23 +14,23 @@
 // newQuarantineAgent returns the agent that holds back calls that crash endpoints.
 func (n *Node) newQuarantineAgent() *agent.Agent {
 	return agent.New(agent.Options{
-		VM:     n.deployment.VM,
-		Log:    n.log,
-		Now:    n.now,
-		Dial:   tcp.Reach,
-		Listed: n.isPublished,
-		VMs:    n.reachableMembers,
-		Tell: func(ctx context.Context, to fleet.VM, note quarantine.Note) error {
+		VM:        n.deployment.VM,
+		Log:       n.log,
+		Now:       n.now,
+		Dial:      tcp.Probe,
+		Published: n.isPublished,
+		VMs:       n.reachableMembers,
+		Send: func(ctx context.Context, to fleet.VM, note quarantine.Note) error {
 			return n.peers.Crashes(ctx, to, n.identity(), note)
 		},
-		Count: n.metrics.SetHeld,
+		OnCountChanged: n.metrics.SetQuarantinedCalls,
 	})
 }
 
 // isPublished reports whether the store lists this incarnation of an endpoint as
 // accepting work.
 func (n *Node) isPublished(e fleet.Endpoint) bool {
-	return slices.ContainsFunc(n.control.snapshot().endpoints, func(known discovery.Ready) bool {
+	return slices.ContainsFunc(n.control.snapshot().endpoints, func(known discovery.AvailableEndpoint) bool {
 		return known.ID == e.ID && known.Incarnation == e.Incarnation
 	})
 }
@@ -47,5 +47,5 @@
 			})
 		}
 	}
-	return vms, len(vms) < members.Most
+	return vms, len(vms) < members.MaxKnown
 }
--- a/site/reports.go
+++ b/site/reports.go
@@ -13,7 +13,7 @@
 const (
 	// reportInterval is the interval at which one VM of the region polls the load of an
 	// engine.
-	reportInterval = survey.BusyEvery
+	reportInterval = survey.BusyPollInterval
 	// storeLostReportInterval replaces reportInterval during a store outage, when polls are
 	// the only way to learn that an endpoint is cold.
 	storeLostReportInterval = 150 * time.Millisecond
@@ -50,7 +50,7 @@
 	}
 	p.reports.mu.Lock()
 	defer p.reports.mu.Unlock()
-	return survey.IsDue(p.reports.latest[e.ID].load, inFlight, p.node.now())
+	return survey.IsPollDue(p.reports.latest[e.ID].load, inFlight, p.node.now())
 }
 
 // recordReport stores a report if it is newer than the current one.
@@ -94,7 +94,7 @@
 	var out []*peerpb.EngineReport
 	for _, e := range engines {
 		r, ok := p.reports.latest[e.ID]
-		if ok && !r.load.At.Before(since) && survey.IsNews(p.reports.lastBroadcast[e.ID], r.load) {
+		if ok && !r.load.At.Before(since) && survey.ShouldPublish(p.reports.lastBroadcast[e.ID], r.load) {
 			p.reports.lastBroadcast[e.ID] = r.load
 			out = append(out, r.message(e.ID, now))
 		}
--- a/site/resume.go
+++ b/site/resume.go
@@ -26,7 +26,7 @@
 // probeAfterPause probes all endpoints of the region once after each process pause.
 // Other VMs may have been paused too, pollers included.
 func (c *control) probeAfterPause(ctx context.Context, now time.Time) {
-	resuming := c.roster.Waking()
+	resuming := c.roster.Resuming()
 	if resuming && !c.resuming {
 		go c.node.pools.probeAllCold(ctx, now)
 	}
@@ -42,7 +42,7 @@
 		probes.Go(func() { p.probeCold(timeoutCtx, e) })
 	}
 	probes.Wait()
-	p.node.control.send(ctx, func(c *control, _ time.Time) { c.roster.News(startedAt) })
+	p.node.control.send(ctx, func(c *control, _ time.Time) { c.roster.RecordProbe(startedAt) })
 }
 
 // awaitFreshState blocks until the endpoint state is newer than the last process pause.
@@ -50,9 +50,9 @@
 // become cold.
 func (n *Node) awaitFreshState(ctx context.Context) *result.Refusal {
 	deadline := n.now().Add(resumeTimeout)
-	for now := n.now(); !n.control.snapshot().members.Current(now); now = n.now() {
+	for now := n.now(); !n.control.snapshot().members.Fresh(now); now = n.now() {
 		if ctx.Err() != nil || !now.Before(deadline) {
-			return result.Refuse(result.NotReady, "VM %s has paused and has no news of the endpoints yet", n.deployment.VM).Until(now.Add(resumeTimeout))
+			return result.Refuse(result.NotReady, "VM %s has paused and has no news of the endpoints yet", n.deployment.VM).WithRetryAt(now.Add(resumeTimeout))
 		}
 		worker.SleepUntil(ctx, now, now.Add(resumePollInterval))
 	}
--- a/site/servers.go
+++ b/site/servers.go
@@ -51,19 +51,19 @@
 		return server.Serve(ctx, peers)
 	})
 	directory := &http.Server{
-		Handler: platform.NewDirectory(platform.DirectoryOptions{
-			Entries: n.entryAddrs,
-			GoodFor: n.entriesTTL(),
+		Handler: platform.NewDirectoryHandler(platform.DirectoryOptions{
+			Resolve: n.entryAddrs,
+			TTL:     n.entriesTTL(),
 		}),
 		ReadHeaderTimeout: readHeaderTimeout,
 	}
 	checks := &http.Server{
-		Handler:           platform.NewReady(n.ready),
+		Handler:           platform.NewReadinessHandler(n.ready),
 		ReadHeaderTimeout: readHeaderTimeout,
 	}
 	servers := []httpServer{
 		{addr: n.deployment.CallerAddr, server: n.callerServer},
-		{addr: n.deployment.EntryAddr, server: directory},
+		{addr: n.deployment.DirectoryAddr, server: directory},
 		{addr: n.deployment.ReadyAddr, server: checks},
 	}
 	if port := n.settings.MetricsPort; port > 0 {
@@ -74,7 +74,7 @@
 		if err != nil {
 			return err
 		}
-		ln := listen.NewStopping(inner)
+		ln := listen.NewStoppableListener(inner)
 		if srv.server == n.callerServer {
 			n.callerListener.Store(ln)
 		}
--- a/site/site.go
+++ b/site/site.go
@@ -89,11 +89,11 @@
 	store          *platform.Client
 	decoder        platform.Decoder
 	peers          *peer.Client
-	transit        *peer.Transit
+	transit        *peer.DelayEstimator
 	endpointClient *endpoint.Client
 	pools          *pools
-	sentAway       *placement.Sent
-	lateOutcomes   *placement.Late
+	sentAway       *placement.SentTokens
+	lateOutcomes   *placement.MissTracker
 	quarantine     *agent.Agent
 	serving        *serving.Server
 	meter          *metering.Meter
@@ -108,7 +108,7 @@
 	bounds   atomic.Pointer[platform.Bounds]
 	draining atomic.Bool
 	// openConns counts the open connections of callerListener.
-	callerListener atomic.Pointer[listen.Stopping]
+	callerListener atomic.Pointer[listen.StoppableListener]
 	openConns      atomic.Int64
 	// inSyncAt is when this VM last had the revision of the store or of its reader, in
 	// nanoseconds since the epoch. droppedReported is the number of dropped lines already
@@ -143,8 +143,8 @@
 			Regions: d.Regions,
 		},
 		stopped:      make(chan struct{}),
-		sentAway:     placement.NewSent(),
-		lateOutcomes: placement.NewLate(),
+		sentAway:     placement.NewSentTokens(),
+		lateOutcomes: placement.NewMissTracker(),
 	}
 	n.bounds.Store(&d.Bounds)
 	n.timeline = timeline.New(timeline.Options{
@@ -153,16 +153,16 @@
 		Now:      n.now,
 	})
 	n.store = platform.New(platform.Options{
-		URL:         d.StoreURL,
-		ReplyWithin: storeTimeout,
-		Now:         n.now,
+		URL:          d.StoreURL,
+		ReplyTimeout: storeTimeout,
+		Now:          n.now,
 	})
-	n.transit = peer.NewTransit(n.now)
+	n.transit = peer.NewDelayEstimator(n.now)
 	n.peers = peer.New(peer.Options{
 		Dial:       dialPeer,
 		CountBytes: n.countPeerBytes,
 		Now:        n.now,
-		Transit:    n.transit,
+		Delays:     n.transit,
 
 		CountMessage: n.countPeerMessage,
 		Region:       d.Region,
@@ -179,23 +179,23 @@
 	n.quarantine = n.newQuarantineAgent()
 	n.meter = newMeter(n)
 	n.throttle = throttle.New(throttle.Options{
-		VM:        d.VM,
-		StartedAt: n.startedAt,
-		Changed:   n.endpointLimitChanged,
+		VM:             d.VM,
+		StartedAt:      n.startedAt,
+		OnLimitChanged: n.endpointLimitChanged,
 	})
 	n.serving = n.newServing()
 	n.callerServer = n.newCallerServer()
 	limitMemory(d.MemoryBytes)
 	if own != nil {
-		own.OnWake(n.onResume)
+		own.OnResume(n.onResume)
 	}
 	return n
 }
 
 // countPeerBytes counts the bytes on connections between VMs.
 func (n *Node) countPeerBytes(sent, received int) {
-	n.metrics.Control(metrics.DirectionOut, sent)
-	n.metrics.Control(metrics.DirectionIn, received)
+	n.metrics.AddControlBytes(metrics.DirectionOut, sent)
+	n.metrics.AddControlBytes(metrics.DirectionIn, received)
 }
 
 // countPeerMessage counts the payload bytes of a request to another VM and of its reply.
@@ -237,23 +237,23 @@
 		PlaceRouted: n.place,
 		Endpoint:    n.endpointClient,
 		Budget:      n.pools.retryBudget(),
-		Crashes: serving.Crashes{
-			Admit:     n.quarantine.Admit,
-			Cut:       n.quarantine.Cut,
-			EndedWell: n.quarantine.EndedWell,
+		Quarantine: serving.Quarantine{
+			Admit:          n.quarantine.Admit,
+			ConnectionLost: n.quarantine.ConnectionLost,
+			Succeeded:      n.quarantine.Succeeded,
 		},
 		Limits: serving.Limits{
-			Take:     n.chargeLimit,
-			GiveBack: n.refundLimit,
+			Take:   n.chargeLimit,
+			Refund: n.refundLimit,
 		},
 		Throttle: serving.Throttle{
-			Take:       n.acquirePermit,
-			Sending:    n.usePermit,
-			Answered:   n.observeRate,
-			ComeBackAt: n.retryAt,
+			Take:          n.acquirePermit,
+			UsePermit:     n.usePermit,
+			ObserveRate:   n.observeRate,
+			CallerRetryAt: n.retryAt,
 		},
-		Ring:    n.timeline,
-		Metrics: n.metrics,
+		Timeline: n.timeline,
+		Metrics:  n.metrics,
 	})
 }
 
@@ -263,10 +263,10 @@
 		Log:    n.log,
 		Admit:  n.admit,
 		Limits: n.limits,
-		Draw:   mathrand.Uint64,
+		Rand:   mathrand.Uint64,
 		Serve:  n.serve,
 
-		Closing: n.draining.Load,
+		Draining: n.draining.Load,
 	})
 	return &http.Server{
 		Handler:           ingress,
@@ -279,13 +279,13 @@
 }
 
 // admit looks up a request in the current routing table.
-func (n *Node) admit(a route.Ask) (route.Terms, *result.Refusal) {
+func (n *Node) admit(a route.AdmitRequest) (route.Admission, *result.Refusal) {
 	table := n.control.snapshot().table
 	if table == nil {
-		return route.Terms{}, result.Refuse(result.NotReady, "no configuration is known yet").Until(n.now().Add(notReadyRetryAfter))
+		return route.Admission{}, result.Refuse(result.NotReady, "no configuration is known yet").WithRetryAt(n.now().Add(notReadyRetryAfter))
 	}
-	if table.Keyed() && n.keysTooStale() {
-		return route.Terms{}, result.Refuse(result.NotReady, "VM %s has not heard of the store for too long to know which keys have ended", n.deployment.VM).Until(n.now().Add(notReadyRetryAfter))
+	if table.RequiresKey() && n.keysTooStale() {
+		return route.Admission{}, result.Refuse(result.NotReady, "VM %s has not heard of the store for too long to know which keys have ended", n.deployment.VM).WithRetryAt(n.now().Add(notReadyRetryAfter))
 	}
 	return table.Admit(a)
 }
@@ -310,12 +310,12 @@
 // calls, or of other regions if there are none.
 func (n *Node) entryAddrs(l platform.Lookup) []string {
 	snap := n.control.snapshot()
-	vms := snap.members.Taking(l.Region)
+	vms := snap.members.AcceptingVMs(l.Region)
 	if len(vms) == 0 {
 		vms = n.entryVMsElsewhere(l.Host, snap)
 	}
 	var out []string
-	for _, vm := range entry.Near(l.Addr, l.DataCentre, vms, platform.MaxEntries) {
+	for _, vm := range entry.SelectVMs(l.Addr, l.DataCentre, vms, platform.MaxDirectoryAddrs) {
 		out = append(out, vm.CallerAddr)
 	}
 	return out
@@ -328,8 +328,8 @@
 		return nil
 	}
 	var out []fleet.VM
-	for _, other := range entry.Elsewhere(n.deployment.Region, snap.table.Bound(host), snap.members.TakingRegions()) {
-		out = append(out, snap.members.Taking(other)...)
+	for _, other := range entry.FallbackRegions(n.deployment.Region, snap.table.RegionRestrictions(host), snap.members.AcceptingRegions()) {
+		out = append(out, snap.members.AcceptingVMs(other)...)
 	}
 	return out
 }
@@ -341,7 +341,7 @@
 	n.store.SetURL(d.StoreURL)
 	n.control.send(ctx, func(c *control, _ time.Time) {
 		c.roster.SetSeeds(d.Seeds)
-		c.discovery.SetGrace(d.Bounds.LapseWithin)
+		c.discovery.SetGrace(d.Bounds.EntryRenewalTimeout)
 	})
 	n.log.Info("reloaded", "seeds", len(d.Seeds), "store", d.StoreURL)
 }
@@ -358,7 +358,7 @@
 	worker.Add(&group, n.pools.sharePendingPrompts)
 	worker.Add(&group, n.quarantine.Run)
 	worker.Add(&group, n.sendLimitNotes)
-	worker.AddStop(ctx, &group, n.stopped, n.stop)
+	worker.AddShutdown(ctx, &group, n.stopped, n.stop)
 	n.log.Info("started",
 		"region", n.deployment.Region,
 		"incarnation", n.incarnation,
@@ -368,7 +368,7 @@
 
 // entriesTTL returns how long callers may cache the addresses of VMs.
 func (n *Node) entriesTTL() time.Duration {
-	if bound := n.bounds.Load().EntriesGoodFor; bound > 0 {
+	if bound := n.bounds.Load().EntriesTTL; bound > 0 {
 		return min(bound, maxEntriesTTL)
 	}
 	return maxEntriesTTL
--- a/site/stop.go
+++ b/site/stop.go
@@ -23,7 +23,7 @@
 // stop shuts the process down gracefully: it announces the shutdown to peers and callers
 // and waits for calls in flight.
 func (n *Node) stop() {
-	timeout := n.bounds.Load().StopWithin
+	timeout := n.bounds.Load().StopTimeout
 	if timeout <= 0 {
 		timeout = defaultStopTimeout
 	}
--- a/site/store.go
+++ b/site/store.go
@@ -69,7 +69,7 @@
 func (n *Node) readOnce(ctx context.Context, full bool) (storeRead, error) {
 	startedAt := n.now()
 	if full {
-		items, revision, err := n.store.All(ctx, platform.Everything)
+		items, revision, err := n.store.All(ctx, platform.AllKeysPrefix)
 		return storeRead{
 			items:     items,
 			revision:  revision,
@@ -79,7 +79,7 @@
 	}
 	after := n.control.snapshot().revision
 	deadline := startedAt.Add(n.watchTimeout())
-	items, revision, err := n.store.Changes(ctx, platform.Everything, after, deadline)
+	items, revision, err := n.store.Changes(ctx, platform.AllKeysPrefix, after, deadline)
 	return storeRead{
 		items:     items,
 		revision:  revision,
@@ -101,10 +101,10 @@
 	// The only error is the end of the context.
 	_, _ = query(ctx, n.control, func(c *control, now time.Time) bool {
 		defer n.advanceFreshness(read.freshAsOf)
-		if c.discovery.StoreBack(now) {
+		if c.discovery.StoreRecovered(now) {
 			n.log.Info("store_back", "revision", read.revision)
 		}
-		c.roster.SetTurnedAway(false)
+		c.roster.SetStoreUnreadable(false)
 		c.applyAndSpread(ctx, c.mergeRead(read), now)
 		return true
 	})
@@ -122,7 +122,7 @@
 	if snap.table == nil {
 		return n.mayReadInitially()
 	}
-	return snap.members.Reads(readersPerRegion)
+	return snap.members.ReadsStore(readersPerRegion)
 }
 
 const (
@@ -174,7 +174,7 @@
 		return
 	}
 	n.control.send(ctx, func(c *control, _ time.Time) {
-		c.roster.SetTurnedAway(true)
+		c.roster.SetStoreUnreadable(true)
 		if c.discovery.StoreLost() {
 			n.log.Warn("store_lost", "reason", err.Error(), "revision", c.mirror.Revision())
 		}
--- a/site/throttle.go
+++ b/site/throttle.go
@@ -22,11 +22,11 @@
 // acquirePermit requests a permit to send one request to an endpoint. Without a permit
 // it returns when the endpoint accepts the next request.
 func (n *Node) acquirePermit(ctx context.Context, e fleet.Endpoint) (permit *throttle.Permit, opensAt time.Time) {
-	v := n.throttle.Take(e, n.control.snapshot().throttleRegion(), n.now())
+	v := n.throttle.Acquire(e, n.control.snapshot().throttleRegion(), n.now())
 	if v.Keeper != nil {
 		v = n.requestPermit(ctx, v)
 	}
-	return v.Permit, v.OpensAt
+	return v.Permit, v.RetryAt
 }
 
 // requestPermit asks the VM that keeps the rate limit of an endpoint.
@@ -38,16 +38,16 @@
 		// The caller left or the deadline has passed, which does not mean that the keeper
 		// failed.
 		return throttle.Verdict{
-			OpensAt: n.now(),
+			RetryAt: n.now(),
 		}
 	}
 	if err != nil {
 		n.log.Debug("permit_failed", "peer", v.Keeper.ID, "endpoint", v.Limit.Endpoint, "reason", err.Error())
-		n.metrics.PermitAsked(permitUnanswered)
-		return n.throttle.Unanswered(v, n.now())
+		n.metrics.CountPermitRequest(permitUnanswered)
+		return n.throttle.HandleTimeout(v, n.now())
 	}
-	n.metrics.PermitAsked(permitOutcome(a))
-	return n.throttle.Decided(v, a, n.now())
+	n.metrics.CountPermitRequest(permitOutcome(a))
+	return n.throttle.HandleAnswer(v, a, n.now())
 }
 
 // Outcomes of permit requests, as labels of the metrics.
@@ -62,7 +62,7 @@
 	switch {
 	case a.Granted:
 		return permitGranted
-	case !a.Kept:
+	case !a.IsCoordinator:
 		return permitNotKept
 	default:
 		return permitRefused
@@ -71,28 +71,28 @@
 
 // handlePermitRequest answers a permit request of another VM.
 func (n *Node) handlePermitRequest(l throttle.Limit) throttle.Answer {
-	return n.throttle.Ask(l, n.control.snapshot().throttleRegion(), n.now())
+	return n.throttle.HandleRequest(l, n.control.snapshot().throttleRegion(), n.now())
 }
 
 // usePermit is called immediately before the first byte of a request is sent.
-func (n *Node) usePermit(e fleet.Endpoint, p *throttle.Permit, purpose throttle.Way) error {
-	if refusal := n.throttle.Sending(e, p, n.now()); refusal != nil {
+func (n *Node) usePermit(e fleet.Endpoint, p *throttle.Permit, purpose throttle.RequestKind) error {
+	if refusal := n.throttle.UsePermit(e, p, n.now()); refusal != nil {
 		return refusal
 	}
 	if n.throttle.IsLimited(e) {
-		n.metrics.ThrottledSend(purpose)
+		n.metrics.CountRateLimitedSend(purpose)
 	}
 	return nil
 }
 
 // retryAt returns when a caller may retry if all endpoints of a service are closed.
 func (n *Node) retryAt(service string, endpointIDs []string, opensAt time.Time) time.Time {
-	return n.throttle.ComeBackAt(service, endpointIDs, opensAt, n.control.snapshot().throttleRegion(), n.now())
+	return n.throttle.CallerRetryAt(service, endpointIDs, opensAt, n.control.snapshot().throttleRegion(), n.now())
 }
 
 // acquireProbePermit reports whether a load or health request may be sent to an endpoint
 // now, and uses a permit for it.
-func (n *Node) acquireProbePermit(ctx context.Context, e fleet.Endpoint, purpose throttle.Way) bool {
+func (n *Node) acquireProbePermit(ctx context.Context, e fleet.Endpoint, purpose throttle.RequestKind) bool {
 	permit, _ := n.acquirePermit(ctx, e)
 	return permit != nil && n.usePermit(e, permit, purpose) == nil
 }
@@ -102,7 +102,7 @@
 	if r.Unreadable {
 		n.log.Warn("endpoint_limit_unreadable", "endpoint", e.ID)
 	}
-	n.throttle.Answered(e, r, sentAt, n.now())
+	n.throttle.ObserveRate(e, r, sentAt, n.now())
 }
 
 // endpointLimitChanged logs a changed rate limit, reopens the endpoint if the limit was
@@ -124,7 +124,7 @@
 	if !n.endpointLimitsPending.CompareAndSwap(false, true) {
 		return
 	}
-	queued := n.control.inbox.Offer(func(c *control, now time.Time) {
+	queued := n.control.inbox.TrySend(func(c *control, now time.Time) {
 		n.endpointLimitsPending.Store(false)
 		c.spread(context.Background(), endpointLimitFanout, now)
 	})
@@ -136,7 +136,7 @@
 func endpointLimitMessages(limits []throttle.Limit) []*peerpb.EndpointLimit {
 	out := make([]*peerpb.EndpointLimit, 0, len(limits))
 	for _, l := range limits {
-		out = append(out, peer.EndpointLimitMessage(l))
+		out = append(out, peer.EndpointLimitToProto(l))
 	}
 	return out
 }
@@ -144,30 +144,30 @@
 // reopen lets calls go to a closed endpoint again.
 func (p *pools) reopen(endpointID string) {
 	for _, pool := range p.table.Load().byService {
-		pool.Endpoints.CloseUntil(endpointID, time.Time{})
+		pool.Endpoints.PauseUntil(endpointID, time.Time{})
 	}
 }
 
 // throttleRegion returns the members as the throttle needs them.
-func (snap *snapshot) throttleRegion() throttle.Region {
-	return throttle.Region{
-		Near:  snap.meteringFleet.Near,
-		Known: snap.meteringFleet.Known,
+func (snap *snapshot) throttleRegion() throttle.RegionView {
+	return throttle.RegionView{
+		Reachable: snap.meteringFleet.Local,
+		Known:     snap.meteringFleet.Known,
 	}
 }
 
 // applyEndpointLimits merges endpoint rate limits reported by a VM of the region.
 func (c *control) applyEndpointLimits(list []*peerpb.EndpointLimit, now time.Time) {
 	for _, m := range list {
-		c.node.throttle.Learn(peer.EndpointLimitFromMessage(m), now)
+		c.node.throttle.Learn(peer.EndpointLimitFromProto(m), now)
 	}
 }
 
 // pruneEndpointLimits drops the limits of endpoints that are no longer published.
-func (c *control) pruneEndpointLimits(endpoints []discovery.Ready, now time.Time) {
+func (c *control) pruneEndpointLimits(endpoints []discovery.AvailableEndpoint, now time.Time) {
 	published := make(map[string]bool, len(endpoints))
 	for _, e := range endpoints {
 		published[e.ID] = true
 	}
-	c.node.throttle.Listed(func(id string) bool { return published[id] }, now)
+	c.node.throttle.SetPublished(func(id string) bool { return published[id] }, now)
 }
--- a/site/unreachable.go
+++ b/site/unreachable.go
@@ -27,7 +27,7 @@
 	}
 	p.node.control.send(ctx, func(c *control, now time.Time) {
 		until := now.Add(unreachableTTL)
-		if c.discovery.Unreached(e.ID, until, now) {
+		if c.discovery.ReportUnreachable(e.ID, until, now) {
 			c.markUnreachable(e.ID, until, now)
 			c.spread(context.WithoutCancel(ctx), unreachableFanout, now)
 		}
@@ -45,7 +45,7 @@
 	changed := false
 	for _, m := range list {
 		until := sentAt.Add(time.Duration(m.GetLeftMs()) * time.Millisecond)
-		if c.discovery.Unreached(m.GetEndpoint(), until, now) {
+		if c.discovery.ReportUnreachable(m.GetEndpoint(), until, now) {
 			c.markUnreachable(m.GetEndpoint(), until, now)
 			changed = true
 		}
@@ -55,13 +55,13 @@
 	}
 }
 
-func unreachableMessages(endpoints []discovery.Ready, now time.Time) []*peerpb.UnreachedEndpoint {
+func unreachableMessages(endpoints []discovery.AvailableEndpoint, now time.Time) []*peerpb.UnreachedEndpoint {
 	var out []*peerpb.UnreachedEndpoint
 	for _, e := range endpoints {
-		if !e.UnreachedUntil.IsZero() {
+		if !e.UnreachableUntil.IsZero() {
 			out = append(out, &peerpb.UnreachedEndpoint{
 				Endpoint: e.ID,
-				LeftMs:   uint32(e.UnreachedUntil.Sub(now).Milliseconds()),
+				LeftMs:   uint32(e.UnreachableUntil.Sub(now).Milliseconds()),
 			})
 		}
 	}
--- a/standin/caller/result.go
+++ b/standin/caller/result.go
@@ -26,8 +26,8 @@
 	DoneAt    time.Time `json:"done_at"`
 	VM        string    `json:"vm"`
 	RequestID string    `json:"request_id"`
-	// Tries counts the attempts, including those that failed to get entries.
-	Tries int `json:"tries"`
+	// Attempts counts the attempts, including those that failed to get entries.
+	Attempts int `json:"tries"`
 	// Ticket is the ticket that the call was sent with.
 	Ticket string `json:"ticket,omitempty"`
 	// ComeBackAt is the retry time that the last refusal named.
--- a/standin/caller/retry.go
+++ b/standin/caller/retry.go
@@ -121,7 +121,7 @@
 	}
 	r.StartedAt = startedAt
 	r.DoneAt = time.Now()
-	r.Tries = tries
+	r.Attempts = tries
 	return r
 }
 
@@ -134,7 +134,7 @@
 		var refusal *result.Refusal
 		if errors.As(err, &refusal) {
 			a.Code = refusal.Code
-			a.ComeBackAt = refusal.ComeBackAt
+			a.ComeBackAt = refusal.RetryAt
 		}
 		return a, ctx.Err() == nil
 	}
--- a/standin/caller/retry_test.go
+++ b/standin/caller/retry_test.go
@@ -105,7 +105,7 @@
 	assert.Equal(t, last.Code, c.Code, last.Message)
 	assert.Equal(t, last.Class, c.Class)
 	assert.Equal(t, last.Text, c.Text)
-	assert.Equal(t, last.Tries, c.Tries)
+	assert.Equal(t, last.Attempts, c.Tries)
 	assert.Equal(t, last.DoneAt.Sub(start).String(), c.Took)
 }
 
--- a/standin/command_load.go
+++ b/standin/command_load.go
@@ -81,7 +81,7 @@
 		Rate:        f.rate,
 		Duration:    f.duration,
 		WarmUp:      f.warmUp,
-		Day:         f.day,
+		DayLength:   f.day,
 		Peak:        f.peak,
 		Direct:      f.direct,
 		MaxTries:    f.maxTries,
--- a/standin/endpoint/load.go
+++ b/standin/endpoint/load.go
@@ -68,7 +68,7 @@
 func (e *Endpoint) loadReport(f fault.Faults) loadReport {
 	l := e.reports.get()
 	l.Slots = e.options.Slots
-	if f.LieLoad {
+	if f.ReportIdle {
 		l = loadReport{
 			At:    time.Now(),
 			Slots: e.options.Slots,
--- a/standin/fault/fault.go
+++ b/standin/fault/fault.go
@@ -34,8 +34,8 @@
 	Freeze contract.Duration `json:"freeze"`
 	// Late delays the header of each response.
 	Late contract.Duration `json:"late"`
-	// LieLoad reports an idle engine regardless of the load.
-	LieLoad bool `json:"lie_load"`
+	// ReportIdle reports an idle engine regardless of the load.
+	ReportIdle bool `json:"lie_load"`
 	// Silent accepts requests and never responds.
 	Silent bool `json:"silent"`
 }
--- a/standin/load/arrival.go
+++ b/standin/load/arrival.go
@@ -57,10 +57,10 @@
 
 // relativeRate returns a region's rate at a time, relative to its mean.
 func (o *Options) relativeRate(region int, at float64) float64 {
-	if o.Day <= 0 {
+	if o.DayLength <= 0 {
 		return 1
 	}
-	hour := at/o.Day.Seconds() - float64(region)/float64(len(o.Targets.Regions))
+	hour := at/o.DayLength.Seconds() - float64(region)/float64(len(o.Targets.Regions))
 	return 1 + o.Peak*math.Cos(2*math.Pi*hour)
 }
 
--- a/standin/load/collector.go
+++ b/standin/load/collector.go
@@ -85,7 +85,7 @@
 
 func (t *collector) addToTotals(c Call) {
 	t.totals.Calls++
-	t.totals.Tries += c.Result.Tries
+	t.totals.Tries += c.Result.Attempts
 	switch c.Result.Class {
 	case result.ClassDone:
 		t.totals.Done++
@@ -95,7 +95,7 @@
 		t.totals.Unknown++
 	}
 	if c.Result.Class == result.ClassDone && !c.Correct {
-		t.totals.Wrong++
+		t.totals.Incorrect++
 	}
 	if c.InTime {
 		t.totals.InTime++
@@ -103,7 +103,7 @@
 	if c.Result.Class != result.ClassDone {
 		t.addFailureOffset(c.Arrival.Offset)
 	}
-	if c.Result.Tries > 1 {
+	if c.Result.Attempts > 1 {
 		t.totals.Retried++
 	}
 }
--- a/standin/load/direct.go
+++ b/standin/load/direct.go
@@ -45,7 +45,7 @@
 func (d *directSender) send(ctx context.Context, a *Arrival, _ time.Time) caller.Result {
 	out := caller.Result{
 		StartedAt: time.Now(),
-		Tries:     1,
+		Attempts:  1,
 		Class:     result.ClassUnknown,
 	}
 	req, err := d.newRequest(ctx, a)
--- a/standin/load/load.go
+++ b/standin/load/load.go
@@ -33,8 +33,8 @@
 	Duration time.Duration
 	// WarmUp is the initial period whose calls are sent but not recorded.
 	WarmUp time.Duration
-	// Day is the length of a simulated day; zero keeps the rate constant.
-	Day time.Duration
+	// DayLength is the length of a simulated day; zero keeps the rate constant.
+	DayLength time.Duration
 	// Peak is the amplitude of the daily cycle relative to the mean rate, from
 	// 0 to 1. The regions' peaks are spread over the day.
 	Peak    float64
--- a/standin/load/load_test.go
+++ b/standin/load/load_test.go
@@ -43,16 +43,16 @@
 
 func (row scheduleRow) options() Options {
 	o := Options{
-		Seed:     7,
-		Rate:     row.Rate,
-		Duration: 20 * time.Second,
-		Day:      row.Day.Duration,
-		Peak:     row.Peak,
-		Mix:      tesfaye(),
-		MaxCalls: row.MaxCalls,
+		Seed:      7,
+		Rate:      row.Rate,
+		Duration:  20 * time.Second,
+		DayLength: row.Day.Duration,
+		Peak:      row.Peak,
+		Mix:       tesfaye(),
+		MaxCalls:  row.MaxCalls,
 	}
-	if o.Day > 0 {
-		o.Duration = o.Day
+	if o.DayLength > 0 {
+		o.Duration = o.DayLength
 		o.Rate /= 2
 	}
 	for _, share := range row.Regions {
@@ -201,7 +201,7 @@
 		assert.NilError(t, err)
 		record := r.Measure(t.Context())
 		assert.Equal(t, record.Done, len(r.arrivals), "%v", record.Codes)
-		assert.Equal(t, record.Wrong+record.Unknown+record.Shed, 0)
+		assert.Equal(t, record.Incorrect+record.Unknown+record.Shed, 0)
 		assert.Equal(t, record.Endpoints[0].Runs+record.serviceCalls(r), len(r.arrivals))
 		assert.Equal(t, record.Runs.Operations, r.nonIdempotentCalls())
 		var table strings.Builder
--- a/standin/load/mix.go
+++ b/standin/load/mix.go
@@ -121,7 +121,7 @@
 				FirstWithin:  3 * time.Second,
 				Within:       30 * time.Second,
 			},
-			Report(0.15),
+			ReportKind(0.15),
 		},
 	}
 }
@@ -166,8 +166,8 @@
 	}
 }
 
-// Report returns the kind of a long chat completion that tolerates delay.
-func Report(weight float64) Kind {
+// ReportKind returns the kind of a long chat completion that tolerates delay.
+func ReportKind(weight float64) Kind {
 	return Kind{
 		Name:         "report",
 		Weight:       weight,
@@ -180,17 +180,17 @@
 	}
 }
 
-// Flag returns the kind of a short, urgent chat completion.
-func Flag(weight float64) Kind {
+// TriageFlagKind returns the kind of a short, urgent chat completion.
+func TriageFlagKind(weight float64) Kind {
 	return triageFlag(weight)
 }
 
-// Lookup returns the kind of an idempotent service call.
-func Lookup(path string, weight float64) Kind {
+// LookupKind returns the kind of an idempotent service call.
+func LookupKind(path string, weight float64) Kind {
 	return lookup("lookup", path, weight)
 }
 
-// Booking returns the kind of a non-idempotent service call with a ticket.
-func Booking(path string, weight float64) Kind {
+// BookingKind returns the kind of a non-idempotent service call with a ticket.
+func BookingKind(path string, weight float64) Kind {
 	return booking("booking", path, weight)
 }
--- a/standin/load/record.go
+++ b/standin/load/record.go
@@ -24,9 +24,9 @@
 	Done    int `json:"done"`
 	NotRun  int `json:"not_run"`
 	Unknown int `json:"unknown"`
-	// Wrong counts calls reported as done whose answer is incomplete or belongs
+	// Incorrect counts calls reported as done whose answer is incomplete or belongs
 	// to another call.
-	Wrong int `json:"wrong"`
+	Incorrect int `json:"wrong"`
 	// InTime counts correct answers within the latency limits.
 	InTime int `json:"in_time"`
 	// FirstNotDone and LastNotDone are the earliest and latest scheduled
@@ -108,8 +108,8 @@
 	ControlBytes int `json:"control_bytes"`
 }
 
-// Find returns the latencies of the named group, or the zero value.
-func Find(groups []Latency, name string) Latency {
+// FindLatency returns the latencies of the named group, or the zero value.
+func FindLatency(groups []Latency, name string) Latency {
 	for _, l := range groups {
 		if l.Name == name {
 			return l
@@ -118,8 +118,8 @@
 	return Latency{}
 }
 
-// Cold returns the number of cold prefills in all regions.
-func (r *Record) Cold() int {
+// ColdPrefills returns the number of cold prefills in all regions.
+func (r *Record) ColdPrefills() int {
 	n := 0
 	for _, c := range r.Endpoints {
 		n += c.ColdPrefills
--- a/standin/load/send.go
+++ b/standin/load/send.go
@@ -34,7 +34,7 @@
 	for _, w := range region.Workspaces {
 		s.callers = append(s.callers, caller.New(caller.Options{
 			VMs:      region.VMs,
-			Direct:   region.AsGiven,
+			Direct:   region.FixedOrder,
 			Key:      w.Key,
 			Client:   r.options.Client,
 			MaxTries: r.options.MaxTries,
--- a/standin/load/table.go
+++ b/standin/load/table.go
@@ -16,7 +16,7 @@
 	t := tabwriter.NewWriter(w, 0, 0, columnPadding, ' ', 0)
 	row := func(cells string, args ...any) { _, _ = fmt.Fprintf(t, cells+"\n", args...) }
 	row("calls\tdone\tin time\tnot run\tunknown\twrong\tshed\tretried\ttries")
-	row("%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d", r.Calls, r.Done, r.InTime, r.NotRun, r.Unknown, r.Wrong, r.Shed, r.Retried, r.Tries)
+	row("%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d", r.Calls, r.Done, r.InTime, r.NotRun, r.Unknown, r.Incorrect, r.Shed, r.Retried, r.Tries)
 	for _, g := range []struct {
 		title  string
 		groups []Latency
--- a/standin/load/targets.go
+++ b/standin/load/targets.go
@@ -26,8 +26,8 @@
 	// VMs are the addresses ("ip:port") of the listeners for callers.
 	VMs        []string    `json:"vms"`
 	Workspaces []Workspace `json:"workspaces"`
-	// AsGiven uses the VMs in the given order instead of requesting entries.
-	AsGiven bool `json:"as_given,omitempty"`
+	// FixedOrder uses the VMs in the given order instead of requesting entries.
+	FixedOrder bool `json:"as_given,omitempty"`
 }
 
 // Workspace is a customer and its API key.
--- a/standin/replica/replica.go
+++ b/standin/replica/replica.go
@@ -50,8 +50,8 @@
 	FaultUnsigned
 	// FaultExtra sends a second response on the same connection.
 	FaultExtra
-	// Faults is the number of values of Fault.
-	Faults
+	// FaultCount is the number of values of Fault.
+	FaultCount
 )
 
 // Run is a request that a replica started to run, or rejected if Refused is set.
@@ -79,18 +79,18 @@
 	// them.
 	Events     int
 	EventEvery time.Duration
-	// Work is the processing time of a request that is not streamed.
-	Work time.Duration
+	// ProcessingTime is the processing time of a request that is not streamed.
+	ProcessingTime time.Duration
 	// Fault chooses the fault for each request; nil means FaultNone.
 	Fault func() Fault
-	// Observe is called for each request that runs or is shed. It must not be nil.
-	Observe func(Run)
-	// Asked is called for each load report and health probe; nil disables it.
-	Asked func(id string)
-	// Crashes reports whether a request to the path crashes the replica; nil means
+	// OnRequest is called for each request that runs or is shed. It must not be nil.
+	OnRequest func(Run)
+	// OnProbe is called for each load report and health probe; nil disables it.
+	OnProbe func(id string)
+	// CrashOn reports whether a request to the path crashes the replica; nil means
 	// never. Crashed is called once, after the crash.
-	Crashes func(path string) bool
-	Crashed func(*Replica)
+	CrashOn func(path string) bool
+	OnCrash func(*Replica)
 }
 
 // Replica is a running fake endpoint.
@@ -136,8 +136,8 @@
 	_ = r.server.Close()
 }
 
-// Entry returns the replica's next entry for the store.
-func (r *Replica) Entry(state string, coldFor time.Duration) map[string]any {
+// NextEntry returns the replica's next entry for the store.
+func (r *Replica) NextEntry(state string, coldFor time.Duration) map[string]any {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.entrySeq++
@@ -156,8 +156,8 @@
 
 func (r *Replica) serve(w http.ResponseWriter, req *http.Request) {
 	r.setLimitHeader(w)
-	if r.Asked != nil && (req.URL.Path == "/report" || req.URL.Path == "/health") {
-		r.Asked(r.ID)
+	if r.OnProbe != nil && (req.URL.Path == "/report" || req.URL.Path == "/health") {
+		r.OnProbe(r.ID)
 	}
 	if req.URL.Path == "/report" {
 		r.serveReport(w)
@@ -189,13 +189,13 @@
 		Workspace: req.Header.Get(headerWorkspace),
 		HasKey:    req.Header.Get("Authorization") != "",
 	}
-	r.Observe(run)
+	r.OnRequest(run)
 	if fault == FaultShed {
 		w.Header().Set(headerNotRun, "1")
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	if r.Crashes != nil && r.Crashes(req.URL.Path) {
+	if r.CrashOn != nil && r.CrashOn(req.URL.Path) {
 		sleep(req.Context(), crashDelay)
 		r.crashOnRequest()
 		panic(http.ErrAbortHandler)
@@ -218,7 +218,7 @@
 func (r *Replica) crashOnRequest() {
 	r.crashOnce.Do(func() {
 		r.Crash()
-		r.Crashed(r)
+		r.OnCrash(r)
 	})
 }
 
@@ -233,7 +233,7 @@
 		r.stream(w, req, id, fault)
 		return
 	}
-	sleep(req.Context(), r.Work)
+	sleep(req.Context(), r.ProcessingTime)
 	body := Body(id)
 	switch fault {
 	case FaultReset:
--- a/standin/store/store.go
+++ b/standin/store/store.go
@@ -110,8 +110,8 @@
 	return s.revision
 }
 
-// Forget compacts the history, so that watches from an older revision get 410.
-func (s *Store) Forget() {
+// Compact compacts the history, so that watches from an older revision get 410.
+func (s *Store) Compact() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.history = nil
--- a/survey/survey.go
+++ b/survey/survey.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	// BusyEvery is the polling interval of a busy engine.
-	BusyEvery = time.Second
+	// BusyPollInterval is the polling interval of a busy engine.
+	BusyPollInterval = time.Second
 	// IdlePollInterval is the polling interval of an idle engine. It bounds how late
 	// an unresponsive or cold one is detected.
 	IdlePollInterval = 3 * time.Second
@@ -29,19 +29,19 @@
 	minCacheChange = 0.05
 )
 
-// IsDue reports whether to poll an engine whose last load report is l. inFlight is
+// IsPollDue reports whether to poll an engine whose last load report is l. inFlight is
 // set if this VM has calls at the engine, which then counts as busy.
-func IsDue(l routing.Load, inFlight bool, now time.Time) bool {
-	interval := BusyEvery
+func IsPollDue(l routing.Load, inFlight bool, now time.Time) bool {
+	interval := BusyPollInterval
 	if isIdle(l) && !inFlight {
 		interval = IdlePollInterval
 	}
 	return now.Sub(l.At) >= interval-pollTolerance
 }
 
-// IsNews reports whether to publish load l, given the load published last, which is
+// ShouldPublish reports whether to publish load l, given the load published last, which is
 // zero if there is none.
-func IsNews(published, l routing.Load) bool {
+func ShouldPublish(published, l routing.Load) bool {
 	if isIdle(l) && isIdle(published) {
 		return false
 	}
--- a/survey/survey_test.go
+++ b/survey/survey_test.go
@@ -42,7 +42,7 @@
 		News bool
 	}](t, "testdata/publish.json") {
 		t.Run(c.Name, func(t *testing.T) {
-			assert.Equal(t, IsNews(c.Told.load(), c.Load.load()), c.News)
+			assert.Equal(t, ShouldPublish(c.Told.load(), c.Load.load()), c.News)
 		})
 	}
 }
@@ -57,7 +57,7 @@
 	}](t, "testdata/due.json") {
 		t.Run(c.Name, func(t *testing.T) {
 			now := origin.Add(time.Duration(c.NowMs) * time.Millisecond)
-			assert.Equal(t, IsDue(c.Last.load(), c.InFlight, now), c.Due)
+			assert.Equal(t, IsPollDue(c.Last.load(), c.InFlight, now), c.Due)
 		})
 	}
 }
@@ -77,7 +77,7 @@
 		Worse float64
 	}](t, "testdata/simulated.json") {
 		t.Run(c.Name, func(t *testing.T) {
-			polled, published, deviation := simulateLoad(c.PerSecond, IsDue, IsNews)
+			polled, published, deviation := simulateLoad(c.PerSecond, IsPollDue, ShouldPublish)
 			_, _, baseline := simulateLoad(c.PerSecond, pollEverySecond, publishAll)
 			t.Logf("polled %.3f, published %.3f per engine and second; error %.3f, baseline %.3f", polled, published, deviation, baseline)
 			assert.Assert(t, polled <= c.Asked, "polled %.3f per engine and second", polled)
@@ -96,7 +96,7 @@
 )
 
 func pollEverySecond(l routing.Load, _ bool, now time.Time) bool {
-	return now.Sub(l.At) >= BusyEvery
+	return now.Sub(l.At) >= BusyPollInterval
 }
 
 func publishAll(routing.Load, routing.Load) bool { return true }
--- a/testscripts/ablate/ablate_test.go
+++ b/testscripts/ablate/ablate_test.go
@@ -45,6 +45,6 @@
 	assert.NilError(t, disableMechanism(file, settings.Fetches))
 	s, refusal := settings.LoadPlatform(file)
 	assert.Assert(t, refusal == nil)
-	assert.Assert(t, !s.Has(settings.Fetches))
-	assert.Assert(t, s.Has(settings.Borrowing))
+	assert.Assert(t, !s.Enabled(settings.Fetches))
+	assert.Assert(t, s.Enabled(settings.Borrowing))
 }
--- a/testscripts/demo/main.go
+++ b/testscripts/demo/main.go
@@ -193,7 +193,7 @@
 func printResult(title, workspace string, r caller.Result) {
 	fmt.Printf("%s (%s)\n  %d %s from %s in %s after %d tries, %d generated tokens %s\n",
 		title, workspace, r.Code, r.Class, r.VM, r.DoneAt.Sub(r.StartedAt).Round(time.Millisecond),
-		r.Tries, r.Usage.GeneratedTokens, r.Message)
+		r.Attempts, r.Usage.GeneratedTokens, r.Message)
 }
 
 func (d *demo) printTimeline(request string) error {
@@ -202,7 +202,7 @@
 	if err != nil {
 		return err
 	}
-	fmt.Printf("time line of request %s (not reached: %v)\n", request, t.Unreached)
+	fmt.Printf("time line of request %s (not reached: %v)\n", request, t.Unreachable)
 	for _, e := range t.Events {
 		printEvent(e)
 	}
--- a/testscripts/emulator/attempts.go
+++ b/testscripts/emulator/attempts.go
@@ -65,15 +65,15 @@
 func (s *attempts) tryEndpoint() {
 	v := s.vm
 	if !v.crashTracker.admits(s.request) {
-		s.finish(s.history.Code(result.Quarantined))
+		s.finish(s.history.FinalCode(result.Quarantined))
 		return
 	}
 	choice, ok := v.pool.Choose(routing.Request{
-		Exclude: s.excluded,
-		Again:   s.lastFailed,
+		Exclude:       s.excluded,
+		AllowExcluded: s.lastFailed,
 	}, v.now())
 	if !ok {
-		s.finish(s.history.Code(result.NoEndpoint))
+		s.finish(s.history.FinalCode(result.NoEndpoint))
 		return
 	}
 	v.requestPermit(s.incarnation, choice.Endpoint, func(p *throttle.Permit, opensAt time.Time) {
@@ -81,7 +81,7 @@
 		case s.finished:
 			v.pool.Done(choice, routing.Outcome{Canceled: true}, v.now())
 		case p == nil:
-			v.pool.CloseUntil(choice.Endpoint.ID, opensAt)
+			v.pool.PauseUntil(choice.Endpoint.ID, opensAt)
 			v.pool.Done(choice, routing.Outcome{Canceled: true}, v.now())
 			s.tryEndpoint()
 		case !v.mayUse(choice.Endpoint, p):
@@ -137,16 +137,16 @@
 func (s *attempts) applyResult(choice routing.Choice, code result.Code, sent bool) {
 	v, now := s.vm, s.vm.now()
 	v.pool.Done(choice, routing.Outcome{
-		Code:     code,
-		Sent:     sent,
-		Answered: code == result.EndpointFailed && sent,
+		Code:          code,
+		Sent:          sent,
+		EndpointError: code == result.EndpointFailed && sent,
 	}, now)
 	v.crashTracker.recordOutcome(s.request, choice.Endpoint, code)
 	if s.finished {
 		return
 	}
 	s.excluded[s.history.Attempts%len(s.excluded)] = choice.Endpoint.ID
-	s.history.Take(code, sent)
+	s.history.Record(code, sent)
 	s.lastFailed = code == result.EndpointFailed && sent
 	if code == result.Done || !s.mayRetry(code, sent, now) {
 		s.finish(s.code(code))
@@ -163,7 +163,7 @@
 	if s.vm.world.defect == ForgetUnknownOutcome {
 		return last
 	}
-	return s.history.Code(last)
+	return s.history.FinalCode(last)
 }
 
 func (s *attempts) mayRetry(code result.Code, sent bool, now time.Time) bool {
@@ -173,7 +173,7 @@
 		Idempotent: s.request.idempotent || s.vm.world.defect == RetryNonIdempotent,
 		WholeBy:    s.request.deadline,
 	}
-	a.Attempts, a.MaxAttempts = s.history.Routed(s.maxRuns)
+	a.Attempts, a.MaxAttempts = s.history.AttemptsAndLimit(s.maxRuns)
 	return retry.Decide(a, now) == retry.VerdictRetry
 }
 
@@ -182,5 +182,5 @@
 		return
 	}
 	s.finished = true
-	s.onFinish(code, s.history.Ran())
+	s.onFinish(code, s.history.MayHaveRun())
 }
--- a/testscripts/emulator/caller.go
+++ b/testscripts/emulator/caller.go
@@ -88,9 +88,9 @@
 // newCall returns the request in the form that the tested packages take.
 func (r *request) newCall(content uint64) *call.Call {
 	return &call.Call{
-		Content:    content,
-		Idempotent: r.idempotent,
-		WholeBy:    r.deadline,
+		ContentDigest: content,
+		Idempotent:    r.idempotent,
+		Deadline:      r.deadline,
 		Routed: &call.Routed{
 			Homes: r.homes,
 		},
--- a/testscripts/emulator/crash_tracker.go
+++ b/testscripts/emulator/crash_tracker.go
@@ -19,7 +19,7 @@
 	quarantine  *quarantine.List
 	succeeded   map[uint64]bool
 	// quarantined holds the quarantined calls, and trialUntil when the trial of each expires.
-	quarantined map[uint64]quarantine.Held
+	quarantined map[uint64]quarantine.QuarantinedCall
 	trialUntil  map[uint64]time.Time
 }
 
@@ -29,7 +29,7 @@
 		incarnation: v.incarnation,
 		quarantine:  quarantine.New(v.member.ID),
 		succeeded:   make(map[uint64]bool),
-		quarantined: make(map[uint64]quarantine.Held),
+		quarantined: make(map[uint64]quarantine.QuarantinedCall),
 		trialUntil:  make(map[uint64]time.Time),
 	}
 }
@@ -47,13 +47,13 @@
 	now := v.now()
 	vms, partitioned := v.peers()
 	c.quarantine.Step(now)
-	for _, report := range c.quarantine.Due(vms, partitioned, now) {
+	for _, report := range c.quarantine.DueNotes(vms, partitioned, now) {
 		if v.world.defect == SkipCrashReports {
 			continue
 		}
 		c.sendReport(report)
 	}
-	c.quarantined = make(map[uint64]quarantine.Held)
+	c.quarantined = make(map[uint64]quarantine.QuarantinedCall)
 	for _, h := range c.quarantine.Held(vms) {
 		c.quarantined[h.Content] = h
 	}
@@ -69,7 +69,7 @@
 			})
 		}
 	}
-	return vms, len(vms) < v.picture().Most
+	return vms, len(vms) < v.picture().MaxKnown
 }
 
 func (c *crashTracker) sendReport(report quarantine.Outgoing) {
@@ -79,7 +79,7 @@
 	answer := func(arrived bool) {
 		if !answered {
 			answered = true
-			v.run(c.incarnation, func() { c.quarantine.Sent(report, arrived) })
+			v.run(c.incarnation, func() { c.quarantine.Delivered(report, arrived) })
 		}
 	}
 	w.after(dialTimeout, func() { answer(false) })
@@ -88,7 +88,7 @@
 			return
 		}
 		to.run(to.incarnation, func() {
-			to.crashTracker.quarantine.Take(report.Note, to.now())
+			to.crashTracker.quarantine.Receive(report.Note, to.now())
 			to.crashTracker.step()
 			w.network.send(to.member.Region, v.member.Region, func() { answer(true) })
 		})
@@ -97,9 +97,9 @@
 
 // admits reports whether a request may be sent to endpoints, possibly as a trial.
 func (c *crashTracker) admits(r *request) bool {
-	content := r.call.Content
+	content := r.call.ContentDigest
 	h, isQuarantined := c.quarantined[content]
-	if !isQuarantined || r.call.Trial || c.vm.world.defect == IgnoreQuarantine {
+	if !isQuarantined || r.call.QuarantineTrial || c.vm.world.defect == IgnoreQuarantine {
 		return true
 	}
 	now := c.vm.now()
@@ -107,7 +107,7 @@
 		return false
 	}
 	c.trialUntil[content] = now.Add(callTimeout)
-	r.call.Trial = true
+	r.call.QuarantineTrial = true
 	return true
 }
 
@@ -115,26 +115,26 @@
 // checks whether the endpoint has crashed.
 func (c *crashTracker) recordOutcome(r *request, e fleet.Endpoint, code result.Code) {
 	v, w := c.vm, c.vm.world
-	content := r.call.Content
+	content := r.call.ContentDigest
 	switch code {
 	case result.Done:
 		c.succeeded[content] = true
 		if _, isQuarantined := c.quarantined[content]; isQuarantined {
-			c.quarantine.EndedWell(content, v.now())
+			c.quarantine.Succeeded(content, v.now())
 			c.step()
 		}
 	case result.EndpointCut:
-		r.call.Trial = false
+		r.call.QuarantineTrial = false
 		w.after(2*localLatency, func() {
 			v.run(c.incarnation, func() {
 				if found := w.engineByID(e.ID); found == nil || found.up || !v.hasEndpoint(e.ID) {
 					return
 				}
-				c.quarantine.Witness(quarantine.Crash{
-					Content: content,
-					Life:    endpointHash(e.ID),
-					At:      v.now(),
-					Proven:  c.succeeded[content],
+				c.quarantine.AddCrash(quarantine.Crash{
+					Content:           content,
+					Incarnation:       endpointHash(e.ID),
+					At:                v.now(),
+					RecentlySucceeded: c.succeeded[content],
 				})
 				c.step()
 			})
--- a/testscripts/emulator/crashing_calls.go
+++ b/testscripts/emulator/crashing_calls.go
@@ -115,13 +115,13 @@
 
 // recordCrash records that an endpoint crashed while running the attempt.
 func (l *ledger) recordCrash(a attempt) {
-	content := a.request.call.Content
+	content := a.request.call.ContentDigest
 	l.crashes[content] = append(l.crashes[content], l.world.clock.now)
 }
 
 // checkQuarantine limits how often a call reaches endpoints after it was quarantined.
 func (l *ledger) checkQuarantine(a attempt) {
-	content := a.request.call.Content
+	content := a.request.call.ContentDigest
 	crashes := l.crashes[content]
 	if len(crashes) < quarantineThreshold || !l.converged(a.from) {
 		return
@@ -154,7 +154,7 @@
 		next.sentAt = w.clock.now
 		next.deadline = w.clock.now.Add(callTimeout)
 		next.outcome = outcome{}
-		next.call = next.newCall(r.call.Content)
+		next.call = next.newCall(r.call.ContentDigest)
 		w.ledger.requests = append(w.ledger.requests, &next)
 		w.ledger.callerRetries++
 		from := &caller{region: v.member.Region}
--- a/testscripts/emulator/engine_limits.go
+++ b/testscripts/emulator/engine_limits.go
@@ -115,7 +115,7 @@
 	if found := v.world.engineByID(e.ID); r == found.limit.rate && r.Named && found.limit.firstAnswerAt[v.incarnation].IsZero() {
 		found.limit.firstAnswerAt[v.incarnation] = v.world.clock.now
 	}
-	v.throttle.Answered(e, r, sentAt, v.now())
+	v.throttle.ObserveRate(e, r, sentAt, v.now())
 }
 
 // permitTimeout equals the gateway's timeout.
@@ -126,27 +126,27 @@
 	return throttle.New(throttle.Options{
 		VM:        v.member.ID,
 		StartedAt: v.startedAt,
-		Changed: func(w throttle.Limit) {
+		OnLimitChanged: func(w throttle.Limit) {
 			if !w.Active {
-				v.pool.CloseUntil(w.Endpoint, time.Time{})
+				v.pool.PauseUntil(w.Endpoint, time.Time{})
 			}
 			v.world.after(0, func() {
-				v.run(incarnation, func() { v.gossipTo(v.roster.Spread(coldFanout)) })
+				v.run(incarnation, func() { v.gossipTo(v.roster.RandomTargets(coldFanout)) })
 			})
 		},
 	})
 }
 
 // throttleRegion returns the members that the throttle divides a limit among.
-func (v *vm) throttleRegion() throttle.Region {
+func (v *vm) throttleRegion() throttle.RegionView {
 	if v.world.defect == EnforceLimitsLocally {
-		return throttle.Region{
-			Near:  []fleet.VM{v.member},
-			Known: 1,
+		return throttle.RegionView{
+			Reachable: []fleet.VM{v.member},
+			Known:     1,
 		}
 	}
-	r := throttle.Region{
-		Near: v.picture().Reached(v.member.Region),
+	r := throttle.RegionView{
+		Reachable: v.picture().ReachableVMs(v.member.Region),
 	}
 	for _, m := range v.picture().Members {
 		if m.VM.Region == v.member.Region {
@@ -163,12 +163,12 @@
 		then(&throttle.Permit{}, time.Time{})
 		return
 	}
-	verdict := v.throttle.Take(e, v.throttleRegion(), v.now())
+	verdict := v.throttle.Acquire(e, v.throttleRegion(), v.now())
 	if verdict.Keeper == nil {
-		then(verdict.Permit, verdict.OpensAt)
+		then(verdict.Permit, verdict.RetryAt)
 		return
 	}
-	v.askPermitOwner(incarnation, verdict, func(verdict throttle.Verdict) { then(verdict.Permit, verdict.OpensAt) })
+	v.askPermitOwner(incarnation, verdict, func(verdict throttle.Verdict) { then(verdict.Permit, verdict.RetryAt) })
 }
 
 // askPermitOwner asks the VM that owns the endpoint's rate limiter.
@@ -185,16 +185,16 @@
 		})
 	}
 	w.after(permitTimeout, func() {
-		answer(func() throttle.Verdict { return v.throttle.Unanswered(verdict, v.now()) })
+		answer(func() throttle.Verdict { return v.throttle.HandleTimeout(verdict, v.now()) })
 	})
 	w.network.send(v.member.Region, owner.member.Region, func() {
 		owner.run(owner.incarnation, func() {
-			a := owner.throttle.Ask(verdict.Limit, owner.throttleRegion(), owner.now())
+			a := owner.throttle.HandleRequest(verdict.Limit, owner.throttleRegion(), owner.now())
 			wait := a.NextAt.Sub(owner.now())
 			w.network.send(owner.member.Region, v.member.Region, func() {
 				answer(func() throttle.Verdict {
 					a.NextAt = v.now().Add(wait)
-					return v.throttle.Decided(verdict, a, v.now())
+					return v.throttle.HandleAnswer(verdict, a, v.now())
 				})
 			})
 		})
@@ -203,7 +203,7 @@
 
 // mayUse reports whether the permit is still valid for sending a request now.
 func (v *vm) mayUse(e fleet.Endpoint, p *throttle.Permit) bool {
-	return v.world.defect == IgnoreLimits || v.throttle.Sending(e, p, v.now()) == nil
+	return v.world.defect == IgnoreLimits || v.throttle.UsePermit(e, p, v.now()) == nil
 }
 
 // checkLimit checks the request rate of an engine, counting the VMs that know its
--- a/testscripts/emulator/gossip.go
+++ b/testscripts/emulator/gossip.go
@@ -50,7 +50,7 @@
 		if e.Region == v.member.Region && !e.ColdUntil.IsZero() {
 			m.coldEndpoints = append(m.coldEndpoints, coldEndpoint{
 				id:          e.ID,
-				startNumber: e.ColdNumber,
+				startNumber: e.ColdReportNumber,
 				remaining:   e.ColdUntil.Sub(now),
 			})
 		}
@@ -73,7 +73,7 @@
 			peer = other
 		}
 	}
-	m := v.newGossipMessage(v.roster.Recent(v.now()))
+	m := v.newGossipMessage(v.roster.RecentRumors(v.now()))
 	answered := false
 	w.after(dialTimeout, func() {
 		if !answered {
@@ -84,13 +84,13 @@
 		if !peer.up {
 			w.network.send(peer.member.Region, v.member.Region, func() {
 				answered = true
-				v.run(incarnation, func() { v.roster.Refused(t.VM.ID, v.now()) })
+				v.run(incarnation, func() { v.roster.RecordRefused(t.VM.ID, v.now()) })
 			})
 			return
 		}
 		peer.run(peer.incarnation, func() {
 			peer.applyGossip(m)
-			reply := peer.newGossipMessage(peer.roster.Differing(m.digest))
+			reply := peer.newGossipMessage(peer.roster.DifferingRumors(m.digest))
 			if reply.limitsDigest != m.limitsDigest {
 				reply.limits = peer.throttle.Limits()
 			}
@@ -107,27 +107,27 @@
 
 func (v *vm) gossipTimedOut(t roster.Target) {
 	if t.VM.ID != "" {
-		v.roster.Missed(t.VM.ID, v.now())
+		v.roster.RecordMiss(t.VM.ID, v.now())
 	}
 }
 
 func (v *vm) applyGossip(m gossipMessage) {
 	now := v.now()
-	v.roster.Heard(m.sender, m.rumors, now)
+	v.roster.Receive(m.sender, m.rumors, now)
 	v.cachedPicture = nil
 	if m.table != nil {
 		v.peerTable = m.table
 	}
 	changed := false
 	for _, c := range m.coldEndpoints {
-		if v.discovery.HeardCold(c.id, c.startNumber, now.Add(c.remaining), now) {
+		if v.discovery.ReportColdFromPeer(c.id, c.startNumber, now.Add(c.remaining), now) {
 			changed = true
 		}
 	}
 	if changed {
 		v.endpointsChanged = true
 		v.applyState()
-		v.gossipTo(v.roster.Spread(coldFanout))
+		v.gossipTo(v.roster.RandomTargets(coldFanout))
 	}
 	if m.senderVM.member.Region == v.member.Region {
 		for _, w := range m.limits {
@@ -143,7 +143,7 @@
 func (v *vm) schedulePull(m gossipMessage) {
 	w, incarnation := v.world, v.incarnation
 	wait := time.Duration(0)
-	if v.picture().Reads(storeReaders) {
+	if v.picture().ReadsStore(storeReaders) {
 		wait = pullDelay
 	}
 	w.after(wait, func() {
@@ -161,9 +161,9 @@
 	w.network.send(v.member.Region, from.member.Region, func() {
 		from.run(fromIncarnation, func() {
 			var result readResult
-			result.items, result.full = from.mirror.Since(knownRevision)
+			result.items, result.full = from.mirror.ChangesSince(knownRevision)
 			result.revision = from.mirror.Revision()
-			settling := from.discovery.Settling(from.now())
+			settling := from.discovery.GraceRemaining(from.now())
 			w.network.send(from.member.Region, v.member.Region, func() {
 				v.run(incarnation, func() { v.applyPull(result, settling) })
 			})
@@ -172,6 +172,6 @@
 }
 
 func (v *vm) applyPull(pulled readResult, settleFor time.Duration) {
-	v.discovery.SettleUntil(v.now().Add(settleFor))
+	v.discovery.ExtendGrace(v.now().Add(settleFor))
 	v.applyItems(v.merge(pulled))
 }
--- a/testscripts/emulator/health_probe.go
+++ b/testscripts/emulator/health_probe.go
@@ -14,12 +14,12 @@
 	v.run(incarnation, func() {
 		vmIDs := v.reachableLocalVMs()
 		for _, e := range v.endpoints() {
-			if entry.Owner(e.ID, vmIDs) == v.member.ID && v.throttle.QuestionDue(e, 1, v.now()) {
+			if entry.Owner(e.ID, vmIDs) == v.member.ID && v.throttle.ProbeDue(e, 1, v.now()) {
 				v.probeWithPermit(incarnation, e)
 			}
 		}
 		interval := probeInterval
-		if v.picture().StoreAway() {
+		if v.picture().StoreUnreadable() {
 			interval = fastProbeInterval
 		}
 		v.world.after(interval, func() { v.probeHealth(incarnation) })
@@ -28,7 +28,7 @@
 
 // probeAfterPause probes all endpoints of the region once after each pause of the process.
 func (v *vm) probeAfterPause(incarnation uint64) {
-	resuming := v.roster.Waking()
+	resuming := v.roster.Resuming()
 	if resuming && !v.resuming {
 		probedAt := v.now()
 		for _, e := range v.endpoints() {
@@ -36,7 +36,7 @@
 		}
 		v.world.after(probeAllDuration, func() {
 			v.run(incarnation, func() {
-				v.roster.News(probedAt)
+				v.roster.RecordProbe(probedAt)
 				v.cachedPicture = nil
 			})
 		})
@@ -47,7 +47,7 @@
 // reachableLocalVMs returns the IDs of the reachable VMs of the own region.
 func (v *vm) reachableLocalVMs() []string {
 	var out []string
-	for _, vm := range v.picture().Reached(v.member.Region) {
+	for _, vm := range v.picture().ReachableVMs(v.member.Region) {
 		out = append(out, vm.ID)
 	}
 	return out
@@ -75,10 +75,10 @@
 		}
 		until := found.coldUntil
 		v.run(incarnation, func() {
-			if v.discovery.Cold(e.ID, until, v.now()) {
+			if v.discovery.ReportCold(e.ID, until, v.now()) {
 				v.endpointsChanged = true
 				v.applyState()
-				v.gossipTo(v.roster.Spread(coldFanout))
+				v.gossipTo(v.roster.RandomTargets(coldFanout))
 			}
 		})
 	})
--- a/testscripts/emulator/routed_request.go
+++ b/testscripts/emulator/routed_request.go
@@ -29,7 +29,7 @@
 // awaitFreshState calls then when the VM's state is current, or at the deadline.
 func (v *vm) awaitFreshState(deadline time.Time, then func(current bool)) {
 	now, incarnation := v.now(), v.incarnation
-	current := v.picture().Current(now) || v.world.defect == TrustStaleState
+	current := v.picture().Fresh(now) || v.world.defect == TrustStaleState
 	if current || !now.Before(deadline) {
 		then(current)
 		return
@@ -161,23 +161,23 @@
 
 // applyResult handles the answer of a VM and tries the next one if the request may move.
 func (s *routedRequest) applyResult(code result.Code, ran int) {
-	place := retry.Place{
+	place := retry.ForwardResult{
 		Code:       code,
 		Ran:        ran,
 		Idempotent: s.request.idempotent,
 	}
-	s.runsLeft = place.RunsLeft(s.runsLeft)
+	s.runsLeft = place.RemainingRuns(s.runsLeft)
 	if code.Class() == result.ClassUnknown && s.unknownCode == 0 {
 		s.unknownCode = code
 	}
 	place.Code = s.finalCode(code)
 	s.lastCode = place.Code
 	late := !s.vm.now().Before(s.request.deadline)
-	if late || s.runsLeft < 1 || !place.MayMove() || len(s.triedVMs) >= retry.PlacesPerCall {
+	if late || s.runsLeft < 1 || !place.MayForwardElsewhere() || len(s.triedVMs) >= retry.MaxVMsPerCall {
 		s.finish(place.Code)
 		return
 	}
-	s.retried = s.retried || place.IsRepeat()
+	s.retried = s.retried || place.NextIsRetry()
 	s.tryNextVM()
 }
 
--- a/testscripts/emulator/store_reader.go
+++ b/testscripts/emulator/store_reader.go
@@ -14,7 +14,7 @@
 	if v.readInFlight || now.Before(v.nextReadCheck) {
 		return
 	}
-	if v.discovery.Table() != nil && !v.picture().Reads(storeReaders) {
+	if v.discovery.Table() != nil && !v.picture().ReadsStore(storeReaders) {
 		v.nextReadCheck = now.Add(readerCheckInterval)
 		return
 	}
@@ -43,7 +43,7 @@
 
 func (v *vm) readTimedOut() {
 	v.readInFlight = false
-	v.roster.SetTurnedAway(true)
+	v.roster.SetStoreUnreadable(true)
 	v.discovery.StoreLost()
 }
 
@@ -51,13 +51,13 @@
 	switch {
 	case failed:
 		v.discovery.StoreLost()
-		v.roster.SetTurnedAway(true)
+		v.roster.SetStoreUnreadable(true)
 	case historyLost:
 		v.needsFullRead = true
 	default:
 		v.needsFullRead = false
-		v.discovery.StoreBack(v.now())
-		v.roster.SetTurnedAway(false)
+		v.discovery.StoreRecovered(v.now())
+		v.roster.SetStoreUnreadable(false)
 		v.applyItems(v.merge(result))
 	}
 	incarnation := v.incarnation
@@ -83,7 +83,7 @@
 		v.applyChange(v.world.store.decode(item))
 	}
 	v.applyState()
-	v.gossipTo(v.roster.Spread(configFanout))
+	v.gossipTo(v.roster.RandomTargets(configFanout))
 }
 
 func (v *vm) applyChange(c discovery.Change) {
@@ -92,7 +92,7 @@
 	case c.Evacuated != "" && v.world.defect == IgnoreEvacuation:
 	case c.Endpoint != nil && !c.Removed && c.Endpoint.State != fleet.StateLive && v.world.defect == IgnoreDraining:
 	default:
-		v.discovery.Take(c, v.now())
+		v.discovery.Apply(c, v.now())
 		v.endpointsChanged = true
 	}
 }
--- a/testscripts/emulator/vm.go
+++ b/testscripts/emulator/vm.go
@@ -51,7 +51,7 @@
 	mirror    *discovery.Mirror
 	discovery *discovery.State
 	// cachedPicture caches the roster's picture; nil if it may be outdated.
-	cachedPicture *roster.Picture
+	cachedPicture *roster.Snapshot
 	pool          *routing.Pool
 	window        *retry.Window
 	crashTracker  *crashTracker
@@ -141,7 +141,7 @@
 			if v.world.defect == UnsharedRetryBudget {
 				return 1
 			}
-			return v.picture().Most
+			return v.picture().MaxKnown
 		},
 		SlackFrom: slackFrom,
 		Now:       func() time.Time { return v.now() },
@@ -238,16 +238,16 @@
 		return
 	}
 	v.endpointsChanged = false
-	v.discovery.Step(now)
-	v.endpointsDueAt = v.discovery.Next(now)
+	v.discovery.RemoveExpired(now)
+	v.endpointsDueAt = v.discovery.NextChange(now)
 	v.pool.SetVMs(len(v.picture().Members))
 	v.pool.SetEndpoints(v.endpoints(), now)
 }
 
 // picture returns the roster's current picture.
-func (v *vm) picture() *roster.Picture {
+func (v *vm) picture() *roster.Snapshot {
 	if v.cachedPicture == nil {
-		v.cachedPicture = v.roster.Picture()
+		v.cachedPicture = v.roster.Snapshot()
 	}
 	return v.cachedPicture
 }
--- a/testscripts/measure/admission.go
+++ b/testscripts/measure/admission.go
@@ -43,7 +43,7 @@
 
 // admission measures urgent calls alone, and under more reports than fit.
 func (b *bench) admission(ctx context.Context, r *report) error {
-	flags, heavy := load.Flag(1), load.Report(1)
+	flags, heavy := load.TriageFlagKind(1), load.ReportKind(1)
 	heavy.Within = 30 * time.Second
 	reportRate := heavyReports * admissionCapacity(heavy)
 	r.note("One region, %d VMs, %d engines of %d slots, %v a step, which honour priorities by starting urgent calls first. %d flags a second of about %d tokens; reports of about %d tokens at %.1f a second, %.0f%% of what all slots hold.", admissionVMs, admissionReplicas, admissionSlots, admissionStep, flagRate, flags.MaxTokens, heavy.MaxTokens, reportRate, 100*heavyReports)
@@ -106,11 +106,11 @@
 
 func admissionRow(r *report, t *table, name string) {
 	of := func(pick func(load.Latency) float64, priority string) spread {
-		return r.over(name, func(rec *load.Record) float64 { return pick(load.Find(rec.Priorities, priority)) })
+		return r.over(name, func(rec *load.Record) float64 { return pick(load.FindLatency(rec.Priorities, priority)) })
 	}
 	whole := func(l load.Latency) float64 { return millis(l.Whole.P99.Duration) }
 	under := of(whole, urgent)
-	by := r.over(alone+" "+name, func(rec *load.Record) float64 { return whole(load.Find(rec.Priorities, urgent)) })
+	by := r.over(alone+" "+name, func(rec *load.Record) float64 { return whole(load.FindLatency(rec.Priorities, urgent)) })
 	t.row(name,
 		of(func(l load.Latency) float64 { return millis(l.First.P50.Duration) }, urgent).format("%.0f"),
 		of(func(l load.Latency) float64 { return millis(l.First.P99.Duration) }, urgent).format("%.0f"),
@@ -184,7 +184,7 @@
 // wholePerSecond counts the calls whose own whole answer came, which the system
 // owes by the deadline that the caller gave.
 func wholePerSecond(rec *load.Record) float64 {
-	return float64(rec.Done-rec.Wrong) / (rec.Duration.Duration - rec.WarmUp.Duration).Seconds()
+	return float64(rec.Done-rec.Incorrect) / (rec.Duration.Duration - rec.WarmUp.Duration).Seconds()
 }
 
 // perSecond counts the calls whose first token came in time as well, from the
--- a/testscripts/measure/decisions_test.go
+++ b/testscripts/measure/decisions_test.go
@@ -49,19 +49,19 @@
 func takeRequest(workspace string) limit.Request {
 	return limit.Request{
 		Workspace: workspace,
-		Terms: contract.RegionTerms{
+		Terms: contract.RegionLimits{
 			Region:            "home",
 			RequestsPerSecond: plentyRequests,
 			TokensPerSecond:   plentyTokens,
 			SpendPerHour:      plentySpend,
 			Concurrency:       plentyConcurrency,
 		},
-		Share:     1,
-		Since:     benchAt.Add(-time.Hour),
-		Base:      1,
-		BaseSince: benchAt.Add(-time.Hour),
-		VMs:       8,
-		Owner:     true,
+		Share:              1,
+		ShareSince:         benchAt.Add(-time.Hour),
+		PreviousShare:      1,
+		PreviousShareSince: benchAt.Add(-time.Hour),
+		VMs:                8,
+		Owner:              true,
 		Cost: limit.Amounts{
 			Requests:    1,
 			Tokens:      100,
@@ -89,8 +89,8 @@
 			desk := ticket.New(ticket.Options{
 				VM:          "vm",
 				Incarnation: 1,
-				Count:       spareRecords * n,
-				Bytes:       1 << 30,
+				MaxRecords:  spareRecords * n,
+				MaxBytes:    1 << 30,
 			})
 			at := benchAt
 			const goodFor = 2 * time.Minute
@@ -104,14 +104,14 @@
 	}
 }
 
-func runTicket(b *testing.B, desk *ticket.Desk, at time.Time, goodFor time.Duration) {
+func runTicket(b *testing.B, desk *ticket.Registry, at time.Time, goodFor time.Duration) {
 	b.Helper()
 	text := desk.Issue("workspace", at.Add(goodFor))
 	s := desk.Begin(text, "workspace", 1, at)
 	if s.Kind != ticket.Run {
 		b.Fatal(s.Refusal)
 	}
-	if refusal := s.Entry.Sending(at); refusal != nil {
+	if refusal := s.Entry.MarkSent(at); refusal != nil {
 		b.Fatal(refusal)
 	}
 	s.Entry.Finish(ticket.Record{
@@ -141,7 +141,7 @@
 			for b.Loop() {
 				at = at.Add(time.Millisecond)
 				beat.Stamp++
-				s.Heard(beat, at, at)
+				s.HandleBeat(beat, at, at)
 				s.View(at)
 			}
 		})
@@ -186,10 +186,10 @@
 			b.ReportAllocs()
 			for b.Loop() {
 				slot, refusal := queue.Admit(context.Background(), admission.Request{
-					Priority:  call.PriorityChat,
-					FirstBy:   benchAt.Add(time.Minute),
-					WholeBy:   benchAt.Add(time.Minute),
-					MaxTokens: routingTokens,
+					Priority:           call.PriorityChat,
+					FirstTokenDeadline: benchAt.Add(time.Minute),
+					Deadline:           benchAt.Add(time.Minute),
+					MaxTokens:          routingTokens,
 				}, benchAt)
 				assert.Assert(b, refusal == nil)
 				queue.Release(slot, routing.Outcome{
--- a/testscripts/measure/documents.go
+++ b/testscripts/measure/documents.go
@@ -32,7 +32,7 @@
 	// requestsPerSecond of zero is plenty.
 	requestsPerSecond float64
 	borrowShare       float64
-	answer            contract.Answer
+	answer            contract.LatencyTargets
 }
 
 func (w workspace) key() string {
@@ -49,13 +49,13 @@
 			},
 		},
 		Home:     w.home,
-		Bound:    len(w.regions) == 1,
+		HomeOnly: len(w.regions) == 1,
 		Models:   []string{model},
 		Services: []string{service},
-		Answer:   w.answer,
+		Latency:  w.answer,
 	}
-	if c.Answer.WholeWithin.Duration == 0 {
-		c.Answer = answerWithin(2*time.Second, 20*time.Second, time.Minute)
+	if c.Latency.WholeWithin.Duration == 0 {
+		c.Latency = answerWithin(2*time.Second, 20*time.Second, time.Minute)
 	}
 	for _, region := range w.regions {
 		c.Regions = append(c.Regions, w.terms(region))
@@ -63,12 +63,12 @@
 	return c
 }
 
-func (w workspace) terms(region string) contract.RegionTerms {
+func (w workspace) terms(region string) contract.RegionLimits {
 	requests := w.requestsPerSecond
 	if requests == 0 {
 		requests = plentyRequests
 	}
-	return contract.RegionTerms{
+	return contract.RegionLimits{
 		Region:            region,
 		RequestsPerSecond: requests,
 		TokensPerSecond:   plentyTokens,
@@ -78,8 +78,8 @@
 	}
 }
 
-func answerWithin(first, whole, report time.Duration) contract.Answer {
-	return contract.Answer{
+func answerWithin(first, whole, report time.Duration) contract.LatencyTargets {
+	return contract.LatencyTargets{
 		FirstTokenWithin: contract.Duration{
 			Duration: first,
 		},
--- a/testscripts/measure/entry.go
+++ b/testscripts/measure/entry.go
@@ -114,7 +114,7 @@
 		WarmUp:   entryWarmUp,
 		Mix: load.Mix{
 			Name:  "lookup",
-			Kinds: []load.Kind{load.Lookup("/slots", 1)},
+			Kinds: []load.Kind{load.LookupKind("/slots", 1)},
 		},
 		Targets: targets,
 	})
--- a/testscripts/measure/front.go
+++ b/testscripts/measure/front.go
@@ -53,13 +53,13 @@
 		frontCase{
 			name:   "lookup as the system names",
 			rate:   frontLookups,
-			kind:   load.Lookup("/slots", 1),
+			kind:   load.LookupKind("/slots", 1),
 			target: (*world).targets,
 		},
 		frontCase{
 			name:   "lookup by one VM",
 			rate:   frontLookups,
-			kind:   load.Lookup("/slots", 1),
+			kind:   load.LookupKind("/slots", 1),
 			target: (*world).byOneVM,
 		})
 }
--- a/testscripts/measure/limits.go
+++ b/testscripts/measure/limits.go
@@ -44,7 +44,7 @@
 func (w *world) byOneVM() load.Targets {
 	t := w.targets()
 	t.Regions[0].VMs = t.Regions[0].VMs[:1]
-	t.Regions[0].AsGiven = true
+	t.Regions[0].FixedOrder = true
 	return t
 }
 
@@ -58,7 +58,7 @@
 			Region:     all.Region,
 			VMs:        []string{vm},
 			Workspaces: all.Workspaces,
-			AsGiven:    true,
+			FixedOrder: true,
 		})
 	}
 	return t
@@ -109,7 +109,7 @@
 		WarmUp:   limitsWarmUp,
 		Mix: load.Mix{
 			Name:  "lookup",
-			Kinds: []load.Kind{load.Lookup("/slots", 1)},
+			Kinds: []load.Kind{load.LookupKind("/slots", 1)},
 		},
 		Targets:  e.target(w),
 		MaxTries: 1,
--- a/testscripts/measure/overhead.go
+++ b/testscripts/measure/overhead.go
@@ -42,7 +42,7 @@
 		{
 			name: "lookup",
 			rate: 200,
-			kind: load.Lookup("/slots", 1),
+			kind: load.LookupKind("/slots", 1),
 		},
 		{
 			name: "chat",
@@ -52,7 +52,7 @@
 		{
 			name: "booking with a ticket",
 			rate: 100,
-			kind: load.Booking("/confirm", 1),
+			kind: load.BookingKind("/confirm", 1),
 		},
 	}
 }
--- a/testscripts/measure/regions.go
+++ b/testscripts/measure/regions.go
@@ -146,11 +146,11 @@
 func regionsRow(r *report, t *table, l loss, policy string) {
 	name := policy + " " + l.String()
 	own := func(pick func(load.Latency) float64) spread {
-		return r.over(name, func(rec *load.Record) float64 { return pick(load.Find(rec.Origins, hurt)) })
+		return r.over(name, func(rec *load.Record) float64 { return pick(load.FindLatency(rec.Origins, hurt)) })
 	}
 	others := func(pick func(load.Latency) float64, worse func(a, b float64) float64) spread {
 		return r.over(name, func(rec *load.Record) float64 {
-			return worse(pick(load.Find(rec.Origins, regionNames[1])), pick(load.Find(rec.Origins, regionNames[2])))
+			return worse(pick(load.FindLatency(rec.Origins, regionNames[1])), pick(load.FindLatency(rec.Origins, regionNames[2])))
 		})
 	}
 	first := func(l load.Latency) float64 { return millis(l.First.P99.Duration) }
@@ -160,7 +160,7 @@
 		own(first).format("%.0f"),
 		others(shareInTime, lower).format("%.3f"),
 		others(first, higher).format("%.0f"),
-		r.over(name, func(rec *load.Record) float64 { return float64(rec.Cold()) }).format("%.0f"),
+		r.over(name, func(rec *load.Record) float64 { return float64(rec.ColdPrefills()) }).format("%.0f"),
 		r.over(name, func(rec *load.Record) float64 { return float64(rec.ComputedTokens()) }).format("%.0f"),
 		r.over(name, func(rec *load.Record) float64 { return float64(rec.NotRun) }).format("%.0f"),
 		r.over(name, func(rec *load.Record) float64 { return float64(rec.Unknown) }).format("%.0f"))
--- a/testscripts/measure/routing.go
+++ b/testscripts/measure/routing.go
@@ -123,7 +123,7 @@
 			Silent: true,
 		},
 		{
-			LieLoad: true,
+			ReportIdle: true,
 		},
 	}
 	for i, f := range faults {
@@ -141,7 +141,7 @@
 		r.over(name, firstOf(0.95)).format("%.0f"),
 		r.over(name, firstOf(0.99)).format("%.0f"),
 		r.over(name, inTimeShare).format("%.3f"),
-		r.over(name, func(rec *load.Record) float64 { return float64(rec.Cold()) }).format("%.0f"),
+		r.over(name, func(rec *load.Record) float64 { return float64(rec.ColdPrefills()) }).format("%.0f"),
 		r.over(name, func(rec *load.Record) float64 { return float64(rec.ComputedTokens()) }).format("%.0f"),
 		r.over(name, func(rec *load.Record) float64 { return float64(rec.NotRun) }).format("%.0f"),
 		r.over(name, func(rec *load.Record) float64 { return float64(rec.Unknown) }).format("%.0f"))
--- a/testscripts/measure/spread.go
+++ b/testscripts/measure/spread.go
@@ -223,7 +223,7 @@
 	}
 	for _, d := range s.Documents {
 		if d.Key == key {
-			return d.InForce
+			return d.Active
 		}
 	}
 	return 0
--- a/testscripts/measure/workspaces.go
+++ b/testscripts/measure/workspaces.go
@@ -47,7 +47,7 @@
 		WarmUp:   2 * time.Second,
 		Mix: load.Mix{
 			Name:  "lookup",
-			Kinds: []load.Kind{load.Lookup("/slots", 1)},
+			Kinds: []load.Kind{load.LookupKind("/slots", 1)},
 		},
 	})
 	if err != nil {
@@ -110,13 +110,13 @@
 	defer w.close()
 	mix, _ := load.FindMix(mixName)
 	rec, err := w.send(ctx, load.Options{
-		Seed:     seed,
-		Rate:     dayRate,
-		Duration: dayFor,
-		WarmUp:   dayWarmUp,
-		Day:      dayFor,
-		Peak:     0.8,
-		Mix:      mix,
+		Seed:      seed,
+		Rate:      dayRate,
+		Duration:  dayFor,
+		WarmUp:    dayWarmUp,
+		DayLength: dayFor,
+		Peak:      0.8,
+		Mix:       mix,
 	})
 	if err != nil {
 		return err
@@ -128,7 +128,7 @@
 func dayRow(r *report, t *table, mix, all string) {
 	name := mix + " " + all
 	of := func(priority string, pick func(load.Latency) time.Duration) string {
-		return r.over(name, func(rec *load.Record) float64 { return millis(pick(load.Find(rec.Priorities, priority))) }).format("%.0f")
+		return r.over(name, func(rec *load.Record) float64 { return millis(pick(load.FindLatency(rec.Priorities, priority))) }).format("%.0f")
 	}
 	whole := func(l load.Latency) time.Duration { return l.Whole.P99.Duration }
 	first := func(l load.Latency) time.Duration { return l.First.P99.Duration }
@@ -139,7 +139,7 @@
 		r.over(name, inTimeShare).format("%.3f"),
 		of(urgent, whole), of("chat", first), of(reports, whole),
 		r.over(name, func(rec *load.Record) float64 { return rec.SentAwayShare }).format("%.3f"),
-		count((*load.Record).Cold), count((*load.Record).ComputedTokens),
+		count((*load.Record).ColdPrefills), count((*load.Record).ComputedTokens),
 		count(func(rec *load.Record) int { return rec.NotRun }),
 		count(func(rec *load.Record) int { return rec.Unknown }),
 		count(func(rec *load.Record) int { return rec.Runs.Doubled + rec.Runs.RanNotRun + rec.Runs.Lost }))
--- a/testscripts/measure/world.go
+++ b/testscripts/measure/world.go
@@ -133,7 +133,7 @@
 
 // fault switches faults of one stand-in.
 func (w *world) fault(e *rig.Endpoint, f fault.Faults) error {
-	body := fmt.Sprintf(`{"slow":%q,"silent":%t,"lie_load":%t,"leaving":%t}`, f.Slow.String(), f.Silent, f.LieLoad, f.Leaving)
+	body := fmt.Sprintf(`{"slow":%q,"silent":%t,"lie_load":%t,"leaving":%t}`, f.Slow.String(), f.Silent, f.ReportIdle, f.Leaving)
 	return w.PutTo(e.Fleet.Addr, "/admin/faults", []byte(body))
 }
 
--- a/testscripts/rig/settled.go
+++ b/testscripts/rig/settled.go
@@ -43,5 +43,5 @@
 			return false
 		}
 	}
-	return s.View.Lenders >= running
+	return s.View.LenderCount >= running
 }
--- a/testscripts/scenario/documents.go
+++ b/testscripts/scenario/documents.go
@@ -106,12 +106,12 @@
 		return
 	}
 	c := &b.bucket.Contracts[i]
-	c.Bound = c.Bound || slices.Contains(changes, "bound")
+	c.HomeOnly = c.HomeOnly || slices.Contains(changes, "bound")
 	if option(changes, "within", "") != "" {
-		c.Answer.FirstTokenWithin.Duration = duration(ts, changes, "within", "")
-		c.Answer.WholeWithin.Duration = duration(ts, changes, "within", "")
+		c.Latency.FirstTokenWithin.Duration = duration(ts, changes, "within", "")
+		c.Latency.WholeWithin.Duration = duration(ts, changes, "within", "")
 	}
-	c.Regions = slices.DeleteFunc(c.Regions, func(t contract.RegionTerms) bool {
+	c.Regions = slices.DeleteFunc(c.Regions, func(t contract.RegionLimits) bool {
 		return t.Region == option(changes, "without", "")
 	})
 	if slices.Contains(changes, "rekeyed") {
@@ -121,7 +121,7 @@
 		t := &c.Regions[n]
 		t.RequestsPerSecond = float64(number(ts, changes, "requests", fmt.Sprint(int(t.RequestsPerSecond))))
 		t.Concurrency = number(ts, changes, "concurrency", strconv.Itoa(t.Concurrency))
-		if c.Bound {
+		if c.HomeOnly {
 			t.BorrowShare = 0
 		}
 		if slices.Contains(changes, "invalid") {
@@ -195,7 +195,7 @@
 		ts.Check(err)
 		for _, d := range s.Documents {
 			if d.Key == args[0] {
-				verdicts[fmt.Sprintf("in_force=%d refused=%d reason=%q", d.InForce, d.Refused, d.Reason)]++
+				verdicts[fmt.Sprintf("in_force=%d refused=%d reason=%q", d.Active, d.Rejected, d.Reason)]++
 			}
 		}
 	}
@@ -288,9 +288,9 @@
 		if d.Key != m.key {
 			continue
 		}
-		if d.InForce < m.highest[vm] {
-			m.reverts = append(m.reverts, fmt.Sprintf("%s went from %d to %d", vm, m.highest[vm], d.InForce))
+		if d.Active < m.highest[vm] {
+			m.reverts = append(m.reverts, fmt.Sprintf("%s went from %d to %d", vm, m.highest[vm], d.Active))
 		}
-		m.highest[vm] = d.InForce
+		m.highest[vm] = d.Active
 	}
 }
--- a/testscripts/scenario/faults.go
+++ b/testscripts/scenario/faults.go
@@ -132,9 +132,9 @@
 			continue
 		}
 		if refused {
-			return d.Refused > d.InForce && strings.Contains(d.Reason, reason)
+			return d.Rejected > d.Active && strings.Contains(d.Reason, reason)
 		}
-		return d.InForce >= revisionOf(reason)
+		return d.Active >= revisionOf(reason)
 	}
 	return false
 }
--- a/testscripts/scenario/load.go
+++ b/testscripts/scenario/load.go
@@ -116,11 +116,11 @@
 		l.counts.Wrong++
 		l.wrong = append(l.wrong, fmt.Sprintf("%s: %q", mark, r.Text))
 	}
-	if r.Tries > 1 {
+	if r.Attempts > 1 {
 		l.counts.Retried++
 	}
 	if r.Class != result.ClassDone {
-		l.wrong = append(l.wrong, fmt.Sprintf("%s: %d %s %s (tries %d, vm %s)", mark, r.Code, r.Class, r.Message, r.Tries, r.VM))
+		l.wrong = append(l.wrong, fmt.Sprintf("%s: %d %s %s (tries %d, vm %s)", mark, r.Code, r.Class, r.Message, r.Attempts, r.VM))
 	}
 	if l.kind == "book" {
 		l.results = append(l.results, bookedCall{
--- a/testscripts/scenario/scenario.go
+++ b/testscripts/scenario/scenario.go
@@ -169,9 +169,9 @@
 	durations := map[string]*jsonc.Duration{
 		"lease_term":            &s.LeaseTerm,
 		"heartbeat_every":       &s.HeartbeatEvery,
-		"ticket_good_for":       &s.TicketGoodFor,
-		"stop_within":           &s.StopWithin,
-		"entries_good_for":      &s.EntriesGoodFor,
+		"ticket_good_for":       &s.TicketTTL,
+		"stop_within":           &s.StopTimeout,
+		"entries_good_for":      &s.EntriesTTL,
 		"endpoint_report_every": &s.EndpointReportEvery,
 	}
 	numbers := map[string]*int{
@@ -287,7 +287,7 @@
 }
 
 func printResult(ts *testscript.TestScript, r caller.Result) {
-	printf(ts, "code=%d class=%s status=%d vm=%s tries=%d text=%q message=%q\n", r.Code, r.Class, r.Status, r.VM, r.Tries, r.Text, r.Message)
+	printf(ts, "code=%d class=%s status=%d vm=%s tries=%d text=%q message=%q\n", r.Code, r.Class, r.Status, r.VM, r.Attempts, r.Text, r.Message)
 	ts.Setenv("TICKET", r.Ticket)
 	ts.Setenv("REQUEST", r.RequestID)
 }
--- a/testscripts/soak/faults.go
+++ b/testscripts/soak/faults.go
@@ -164,7 +164,7 @@
 }
 
 func (w *world) forgetHistory(context.Context, draw) error {
-	w.store.Forget()
+	w.store.Compact()
 	return nil
 }
 
@@ -201,7 +201,7 @@
 	if r == nil {
 		return nil
 	}
-	late := r.Entry("ready", 0)
+	late := r.NextEntry("ready", 0)
 	w.end(r)
 	sleepFor(ctx, d.long/8)
 	if err := w.startReplica(r.ID, r.Service, r.region, r.Addr, coldFor); err != nil {
@@ -244,7 +244,7 @@
 	if gone {
 		return nil
 	}
-	_, err := w.store.Put("servers/"+r.ID, r.Entry("ready", r.ColdFor()))
+	_, err := w.store.Put("servers/"+r.ID, r.NextEntry("ready", r.ColdFor()))
 	return err
 }
 
@@ -260,7 +260,7 @@
 	}
 	if d.variant == 0 {
 		w.store.Remove("servers/" + r.ID)
-	} else if _, err := w.store.Put("servers/"+r.ID, r.Entry("draining", 0)); err != nil {
+	} else if _, err := w.store.Put("servers/"+r.ID, r.NextEntry("draining", 0)); err != nil {
 		return err
 	}
 	w.ledger.leaves(r.ID)
@@ -279,7 +279,7 @@
 		return nil
 	}
 	r.SetCold(time.Now().Add(coldFor))
-	_, err := w.store.Put("servers/"+r.ID, r.Entry("ready", coldFor))
+	_, err := w.store.Put("servers/"+r.ID, r.NextEntry("ready", coldFor))
 	if err == nil {
 		// The VMs may learn of it a little later.
 		w.ledger.cold(r.ID, time.Now().Add(time.Second), time.Now().Add(coldFor))
--- a/testscripts/soak/world.go
+++ b/testscripts/soak/world.go
@@ -288,17 +288,17 @@
 
 func (w *world) startReplica(id, service, region, addr string, cold time.Duration) error {
 	r, err := replica.Start(replica.Options{
-		ID:         id,
-		Service:    service,
-		Zone:       zoneOf(region),
-		Events:     12,
-		EventEvery: 25 * time.Millisecond,
-		Work:       10 * time.Millisecond,
-		Fault:      w.drawFault,
-		Observe:    w.ledger.ran,
-		Asked:      w.ledger.asked,
-		Crashes:    crashes,
-		Crashed:    w.crashed,
+		ID:             id,
+		Service:        service,
+		Zone:           zoneOf(region),
+		Events:         12,
+		EventEvery:     25 * time.Millisecond,
+		ProcessingTime: 10 * time.Millisecond,
+		Fault:          w.drawFault,
+		OnRequest:      w.ledger.ran,
+		OnProbe:        w.ledger.asked,
+		CrashOn:        crashes,
+		OnCrash:        w.crashed,
 	}, addr)
 	if err != nil {
 		return err
@@ -310,7 +310,7 @@
 	w.mu.Lock()
 	w.replicas = append(w.replicas, &servingReplica{Replica: r, region: region})
 	w.mu.Unlock()
-	_, err = w.store.Put("servers/"+id, r.Entry("ready", cold))
+	_, err = w.store.Put("servers/"+id, r.NextEntry("ready", cold))
 	return err
 }
 
@@ -320,7 +320,7 @@
 	if rand.Float64() >= w.faultShare {
 		return replica.FaultNone
 	}
-	return replica.Fault(1 + rand.IntN(int(replica.Faults)-1))
+	return replica.Fault(1 + rand.IntN(int(replica.FaultCount)-1))
 }
 
 // publishTable publishes the table of the present version: a route of its own
--- a/throttle/keeper.go
+++ b/throttle/keeper.go
@@ -11,7 +11,7 @@
 	// startupDelay is how long a keeper grants no permits after its start: when
 	// hundreds of VMs start together, each considers itself the keeper until it knows
 	// the others.
-	startupDelay = 2 * fleet.StartsFor
+	startupDelay = 2 * fleet.StartupPeriod
 	// minPerSecond is the lowest rate at which requests are sent to an endpoint, since
 	// only an answer shows that its limit has been raised or lifted.
 	minPerSecond = 0.1
@@ -23,28 +23,28 @@
 
 // Answer is the response to a VM that asked for a permit.
 type Answer struct {
-	// Kept is set if the VM is the keeper of the endpoint.
-	Kept    bool
-	Granted bool
+	// IsCoordinator is set if the VM is the keeper of the endpoint.
+	IsCoordinator bool
+	Granted       bool
 	// NextAt is when the VM may ask for the next permit.
 	NextAt time.Time
 	// Limit is the keeper's limit if it differs from that of the request.
 	Limit Limit
 }
 
-// Ask decides on a permit for another VM, which sends the limit that it knows.
-func (t *Throttle) Ask(l Limit, r Region, now time.Time) Answer {
+// HandleRequest decides on a permit for another VM, which sends the limit that it knows.
+func (t *Throttle) HandleRequest(l Limit, r RegionView, now time.Time) Answer {
 	t.Learn(l, now)
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.census.Learn(len(r.Near), r.Known, now)
+	t.census.Observe(len(r.Reachable), r.Known, now)
 	endpoint := t.endpoints[l.Endpoint]
 	if endpoint == nil || t.keeper(l.Endpoint, r).ID != t.options.VM {
 		return Answer{}
 	}
 	a := Answer{
-		Kept:    true,
-		Granted: true,
+		IsCoordinator: true,
+		Granted:       true,
 	}
 	if endpoint.limit != l {
 		a.Limit = endpoint.limit
@@ -75,7 +75,7 @@
 // share of the region's VMs that are reachable, as unreachable VMs may have a keeper of
 // their own.
 func (t *Throttle) permitRate(l Limit, now time.Time) float64 {
-	return max(l.PerSecond, minPerSecond) * t.census.Part(now)
+	return max(l.PerSecond, minPerSecond) * t.census.ReachableShare(now)
 }
 
 // tokenBucket holds the requests that may be sent now.
--- a/throttle/permit.go
+++ b/throttle/permit.go
@@ -18,10 +18,10 @@
 	used  bool
 }
 
-// Sending uses a permit right before the first byte of the request is written. It
+// UsePermit uses a permit right before the first byte of the request is written. It
 // refuses a request whose permit has expired, or that is sent again without a new
 // permit.
-func (t *Throttle) Sending(e fleet.Endpoint, p *Permit, now time.Time) *result.Refusal {
+func (t *Throttle) UsePermit(e fleet.Endpoint, p *Permit, now time.Time) *result.Refusal {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	endpoint := t.endpoints[e.ID]
@@ -35,10 +35,10 @@
 	return nil
 }
 
-// ComeBackAt returns when a caller may retry for which no permit is available. opensAt
+// CallerRetryAt returns when a caller may retry for which no permit is available. opensAt
 // is when the first endpoint of the target accepts a request from this VM. Retry times
 // are spaced at this VM's share of the endpoints' limits.
-func (t *Throttle) ComeBackAt(target string, endpointIDs []string, opensAt time.Time, r Region, now time.Time) time.Time {
+func (t *Throttle) CallerRetryAt(target string, endpointIDs []string, opensAt time.Time, r RegionView, now time.Time) time.Time {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	perSecond := 0.0
@@ -55,15 +55,15 @@
 		schedule = &retrySchedule{}
 		t.callerRetries[target] = schedule
 	}
-	return schedule.next(opensAt, interval(perSecond/float64(max(len(r.Near), 1))), now.Add(maxCallerRetryDelay))
+	return schedule.next(opensAt, interval(perSecond/float64(max(len(r.Reachable), 1))), now.Add(maxCallerRetryDelay))
 }
 
 // maxProbeShare is the share of an endpoint's rate that load and health probes may use.
 const maxProbeShare = 0.2
 
-// QuestionDue reports whether a load and health probe of the given number of requests
+// ProbeDue reports whether a load and health probe of the given number of requests
 // may be sent. Each request needs a permit besides.
-func (t *Throttle) QuestionDue(e fleet.Endpoint, requests int, now time.Time) bool {
+func (t *Throttle) ProbeDue(e fleet.Endpoint, requests int, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	endpoint := t.endpoints[e.ID]
--- a/throttle/simulation_test.go
+++ b/throttle/simulation_test.go
@@ -75,7 +75,7 @@
 	buckets   map[string]*tokenBucket
 	// region is the VM's cached view of the others, valid until regionUntil, and
 	// senders the highest-ranked VMs of each endpoint.
-	region      Region
+	region      RegionView
 	regionUntil time.Time
 	senders     map[string][]fleet.VM
 }
@@ -136,7 +136,7 @@
 const regionInterval = 50 * time.Millisecond
 
 // regionOf returns the VM's view of the others.
-func (s *simulation) regionOf(v *simulatedVM) Region {
+func (s *simulation) regionOf(v *simulatedVM) RegionView {
 	if !s.now.Before(v.regionUntil) {
 		v.region = s.observeRegion(v)
 		v.regionUntil = s.now.Add(regionInterval)
@@ -145,15 +145,15 @@
 	return v.region
 }
 
-func (s *simulation) observeRegion(v *simulatedVM) Region {
-	var r Region
+func (s *simulation) observeRegion(v *simulatedVM) RegionView {
+	var r RegionView
 	for _, other := range s.vms {
 		known := other == v || s.now.Sub(v.startedAt) >= membershipDelay
 		if known && s.reaches(v, other, s.now.Add(-partitionNoticeDelay)) {
-			r.Near = append(r.Near, other.VM)
+			r.Reachable = append(r.Reachable, other.VM)
 		}
 	}
-	r.Known = len(r.Near)
+	r.Known = len(r.Reachable)
 	return r
 }
 
@@ -202,12 +202,12 @@
 	}
 }
 
-func (s *simulation) mayTake(v *simulatedVM, endpointID string, r Region) bool {
+func (s *simulation) mayTake(v *simulatedVM, endpointID string, r RegionView) bool {
 	switch s.strategy {
 	case strategyKeeper:
 		return s.askKeeper(v, endpointID, r)
 	case strategyEven:
-		return v.takeToken(endpointID, s.PerSecond/float64(max(len(r.Near), 1)), s.now)
+		return v.takeToken(endpointID, s.PerSecond/float64(max(len(r.Reachable), 1)), s.now)
 	case strategyRanked:
 		senders := s.senders(v, endpointID, r)
 		isSender := slices.ContainsFunc(senders, func(vm fleet.VM) bool { return vm.ID == v.ID })
@@ -219,27 +219,27 @@
 
 // senders are the highest-ranked VMs, which alone send to an endpoint. The bound allows
 // for the first request of each.
-func (s *simulation) senders(v *simulatedVM, endpointID string, r Region) []fleet.VM {
+func (s *simulation) senders(v *simulatedVM, endpointID string, r RegionView) []fleet.VM {
 	if v.senders[endpointID] == nil {
-		ranked := entry.Rank(endpointID, r.Near)
+		ranked := entry.Rank(endpointID, r.Reachable)
 		v.senders[endpointID] = ranked[:min(len(ranked), int(s.PerSecond)+2)]
 	}
 	return v.senders[endpointID]
 }
 
 // askKeeper asks for a permit as the gateway does.
-func (s *simulation) askKeeper(v *simulatedVM, endpointID string, r Region) bool {
-	verdict := v.throttle.Take(fleet.Endpoint{ID: endpointID}, r, s.now)
+func (s *simulation) askKeeper(v *simulatedVM, endpointID string, r RegionView) bool {
+	verdict := v.throttle.Acquire(fleet.Endpoint{ID: endpointID}, r, s.now)
 	if verdict.Keeper == nil {
 		return verdict.Permit != nil
 	}
 	s.keeperRequests++
 	keeper := s.vms[slices.IndexFunc(s.vms, func(o *simulatedVM) bool { return o.ID == verdict.Keeper.ID })]
 	if !s.reaches(v, keeper, s.now) || s.now.Before(keeper.startedAt) {
-		return v.throttle.Unanswered(verdict, s.now).Permit != nil
+		return v.throttle.HandleTimeout(verdict, s.now).Permit != nil
 	}
-	a := keeper.throttle.Ask(verdict.Limit, s.regionOf(keeper), s.now)
-	return v.throttle.Decided(verdict, a, s.now).Permit != nil
+	a := keeper.throttle.HandleRequest(verdict.Limit, s.regionOf(keeper), s.now)
+	return v.throttle.HandleAnswer(verdict, a, s.now).Permit != nil
 }
 
 func (v *simulatedVM) takeToken(id string, rate float64, now time.Time) bool {
--- a/throttle/throttle.go
+++ b/throttle/throttle.go
@@ -37,14 +37,14 @@
 	// StartedAt is the start of the process; which permits a previous process on this
 	// VM granted is unknown.
 	StartedAt time.Time
-	// Changed, if set, is called with each new limit.
-	Changed func(l Limit)
+	// OnLimitChanged, if set, is called with each new limit.
+	OnLimitChanged func(l Limit)
 }
 
-// Region is the membership of the local region as this VM knows it.
-type Region struct {
-	// Near are the reachable VMs, including this one.
-	Near []fleet.VM
+// RegionView is the membership of the local region as this VM knows it.
+type RegionView struct {
+	// Reachable are the reachable VMs, including this one.
+	Reachable []fleet.VM
 	// Known is the number of VMs that are not known to have left.
 	Known int
 }
@@ -55,7 +55,7 @@
 	options Options
 
 	mu        sync.Mutex
-	census    fleet.Census
+	census    fleet.SizeEstimate
 	endpoints map[string]*limitedEndpoint
 	// keeperBackoff holds the keepers that did not answer, with the end of their
 	// backoff.
@@ -82,12 +82,12 @@
 
 // New creates a Throttle without limits.
 func New(o Options) *Throttle {
-	if o.Changed == nil {
-		o.Changed = func(Limit) {}
+	if o.OnLimitChanged == nil {
+		o.OnLimitChanged = func(Limit) {}
 	}
 	return &Throttle{
 		options: o,
-		census: fleet.Census{
+		census: fleet.SizeEstimate{
 			StartedAt: o.StartedAt,
 		},
 		endpoints:     make(map[string]*limitedEndpoint),
@@ -100,8 +100,8 @@
 type Verdict struct {
 	// Permit is set if the request may be sent.
 	Permit *Permit
-	// OpensAt is when this VM may send the next request, if this one may not be sent.
-	OpensAt time.Time
+	// RetryAt is when this VM may send the next request, if this one may not be sent.
+	RetryAt time.Time
 	// Keeper is set if that VM has to be asked, with Limit. The lifetime of its permit
 	// starts at AskedAt.
 	Keeper  *fleet.VM
@@ -109,12 +109,12 @@
 	AskedAt time.Time
 }
 
-// Take grants a permit for a request to an endpoint, refuses it, or names the keeper to
+// Acquire grants a permit for a request to an endpoint, refuses it, or names the keeper to
 // ask.
-func (t *Throttle) Take(e fleet.Endpoint, r Region, now time.Time) Verdict {
+func (t *Throttle) Acquire(e fleet.Endpoint, r RegionView, now time.Time) Verdict {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.census.Learn(len(r.Near), r.Known, now)
+	t.census.Observe(len(r.Reachable), r.Known, now)
 	endpoint := t.endpoints[e.ID]
 	if endpoint == nil || !endpoint.limit.appliesTo(e) {
 		return Verdict{
@@ -128,7 +128,7 @@
 	}
 	if now.Before(opensAt) {
 		return Verdict{
-			OpensAt: opensAt,
+			RetryAt: opensAt,
 		}
 	}
 	if keeper.ID != t.options.VM {
@@ -149,7 +149,7 @@
 	}
 	if !granted {
 		return Verdict{
-			OpensAt: e.closedUntil,
+			RetryAt: e.closedUntil,
 		}
 	}
 	return Verdict{
@@ -159,8 +159,8 @@
 	}
 }
 
-// Decided processes the answer of the keeper that a verdict named.
-func (t *Throttle) Decided(v Verdict, a Answer, now time.Time) Verdict {
+// HandleAnswer processes the answer of the keeper that a verdict named.
+func (t *Throttle) HandleAnswer(v Verdict, a Answer, now time.Time) Verdict {
 	t.Learn(a.Limit, now)
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -171,28 +171,28 @@
 		return Verdict{
 			Permit: &Permit{},
 		}
-	case !a.Kept:
+	case !a.IsCoordinator:
 		return endpoint.applyDecision(false, now.Add(noKeeperRetryDelay), v.AskedAt, now)
 	}
 	return endpoint.applyDecision(a.Granted, a.NextAt, v.AskedAt, now)
 }
 
-// Unanswered records that the keeper did not answer. It may have granted the permit, so
+// HandleTimeout records that the keeper did not answer. It may have granted the permit, so
 // the request must not be sent.
-func (t *Throttle) Unanswered(v Verdict, now time.Time) Verdict {
+func (t *Throttle) HandleTimeout(v Verdict, now time.Time) Verdict {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	backoffUntil := now.Add(keeperBackoffDuration)
 	t.keeperBackoff[v.Keeper.ID] = backoffUntil
 	return Verdict{
-		OpensAt: backoffUntil,
+		RetryAt: backoffUntil,
 	}
 }
 
 // keeper returns the VM that grants permits for an endpoint. All VMs that reach each
 // other choose the same one.
-func (t *Throttle) keeper(endpointID string, r Region) fleet.VM {
-	if keeper, ok := entry.First(entry.Hash(endpointID), r.Near); ok {
+func (t *Throttle) keeper(endpointID string, r RegionView) fleet.VM {
+	if keeper, ok := entry.HighestRanked(entry.Hash(endpointID), r.Reachable); ok {
 		return keeper
 	}
 	return fleet.VM{
@@ -200,10 +200,10 @@
 	}
 }
 
-// Answered processes the rate that an endpoint's answer names. sentAt is when the
+// ObserveRate processes the rate that an endpoint's answer names. sentAt is when the
 // request was sent: the answer to a request sent before the current limit was learned
 // may predate that limit, so it can only lower it.
-func (t *Throttle) Answered(e fleet.Endpoint, r fleet.Rate, sentAt, now time.Time) {
+func (t *Throttle) ObserveRate(e fleet.Endpoint, r fleet.Rate, sentAt, now time.Time) {
 	t.mu.Lock()
 	var current Limit
 	isLater := true
@@ -218,7 +218,7 @@
 	next := current.updated(e, r)
 	t.storeLimit(next, now)
 	t.mu.Unlock()
-	t.options.Changed(next)
+	t.options.OnLimitChanged(next)
 }
 
 // Learn stores another VM's limit if it is newer, and reports whether it was.
@@ -231,7 +231,7 @@
 	}
 	t.mu.Unlock()
 	if isNew {
-		t.options.Changed(l)
+		t.options.OnLimitChanged(l)
 	}
 	return isNew
 }
@@ -266,9 +266,9 @@
 	return endpoint != nil && endpoint.limit.appliesTo(e)
 }
 
-// Listed updates which endpoints are published and drops the others after
+// SetPublished updates which endpoints are published and drops the others after
 // unlistedRetention.
-func (t *Throttle) Listed(isListed func(endpointID string) bool, now time.Time) {
+func (t *Throttle) SetPublished(isListed func(endpointID string) bool, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for id, endpoint := range t.endpoints {
--- a/throttle/throttle_test.go
+++ b/throttle/throttle_test.go
@@ -31,14 +31,14 @@
 		t.Run(c.Name, func(t *testing.T) {
 			var last Limit
 			throttle := New(Options{
-				Changed: func(l Limit) { last = l },
+				OnLimitChanged: func(l Limit) { last = l },
 			})
 			e := fleet.Endpoint{ID: "e"}
 			for _, a := range c.Answers {
 				e.Incarnation = a.Incarnation
 				at := func(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
 				before := last
-				throttle.Answered(e, a.Rate, at(a.SentMS), at(a.AtMS))
+				throttle.ObserveRate(e, a.Rate, at(a.SentMS), at(a.AtMS))
 				if a.Want == 0 {
 					assert.Equal(t, last, before)
 					continue
@@ -84,9 +84,9 @@
 // one incarnation of the endpoint.
 func TestPermit(t *testing.T) {
 	now := time.Unix(1e9, 0)
-	alone := Region{
-		Near:  []fleet.VM{{ID: "a"}},
-		Known: 1,
+	alone := RegionView{
+		Reachable: []fleet.VM{{ID: "a"}},
+		Known:     1,
 	}
 	e := fleet.Endpoint{
 		ID: "e",
@@ -95,26 +95,26 @@
 		VM:        "a",
 		StartedAt: now.Add(-time.Minute),
 	})
-	free := throttle.Take(e, alone, now).Permit
+	free := throttle.Acquire(e, alone, now).Permit
 	assert.Assert(t, free != nil)
-	throttle.Answered(e, fleet.Rate{Named: true, PerSecond: 1}, now, now)
-	assert.Assert(t, throttle.Sending(e, free, now) != nil, "the limit was named after the permit was granted")
+	throttle.ObserveRate(e, fleet.Rate{Named: true, PerSecond: 1}, now, now)
+	assert.Assert(t, throttle.UsePermit(e, free, now) != nil, "the limit was named after the permit was granted")
 
-	assert.Equal(t, throttle.Take(e, alone, now).OpensAt, now.Add(time.Second))
+	assert.Equal(t, throttle.Acquire(e, alone, now).RetryAt, now.Add(time.Second))
 	now = now.Add(time.Second)
-	permit := throttle.Take(e, alone, now).Permit
-	assert.Assert(t, throttle.Sending(e, permit, now) == nil)
-	assert.Assert(t, throttle.Sending(e, permit, now) != nil, "the permit was already used")
-	assert.Assert(t, throttle.Take(e, alone, now).Permit == nil)
+	permit := throttle.Acquire(e, alone, now).Permit
+	assert.Assert(t, throttle.UsePermit(e, permit, now) == nil)
+	assert.Assert(t, throttle.UsePermit(e, permit, now) != nil, "the permit was already used")
+	assert.Assert(t, throttle.Acquire(e, alone, now).Permit == nil)
 
 	now = now.Add(time.Second)
-	late := throttle.Take(e, alone, now).Permit
-	assert.Assert(t, throttle.Sending(e, late, now.Add(permitLifetime+time.Millisecond)) != nil, "the permit has expired")
+	late := throttle.Acquire(e, alone, now).Permit
+	assert.Assert(t, throttle.UsePermit(e, late, now.Add(permitLifetime+time.Millisecond)) != nil, "the permit has expired")
 
 	next := e
 	next.Incarnation = 1
-	assert.Assert(t, throttle.Take(next, alone, now).Permit != nil, "the next incarnation has no limit")
-	assert.Assert(t, throttle.Sending(next, free, now) == nil)
+	assert.Assert(t, throttle.Acquire(next, alone, now).Permit != nil, "the next incarnation has no limit")
+	assert.Assert(t, throttle.UsePermit(next, free, now) == nil)
 }
 
 // TestCallerRetriesAreSpaced checks that callers refused together get different retry
@@ -125,8 +125,8 @@
 		VM: "a",
 	})
 	throttle.Learn(Limit{Endpoint: "e", Version: 1, Active: true, PerSecond: 2}, now)
-	r := Region{
-		Near: make([]fleet.VM, 4),
+	r := RegionView{
+		Reachable: make([]fleet.VM, 4),
 	}
 	opensAt := now.Add(300 * time.Millisecond)
 	for i := range 8 {
@@ -134,6 +134,6 @@
 		if most := now.Add(maxCallerRetryDelay); want.After(most) {
 			want = most
 		}
-		assert.Equal(t, throttle.ComeBackAt("s", []string{"e"}, opensAt, r, now), want)
+		assert.Equal(t, throttle.CallerRetryAt("s", []string{"e"}, opensAt, r, now), want)
 	}
 }
--- a/ticket/desk.go
+++ b/ticket/desk.go
@@ -28,20 +28,20 @@
 type Options struct {
 	VM          string
 	Incarnation uint64
-	// Count limits the number of records, Bytes their total size, AnswerBytes the size of
+	// MaxRecords limits the number of records, Bytes their total size, MaxAnswerBytes the size of
 	// one response.
-	Count       int
-	Bytes       int
-	AnswerBytes int
+	MaxRecords     int
+	MaxBytes       int
+	MaxAnswerBytes int
 	// Retain returns until when the record of a ticket that expires at goodUntil is kept;
 	// nil means DefaultRetention after it. It must not decrease as goodUntil increases.
 	Retain func(goodUntil time.Time) time.Time
 }
 
-// Desk issues the tickets of one incarnation. It keeps the records and signing keys of
+// Registry issues the tickets of one incarnation. It keeps the records and signing keys of
 // its own tickets and of those it adopted. It is safe for concurrent use.
-type Desk struct {
-	self           Holder
+type Registry struct {
+	self           IncarnationID
 	maxRecords     int
 	maxBytes       int
 	maxAnswerBytes int
@@ -52,7 +52,7 @@
 	// latestGoodUntil is the latest expiry of any ticket issued.
 	latestGoodUntil time.Time
 	ownTickets      *ticketSet
-	ticketSets      map[Holder]*ticketSet
+	ticketSets      map[IncarnationID]*ticketSet
 	// finished holds finished entries, ordered by when they may be dropped.
 	finished       entryHeap
 	recordCount    int
@@ -65,7 +65,7 @@
 
 // ticketSet is the state of all tickets that one incarnation issued.
 type ticketSet struct {
-	issuer Holder
+	issuer IncarnationID
 	key    []byte
 	// executable is set if this desk may run the tickets; otherwise it only replays records.
 	executable bool
@@ -82,8 +82,8 @@
 }
 
 // New creates a desk with a random key.
-func New(o Options) *Desk {
-	self := Holder{
+func New(o Options) *Registry {
+	self := IncarnationID{
 		VM:          o.VM,
 		Incarnation: o.Incarnation,
 	}
@@ -95,14 +95,14 @@
 		executable: true,
 		entries:    map[uint64]*Entry{},
 	}
-	d := &Desk{
+	d := &Registry{
 		self:           self,
-		maxRecords:     orDefault(o.Count, DefaultCount),
-		maxBytes:       orDefault(o.Bytes, DefaultBytes),
-		maxAnswerBytes: orDefault(o.AnswerBytes, DefaultAnswerBytes),
+		maxRecords:     orDefault(o.MaxRecords, DefaultCount),
+		maxBytes:       orDefault(o.MaxBytes, DefaultBytes),
+		maxAnswerBytes: orDefault(o.MaxAnswerBytes, DefaultAnswerBytes),
 		retain:         o.Retain,
 		ownTickets:     own,
-		ticketSets:     map[Holder]*ticketSet{self: own},
+		ticketSets:     map[IncarnationID]*ticketSet{self: own},
 	}
 	if d.retain == nil {
 		d.retain = func(goodUntil time.Time) time.Time { return goodUntil.Add(DefaultRetention) }
@@ -119,7 +119,7 @@
 
 // Issue returns the text of a new ticket. Nothing is stored until the ticket is used.
 // The text is empty if the VM's or the workspace's name is too long.
-func (d *Desk) Issue(workspace string, goodUntil time.Time) string {
+func (d *Registry) Issue(workspace string, goodUntil time.Time) string {
 	if len(workspace) > MaxWorkspace || len(d.self.VM) > MaxVM {
 		return ""
 	}
@@ -128,13 +128,13 @@
 		Incarnation: d.self.Incarnation,
 		Sequence:    d.nextSequence(goodUntil),
 		Workspace:   workspace,
-		GoodUntil:   goodUntil.Truncate(time.Millisecond),
+		ExpiresAt:   goodUntil.Truncate(time.Millisecond),
 	}
 	t.MAC = t.sign(d.ownTickets.key)
 	return t.Text()
 }
 
-func (d *Desk) nextSequence(goodUntil time.Time) uint64 {
+func (d *Registry) nextSequence(goodUntil time.Time) uint64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.latestGoodUntil = moment.Later(d.latestGoodUntil, goodUntil)
@@ -174,7 +174,7 @@
 // Begin decides how to handle a request with a ticket. callHash identifies the call: a
 // ticket is valid for one call only. After Run, the entry must be ended by Finish or
 // Abandon.
-func (d *Desk) Begin(text, workspace string, callHash uint64, now time.Time) Step {
+func (d *Registry) Begin(text, workspace string, callHash uint64, now time.Time) Step {
 	t, refusal := Parse(text)
 	if refusal != nil {
 		return refusedStep(refusal)
@@ -216,14 +216,14 @@
 }
 
 // checkUsable refuses a ticket without a record that cannot be run now.
-func (d *Desk) checkUsable(set *ticketSet, t Ticket, now time.Time) *result.Refusal {
-	if !t.GoodUntil.After(set.droppedUntil) {
+func (d *Registry) checkUsable(set *ticketSet, t Ticket, now time.Time) *result.Refusal {
+	if !t.ExpiresAt.After(set.droppedUntil) {
 		return result.Refuse(result.RecordLost, "records of tickets that old were dropped")
 	}
 	if !set.executable {
 		return executorGone()
 	}
-	if refusal := set.checkExpired(t.GoodUntil, now); refusal != nil {
+	if refusal := set.checkExpired(t.ExpiresAt, now); refusal != nil {
 		return refusal
 	}
 	if d.stopping {
@@ -244,7 +244,7 @@
 
 // checkCapacity returns RecordsFull if there is no room for another record. Records
 // other than copies are never evicted before their retention ends.
-func (d *Desk) checkCapacity(now time.Time) *result.Refusal {
+func (d *Registry) checkCapacity(now time.Time) *result.Refusal {
 	if d.hasRoom(1, RecordOverhead) {
 		return nil
 	}
@@ -254,17 +254,17 @@
 	}
 	refusal := result.Refuse(result.RecordsFull, "all records are in use")
 	if len(d.finished) > 0 {
-		return refusal.Until(moment.Later(now, d.finished[0].keepUntil))
+		return refusal.WithRetryAt(moment.Later(now, d.finished[0].keepUntil))
 	}
 	return refusal
 }
 
-func (d *Desk) hasRoom(records, bytes int) bool {
+func (d *Registry) hasRoom(records, bytes int) bool {
 	return d.recordCount+records <= d.maxRecords && d.usedBytes+bytes <= d.maxBytes
 }
 
 // dropCopies frees memory by dropping copies, which carry no right to run a ticket.
-func (d *Desk) dropCopies() {
+func (d *Registry) dropCopies() {
 	for issuer, set := range d.ticketSets {
 		if set.executable || set.key != nil {
 			continue
@@ -276,14 +276,14 @@
 	}
 }
 
-func (d *Desk) newEntry(set *ticketSet, t Ticket, text string, callHash uint64) *Entry {
+func (d *Registry) newEntry(set *ticketSet, t Ticket, text string, callHash uint64) *Entry {
 	e := &Entry{
 		desk:      d,
 		set:       set,
 		text:      strings.Clone(text),
 		sequence:  t.Sequence,
 		callHash:  callHash,
-		goodUntil: t.GoodUntil,
+		goodUntil: t.ExpiresAt,
 		state:     admitted,
 		done:      make(chan struct{}),
 		size:      RecordOverhead,
@@ -294,13 +294,13 @@
 	return e
 }
 
-func (d *Desk) addEntry(e *Entry) {
+func (d *Registry) addEntry(e *Entry) {
 	e.set.entries[e.sequence] = e
 	d.recordCount++
 	d.usedBytes += e.size
 }
 
-func (d *Desk) dropEntry(e *Entry) {
+func (d *Registry) dropEntry(e *Entry) {
 	delete(e.set.entries, e.sequence)
 	d.recordCount--
 	d.usedBytes -= e.size
@@ -310,7 +310,7 @@
 }
 
 // dropExpired drops the records whose retention has ended.
-func (d *Desk) dropExpired(now time.Time) {
+func (d *Registry) dropExpired(now time.Time) {
 	for len(d.finished) > 0 && now.After(d.finished[0].keepUntil) {
 		e := d.finished[0]
 		e.set.droppedUntil = moment.Later(e.set.droppedUntil, e.goodUntil)
--- a/ticket/desk_test.go
+++ b/ticket/desk_test.go
@@ -22,10 +22,10 @@
 // scriptRunner runs the steps "command words -> want" of testdata/desk.json.
 type scriptRunner struct {
 	now       time.Time
-	desks     map[string]*Desk
+	desks     map[string]*Registry
 	tickets   map[string]string
 	entries   map[string]*Entry
-	handOvers map[*Desk]HandOver
+	handOvers map[*Registry]HandOver
 }
 
 func TestDesk(t *testing.T) {
@@ -37,10 +37,10 @@
 		t.Run(c.Name, func(t *testing.T) {
 			s := scriptRunner{
 				now:       epoch,
-				desks:     map[string]*Desk{},
+				desks:     map[string]*Registry{},
 				tickets:   map[string]string{},
 				entries:   map[string]*Entry{},
-				handOvers: map[*Desk]HandOver{},
+				handOvers: map[*Registry]HandOver{},
 			}
 			for _, vm := range []string{"a", "b", "c"} {
 				s.start(vm, 1)
@@ -55,11 +55,11 @@
 
 func (s *scriptRunner) start(vm string, incarnation uint64) {
 	s.desks[vm] = New(Options{
-		VM:          vm,
-		Incarnation: incarnation,
-		Count:       2,
-		AnswerBytes: 30,
-		Retain:      func(goodUntil time.Time) time.Time { return goodUntil.Add(ticketLifetime) },
+		VM:             vm,
+		Incarnation:    incarnation,
+		MaxRecords:     2,
+		MaxAnswerBytes: 30,
+		Retain:         func(goodUntil time.Time) time.Time { return goodUntil.Add(ticketLifetime) },
 	})
 }
 
@@ -82,7 +82,7 @@
 	case "begin":
 		return s.begin(words)
 	case "sending":
-		return refusalText(s.entries[name].Sending(s.now))
+		return refusalText(s.entries[name].MarkSent(s.now))
 	case "finish":
 		s.entries[name].Finish(recordOf(words))
 		return "ok"
@@ -94,7 +94,7 @@
 	case "idle":
 		return fmt.Sprint(desk.Idle())
 	case "give_up":
-		s.handOvers[desk] = desk.GiveUp(s.now)
+		s.handOvers[desk] = desk.Relinquish(s.now)
 	case "adopt", "copy", "tampered":
 		return fmt.Sprint(s.adopt(words[0], desk, s.desks[words[2]]))
 	case "adopted":
@@ -129,10 +129,10 @@
 	switch {
 	case r == nil:
 		return "ok"
-	case r.ComeBackAt.IsZero():
+	case r.RetryAt.IsZero():
 		return r.Code.String()
 	default:
-		return fmt.Sprint(r.Code, " ", r.ComeBackAt.Sub(epoch).Milliseconds())
+		return fmt.Sprint(r.Code, " ", r.RetryAt.Sub(epoch).Milliseconds())
 	}
 }
 
@@ -149,29 +149,29 @@
 }
 
 // adopt transfers the rights of from to to, after from gave them up.
-func (s *scriptRunner) adopt(how string, to, from *Desk) bool {
+func (s *scriptRunner) adopt(how string, to, from *Registry) bool {
 	if _, ok := s.handOvers[from]; !ok {
-		s.handOvers[from] = from.GiveUp(s.now)
+		s.handOvers[from] = from.Relinquish(s.now)
 	}
-	h := s.handOvers[from].Addressed(to.self)
+	h := s.handOvers[from].WithReceiver(to.self)
 	// Rights of a that are offered to c stay addressed to b, the first successor.
 	if to == s.desks["c"] && from == s.desks["a"] {
 		h.To = s.desks["b"].self
 	}
 	switch how {
 	case "copy":
-		h = h.Copy()
+		h = h.WithoutKeys()
 	case "tampered":
 		h.Rights = slices.Clone(h.Rights)
 		h.Rights[0].Key = make([]byte, keyLength)
 	}
-	return to.Adopt(h, s.now)
+	return to.TakeOver(h, s.now)
 }
 
-func (s *scriptRunner) adopted(d *Desk) string {
+func (s *scriptRunner) adopted(d *Registry) string {
 	var out []string
-	for _, a := range d.Adopted(s.now) {
-		out = append(out, fmt.Sprintf("%s.%d until %d", a.Of.VM, a.Of.Incarnation, a.Until.Sub(epoch).Milliseconds()))
+	for _, a := range d.Takeovers(s.now) {
+		out = append(out, fmt.Sprintf("%s.%d until %d", a.Issuer.VM, a.Issuer.Incarnation, a.ExpiresAt.Sub(epoch).Milliseconds()))
 	}
 	slices.Sort(out)
 	return strings.Join(out, " ")
@@ -183,7 +183,7 @@
 		Candidates []string `json:"candidates"`
 		Offers     []string `json:"offers"`
 	}
-	outcomes := map[string]Outcome{
+	outcomes := map[string]OfferOutcome{
 		"accepted": OfferAccepted,
 		"refused":  OfferRefused,
 		"not_sent": OfferNotSent,
@@ -192,18 +192,18 @@
 	for _, c := range readCase[[]planned](t, "testdata/plan.json") {
 		t.Run(c.Name, func(t *testing.T) {
 			var plan HandOverPlan
-			var candidates []Holder
+			var candidates []IncarnationID
 			for _, vm := range c.Candidates {
-				candidates = append(candidates, Holder{VM: vm})
+				candidates = append(candidates, IncarnationID{VM: vm})
 			}
 			for _, line := range c.Offers {
 				words := strings.Fields(line)
 				switch words[0] {
 				case "gone":
-					candidates = slices.DeleteFunc(candidates, func(h Holder) bool { return h.VM == words[1] })
+					candidates = slices.DeleteFunc(candidates, func(h IncarnationID) bool { return h.VM == words[1] })
 					continue
 				case "back":
-					candidates = append(candidates, Holder{VM: words[1]})
+					candidates = append(candidates, IncarnationID{VM: words[1]})
 					continue
 				}
 				offer, ok := plan.Next(candidates)
@@ -212,7 +212,7 @@
 					continue
 				}
 				assert.Equal(t, offer, Offer{
-					To:     Holder{VM: words[1]},
+					To:     IncarnationID{VM: words[1]},
 					Rights: words[0] == "rights",
 				}, line)
 				plan = plan.After(offer, outcomes[words[2]])
@@ -235,14 +235,14 @@
 		var runs atomic.Int32
 		var group sync.WaitGroup
 		for i := range 8 {
-			desk := []*Desk{a, b}[i%2]
+			desk := []*Registry{a, b}[i%2]
 			group.Go(func() {
 				s := desk.Begin(text, "w", 1, epoch)
 				for s.Kind == Wait {
 					<-s.Done
 					s = desk.Begin(text, "w", 1, epoch)
 				}
-				if s.Kind == Run && s.Entry.Sending(epoch) == nil {
+				if s.Kind == Run && s.Entry.MarkSent(epoch) == nil {
 					runs.Add(1)
 					s.Entry.Finish(Record{
 						Code: result.Done,
@@ -250,7 +250,7 @@
 				}
 			})
 		}
-		group.Go(func() { b.Adopt(a.GiveUp(epoch).Addressed(b.self), epoch) })
+		group.Go(func() { b.TakeOver(a.Relinquish(epoch).WithReceiver(b.self), epoch) })
 		group.Wait()
 		assert.Assert(t, runs.Load() <= 1)
 		a = New(Options{
@@ -288,7 +288,7 @@
 	got, refusal := Parse(text)
 	assert.Assert(t, refusal == nil)
 	assert.Equal(t, got.Holder(), d.self)
-	assert.Assert(t, got.GoodUntil.Equal(epoch))
+	assert.Assert(t, got.ExpiresAt.Equal(epoch))
 	assert.Equal(t, d.Issue(strings.Repeat("w", MaxWorkspace+1), epoch), "")
 }
 
@@ -305,9 +305,9 @@
 // the memory per record.
 func BenchmarkRun(b *testing.B) {
 	d := New(Options{
-		VM:    "vm-1",
-		Count: 1 << 30,
-		Bytes: 1 << 40,
+		VM:         "vm-1",
+		MaxRecords: 1 << 30,
+		MaxBytes:   1 << 40,
 	})
 	header := http.Header{
 		"Content-Type": {"application/json"},
@@ -320,7 +320,7 @@
 	b.ResetTimer()
 	for _, text := range texts {
 		s := d.Begin(text, "fairway", 1, epoch)
-		if refusal := s.Entry.Sending(epoch); refusal != nil {
+		if refusal := s.Entry.MarkSent(epoch); refusal != nil {
 			b.Fatal(refusal)
 		}
 		s.Entry.Finish(Record{
--- a/ticket/entry.go
+++ b/ticket/entry.go
@@ -46,7 +46,7 @@
 
 // Entry tracks the run of one ticket's call.
 type Entry struct {
-	desk      *Desk
+	desk      *Registry
 	set       *ticketSet
 	text      string
 	sequence  uint64
@@ -63,11 +63,11 @@
 	index int
 }
 
-// Sending must be called right before the first byte is sent, with the current time.
+// MarkSent must be called right before the first byte is sent, with the current time.
 // Nil means that the ticket is used and the call counts as run. On a refusal nothing
 // may be sent and the entry has ended: TicketExpired and Stopping are of class not
 // run, RecordLost is returned if the call was already sent.
-func (e *Entry) Sending(now time.Time) *result.Refusal {
+func (e *Entry) MarkSent(now time.Time) *result.Refusal {
 	e.desk.mu.Lock()
 	defer e.desk.mu.Unlock()
 	if e.state != admitted {
@@ -140,7 +140,7 @@
 
 // boundRecord returns the record, or RecordLost if it exceeds the size limits. Only the
 // code is kept unless the call is done.
-func (d *Desk) boundRecord(r Record) Record {
+func (d *Registry) boundRecord(r Record) Record {
 	if r.Code.Class() != result.ClassDone {
 		return Record{
 			Code: r.Code,
--- a/ticket/handover.go
+++ b/ticket/handover.go
@@ -14,46 +14,46 @@
 
 // HandOver transfers rights and records from a stopping incarnation to its successor.
 type HandOver struct {
-	From Holder
+	From IncarnationID
 	// To is the only incarnation that may take the rights. The VM alone would not do: a
 	// restarted process does not know what its predecessor did with the rights.
-	To     Holder
-	Rights []Rights
+	To     IncarnationID
+	Rights []IncarnationRights
 }
 
-// Rights are the signing key and records of one incarnation's tickets. Each can be
+// IncarnationRights are the signing key and records of one incarnation's tickets. Each can be
 // transferred separately.
-type Rights struct {
-	Of Holder
+type IncarnationRights struct {
+	Issuer IncarnationID
 	// Key is the incarnation's MAC key; nil marks a copy, which carries no right to run
 	// tickets.
 	Key []byte
-	// Until is when all tickets of the incarnation have expired and their records may be
+	// ExpiresAt is when all tickets of the incarnation have expired and their records may be
 	// dropped.
-	Until time.Time
-	// Closed and Swept are ticket expiry times: tickets up to Closed cannot be used any
+	ExpiresAt time.Time
+	// ExpiredUntil and Swept are ticket expiry times: tickets up to Closed cannot be used any
 	// more, and records of tickets up to Swept were dropped.
-	Closed  time.Time
-	Swept   time.Time
-	Records []HandedRecord
+	ExpiredUntil time.Time
+	DroppedUntil time.Time
+	Records      []TransferredRecord
 }
 
-// HandedRecord is the record of one ticket in a HandOver.
-type HandedRecord struct {
+// TransferredRecord is the record of one ticket in a HandOver.
+type TransferredRecord struct {
 	Ticket    string
 	CallHash  uint64
 	KeepUntil time.Time
 	Record    Record
 }
 
-// Addressed returns the hand-over addressed to a receiver.
-func (h HandOver) Addressed(to Holder) HandOver {
+// WithReceiver returns the hand-over addressed to a receiver.
+func (h HandOver) WithReceiver(to IncarnationID) HandOver {
 	h.To = to
 	return h
 }
 
-// Copy returns the hand-over without keys, for VMs other than the successor.
-func (h HandOver) Copy() HandOver {
+// WithoutKeys returns the hand-over without keys, for VMs other than the successor.
+func (h HandOver) WithoutKeys() HandOver {
 	rights := slices.Clone(h.Rights)
 	for i := range rights {
 		rights[i].Key = nil
@@ -62,31 +62,31 @@
 	return h
 }
 
-// Adoption announces that this incarnation took over the rights of another one.
-type Adoption struct {
-	Of    Holder
-	Until time.Time
+// Takeover announces that this incarnation took over the rights of another one.
+type Takeover struct {
+	Issuer    IncarnationID
+	ExpiresAt time.Time
 }
 
 // Stop refuses unused tickets from now on. Runs in progress continue, and repeated
 // requests still get their records.
-func (d *Desk) Stop() {
+func (d *Registry) Stop() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.stopping = true
 }
 
 // Idle reports whether no run is in progress.
-func (d *Desk) Idle() bool {
+func (d *Registry) Idle() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.runningCount == 0
 }
 
-// GiveUp permanently gives up all rights: every later Sending is refused. A call that
+// Relinquish permanently gives up all rights: every later Sending is refused. A call that
 // was sent but has not finished is transferred as RecordLost. The receiver is left
 // unset. Further calls return the same rights.
-func (d *Desk) GiveUp(now time.Time) HandOver {
+func (d *Registry) Relinquish(now time.Time) HandOver {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.dropExpired(now)
@@ -102,31 +102,31 @@
 			h.Rights = append(h.Rights, set.exportRights())
 		}
 	}
-	slices.SortFunc(h.Rights, func(a, b Rights) int {
-		return cmp.Or(cmp.Compare(a.Of.VM, b.Of.VM), cmp.Compare(a.Of.Incarnation, b.Of.Incarnation))
+	slices.SortFunc(h.Rights, func(a, b IncarnationRights) int {
+		return cmp.Or(cmp.Compare(a.Issuer.VM, b.Issuer.VM), cmp.Compare(a.Issuer.Incarnation, b.Issuer.Incarnation))
 	})
 	return h
 }
 
-func (set *ticketSet) exportRights() Rights {
-	r := Rights{
-		Of:     set.issuer,
-		Key:    set.key,
-		Until:  set.expiresAt,
-		Closed: set.expiredUntil,
-		Swept:  set.droppedUntil,
+func (set *ticketSet) exportRights() IncarnationRights {
+	r := IncarnationRights{
+		Issuer:       set.issuer,
+		Key:          set.key,
+		ExpiresAt:    set.expiresAt,
+		ExpiredUntil: set.expiredUntil,
+		DroppedUntil: set.droppedUntil,
 	}
 	for _, e := range set.entries {
 		if e.state != admitted {
 			r.Records = append(r.Records, e.exportRecord())
 		}
 	}
-	slices.SortFunc(r.Records, func(a, b HandedRecord) int { return cmp.Compare(a.Ticket, b.Ticket) })
+	slices.SortFunc(r.Records, func(a, b TransferredRecord) int { return cmp.Compare(a.Ticket, b.Ticket) })
 	return r
 }
 
-func (e *Entry) exportRecord() HandedRecord {
-	h := HandedRecord{
+func (e *Entry) exportRecord() TransferredRecord {
+	h := TransferredRecord{
 		Ticket:    e.text,
 		CallHash:  e.callHash,
 		KeepUntil: e.keepUntil,
@@ -141,10 +141,10 @@
 	return h
 }
 
-// Adopt takes over the rights, or copies of records, from another incarnation. It is
+// TakeOver takes over the rights, or copies of records, from another incarnation. It is
 // atomic and idempotent. It returns false if the rights are addressed to another
 // incarnation, this desk is stopping or full, or a record is not genuine.
-func (d *Desk) Adopt(h HandOver, now time.Time) bool {
+func (d *Registry) TakeOver(h HandOver, now time.Time) bool {
 	incoming, ok := d.parseTicketSets(h)
 	if !ok {
 		return false
@@ -162,7 +162,7 @@
 }
 
 // parseTicketSets decodes a hand-over and verifies every record.
-func (d *Desk) parseTicketSets(h HandOver) ([]*ticketSet, bool) {
+func (d *Registry) parseTicketSets(h HandOver) ([]*ticketSet, bool) {
 	sets := make([]*ticketSet, 0, len(h.Rights))
 	for _, r := range h.Rights {
 		set, ok := d.parseTicketSet(r)
@@ -174,19 +174,19 @@
 	return sets, true
 }
 
-func (d *Desk) parseTicketSet(r Rights) (*ticketSet, bool) {
+func (d *Registry) parseTicketSet(r IncarnationRights) (*ticketSet, bool) {
 	set := &ticketSet{
-		issuer:       r.Of,
+		issuer:       r.Issuer,
 		key:          bytes.Clone(r.Key),
 		executable:   len(r.Key) > 0,
-		expiredUntil: r.Closed,
-		droppedUntil: r.Swept,
-		expiresAt:    r.Until,
+		expiredUntil: r.ExpiredUntil,
+		droppedUntil: r.DroppedUntil,
+		expiresAt:    r.ExpiresAt,
 		entries:      make(map[uint64]*Entry, len(r.Records)),
 	}
 	for _, record := range r.Records {
 		t, refusal := Parse(record.Ticket)
-		if refusal != nil || t.Holder() != r.Of || set.executable && !t.hasValidMAC(r.Key) {
+		if refusal != nil || t.Holder() != r.Issuer || set.executable && !t.hasValidMAC(r.Key) {
 			return nil, false
 		}
 		set.entries[t.Sequence] = &Entry{
@@ -195,8 +195,8 @@
 			text:      strings.Clone(record.Ticket),
 			sequence:  t.Sequence,
 			callHash:  record.CallHash,
-			goodUntil: t.GoodUntil,
-			keepUntil: moment.Later(t.GoodUntil, record.KeepUntil),
+			goodUntil: t.ExpiresAt,
+			keepUntil: moment.Later(t.ExpiresAt, record.KeepUntil),
 			state:     finished,
 			record:    record.Record,
 			size:      RecordOverhead + record.Record.size(),
@@ -206,7 +206,7 @@
 	return set, true
 }
 
-func (d *Desk) canAdopt(h HandOver, incoming []*ticketSet, now time.Time) bool {
+func (d *Registry) canAdopt(h HandOver, incoming []*ticketSet, now time.Time) bool {
 	records := 0
 	for _, set := range incoming {
 		if set.issuer == d.self || set.executable && !d.canTakeRights(h, set) {
@@ -223,7 +223,7 @@
 }
 
 // canTakeRights checks the receiver and the key of a set with rights.
-func (d *Desk) canTakeRights(h HandOver, set *ticketSet) bool {
+func (d *Registry) canTakeRights(h HandOver, set *ticketSet) bool {
 	existing := d.ticketSets[set.issuer]
 	same := existing == nil || existing.key == nil || bytes.Equal(existing.key, set.key)
 	return h.To == d.self && same
@@ -231,7 +231,7 @@
 
 // isNew reports whether the set adds rights or records. Expired sets are not taken, as
 // this desk may have held and forgotten them.
-func (d *Desk) isNew(set *ticketSet, now time.Time) bool {
+func (d *Registry) isNew(set *ticketSet, now time.Time) bool {
 	if !set.expiresAt.After(now) || !set.expiresAt.After(d.forgottenUntil) {
 		return false
 	}
@@ -240,7 +240,7 @@
 }
 
 // install adds a set. Responses over the size limits are dropped.
-func (d *Desk) install(set *ticketSet, now time.Time) {
+func (d *Registry) install(set *ticketSet, now time.Time) {
 	if !d.isNew(set, now) {
 		return
 	}
@@ -258,13 +258,13 @@
 	}
 }
 
-// Adopted lists the rights taken over from other incarnations, to be announced in
+// Takeovers lists the rights taken over from other incarnations, to be announced in
 // heartbeats, and forgets expired ones.
-func (d *Desk) Adopted(now time.Time) []Adoption {
+func (d *Registry) Takeovers(now time.Time) []Takeover {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.dropExpired(now)
-	var out []Adoption
+	var out []Takeover
 	for issuer, set := range d.ticketSets {
 		if issuer == d.self {
 			continue
@@ -274,9 +274,9 @@
 			continue
 		}
 		if set.executable {
-			out = append(out, Adoption{
-				Of:    issuer,
-				Until: set.expiresAt,
+			out = append(out, Takeover{
+				Issuer:    issuer,
+				ExpiresAt: set.expiresAt,
 			})
 		}
 	}
@@ -284,7 +284,7 @@
 }
 
 // forget drops an adopted set whose tickets have all expired, unless one is running.
-func (d *Desk) forget(set *ticketSet) {
+func (d *Registry) forget(set *ticketSet) {
 	if set.hasRunningEntry() {
 		return
 	}
--- a/ticket/keys_test.go
+++ b/ticket/keys_test.go
@@ -36,7 +36,7 @@
 	leases       map[int]time.Time
 	grantedUntil time.Time
 	used         map[int]bool
-	desk         *Desk
+	desk         *Registry
 }
 
 // keySend is a call that was admitted but not sent.
@@ -189,7 +189,7 @@
 // transmit makes the last check and sends the call. A process may pause before this
 // step; rules without tickets have no check here.
 func (sim *keySimulation) transmit(s *keySend) {
-	if s.entry != nil && s.entry.Sending(sim.now) != nil {
+	if s.entry != nil && s.entry.MarkSent(sim.now) != nil {
 		return
 	}
 	sim.sent++
--- a/ticket/plan.go
+++ b/ticket/plan.go
@@ -2,13 +2,13 @@
 
 import "slices"
 
-// Outcome is the result of an offer as seen by its sender.
-type Outcome int
+// OfferOutcome is the result of an offer as seen by its sender.
+type OfferOutcome int
 
 // The outcomes of an offer.
 const (
 	// OfferAccepted: the receiver confirmed the adoption.
-	OfferAccepted Outcome = iota + 1
+	OfferAccepted OfferOutcome = iota + 1
 	// OfferRefused: the receiver refused.
 	OfferRefused
 	// OfferNotSent: the receiver certainly got nothing, for example because the connection
@@ -20,7 +20,7 @@
 
 // Offer is the next hand-over to send.
 type Offer struct {
-	To Holder
+	To IncarnationID
 	// Rights selects the full hand-over; otherwise HandOver.Copy is sent.
 	Rights bool
 }
@@ -29,25 +29,25 @@
 // value whose zero value is the initial plan. Only one incarnation gets the rights:
 // once an offer may have arrived, they are offered to no other.
 type HandOverPlan struct {
-	// Bound is the only incarnation that may still be offered the rights; zero while any
+	// Successor is the only incarnation that may still be offered the rights; zero while any
 	// may be.
-	Bound Holder
+	Successor IncarnationID
 	// Accepted is set once Bound has the rights.
 	Accepted bool
 	// Declined are incarnations that certainly did not take the rights.
-	Declined []Holder
+	Declined []IncarnationID
 	// Copied are incarnations that were sent copies.
-	Copied []Holder
+	Copied []IncarnationID
 }
 
 // Next returns the next offer to the candidates, which are ordered best first; ok is
 // false if there is none. A lost offer is repeated to the same incarnation while it is
 // a candidate; after that the others get copies.
-func (p HandOverPlan) Next(candidates []Holder) (offer Offer, ok bool) {
+func (p HandOverPlan) Next(candidates []IncarnationID) (offer Offer, ok bool) {
 	if p.Accepted {
 		return Offer{}, false
 	}
-	if p.Bound != (Holder{}) {
+	if p.Successor != (IncarnationID{}) {
 		return p.nextBound(candidates)
 	}
 	for _, c := range candidates {
@@ -61,19 +61,19 @@
 	return p.nextCopy(candidates)
 }
 
-func (p HandOverPlan) nextBound(candidates []Holder) (Offer, bool) {
-	if slices.Contains(candidates, p.Bound) {
+func (p HandOverPlan) nextBound(candidates []IncarnationID) (Offer, bool) {
+	if slices.Contains(candidates, p.Successor) {
 		return Offer{
-			To:     p.Bound,
+			To:     p.Successor,
 			Rights: true,
 		}, true
 	}
 	return p.nextCopy(candidates)
 }
 
-func (p HandOverPlan) nextCopy(candidates []Holder) (Offer, bool) {
+func (p HandOverPlan) nextCopy(candidates []IncarnationID) (Offer, bool) {
 	for _, c := range candidates {
-		if c != p.Bound && !slices.Contains(p.Copied, c) {
+		if c != p.Successor && !slices.Contains(p.Copied, c) {
 			return Offer{
 				To: c,
 			}, true
@@ -84,19 +84,19 @@
 
 // After returns the plan after an offer. A refusal that follows a lost offer does not
 // allow another successor, as the lost offer may still arrive.
-func (p HandOverPlan) After(o Offer, outcome Outcome) HandOverPlan {
+func (p HandOverPlan) After(o Offer, outcome OfferOutcome) HandOverPlan {
 	if !o.Rights {
 		p.Copied = append(slices.Clone(p.Copied), o.To)
 		return p
 	}
 	switch outcome {
 	case OfferAccepted:
-		p.Bound = o.To
+		p.Successor = o.To
 		p.Accepted = true
 	case OfferLost:
-		p.Bound = o.To
+		p.Successor = o.To
 	case OfferRefused, OfferNotSent:
-		if p.Bound == (Holder{}) {
+		if p.Successor == (IncarnationID{}) {
 			p.Declined = append(slices.Clone(p.Declined), o.To)
 		}
 	}
--- a/ticket/simulation_test.go
+++ b/ticket/simulation_test.go
@@ -37,8 +37,8 @@
 
 // process is one incarnation of a VM.
 type process struct {
-	holder   Holder
-	desk     *Desk
+	holder   IncarnationID
+	desk     *Registry
 	killed   bool
 	handOver *HandOver
 	plan     HandOverPlan
@@ -97,7 +97,7 @@
 }
 
 func (sim *simulation) start(vm int) {
-	h := Holder{
+	h := IncarnationID{
 		VM:          string(rune('a' + vm)),
 		Incarnation: 1,
 	}
@@ -110,7 +110,7 @@
 		desk: New(Options{
 			VM:          h.VM,
 			Incarnation: h.Incarnation,
-			Count:       2,
+			MaxRecords:  2,
 			Retain:      func(goodUntil time.Time) time.Time { return goodUntil.Add(ticketLifetime) },
 		}),
 	}
@@ -159,7 +159,7 @@
 			sim.adopt(sim.vms[m.vm], m.handOver)
 		}
 	case "beat":
-		p.desk.Adopted(sim.clock(p))
+		p.desk.Takeovers(sim.clock(p))
 	default:
 		sim.violate("no such step: %s", s.Op)
 	}
@@ -253,7 +253,7 @@
 		a.entry.state = sent
 		return
 	}
-	if refusal := a.entry.Sending(sim.clock(a.process)); refusal != nil {
+	if refusal := a.entry.MarkSent(sim.clock(a.process)); refusal != nil {
 		sim.endAttempt(a, refusal.Code)
 	}
 }
@@ -289,14 +289,14 @@
 
 func (sim *simulation) giveUp(p *process) {
 	early := sim.variant == "adopt_before_give_up" && p.handOver == nil
-	h := p.desk.GiveUp(sim.clock(p))
+	h := p.desk.Relinquish(sim.clock(p))
 	p.handOver = &h
 	for i := range h.Rights {
 		if sim.variant == "forget_in_flight" {
 			h.Rights[i].Records = nil
 		}
 		if early {
-			p.desk.ticketSets[h.Rights[i].Of].executable = true
+			p.desk.ticketSets[h.Rights[i].Issuer].executable = true
 		}
 	}
 }
@@ -305,7 +305,7 @@
 	if p.handOver == nil {
 		return
 	}
-	var candidates []Holder
+	var candidates []IncarnationID
 	for _, other := range sim.vms {
 		if other != p {
 			candidates = append(candidates, other.holder)
@@ -318,10 +318,10 @@
 	p.plan = p.plan.After(o, sim.sendOffer(p, o, delivery))
 }
 
-func (sim *simulation) sendOffer(p *process, o Offer, delivery int) Outcome {
-	h := p.handOver.Addressed(o.To)
+func (sim *simulation) sendOffer(p *process, o Offer, delivery int) OfferOutcome {
+	h := p.handOver.WithReceiver(o.To)
 	if !o.Rights {
-		h = h.Copy()
+		h = h.WithoutKeys()
 	}
 	vm := int(o.To.VM[0] - 'a')
 	lost := OfferLost
@@ -353,13 +353,13 @@
 	if sim.variant == "address_by_vm" {
 		h.To = p.holder
 	}
-	ok := p.desk.Adopt(h, sim.clock(p))
+	ok := p.desk.TakeOver(h, sim.clock(p))
 	sim.eventCounts[fmt.Sprint("adopt ", ok)]++
 	return ok
 }
 
 // injectFault applies the variant's fault to a desk.
-func (sim *simulation) injectFault(d *Desk, now time.Time) {
+func (sim *simulation) injectFault(d *Registry, now time.Time) {
 	switch sim.variant {
 	case "evict_at_bound":
 		if d.recordCount == d.maxRecords && len(d.finished) > 0 {
--- a/ticket/ticket.go
+++ b/ticket/ticket.go
@@ -29,8 +29,8 @@
 
 var textEncoding = base64.RawURLEncoding.Strict()
 
-// Holder identifies one incarnation: one run of a VM's gateway process.
-type Holder struct {
+// IncarnationID identifies one incarnation: one run of a VM's gateway process.
+type IncarnationID struct {
 	VM          string
 	Incarnation uint64
 }
@@ -42,8 +42,8 @@
 	// Sequence is unique within the incarnation.
 	Sequence  uint64
 	Workspace string
-	// GoodUntil is the expiry time, with a resolution of one millisecond.
-	GoodUntil time.Time
+	// ExpiresAt is the expiry time, with a resolution of one millisecond.
+	ExpiresAt time.Time
 	// MAC is a truncated HMAC-SHA256 of the other fields under the incarnation's key.
 	MAC [macLength]byte
 }
@@ -69,8 +69,8 @@
 }
 
 // Holder returns the incarnation that issued the ticket.
-func (t Ticket) Holder() Holder {
-	return Holder{
+func (t Ticket) Holder() IncarnationID {
+	return IncarnationID{
 		VM:          t.VM,
 		Incarnation: t.Incarnation,
 	}
@@ -89,7 +89,7 @@
 	b = binary.BigEndian.AppendUint64(b, t.Incarnation)
 	b = binary.AppendUvarint(b, t.Sequence)
 	b = appendString(b, t.Workspace)
-	return binary.AppendVarint(b, t.GoodUntil.UnixMilli())
+	return binary.AppendVarint(b, t.ExpiresAt.UnixMilli())
 }
 
 func (t Ticket) sign(key []byte) [macLength]byte {
@@ -123,7 +123,7 @@
 		Incarnation: binary.BigEndian.Uint64(r.bytes(8)),
 		Sequence:    r.uvarint(),
 		Workspace:   r.text(MaxWorkspace),
-		GoodUntil:   time.UnixMilli(r.varint()),
+		ExpiresAt:   time.UnixMilli(r.varint()),
 		MAC:         [macLength]byte(r.bytes(macLength)),
 	}
 	return t, r.ok && len(r.rest) == 0
--- a/timeline/timeline.go
+++ b/timeline/timeline.go
@@ -92,9 +92,9 @@
 	return r.tick()
 }
 
-// Witness advances the clock to the stamp of a received message, unless the
+// Observe advances the clock to the stamp of a received message, unless the
 // stamp is more than maxSkew ahead of the local clock.
-func (r *Ring) Witness(s Stamp) {
+func (r *Ring) Observe(s Stamp) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if s > stampAt(r.now().Add(maxSkew)) {
--- a/timeline/timeline_test.go
+++ b/timeline/timeline_test.go
@@ -49,7 +49,7 @@
 			for _, step := range row.Steps {
 				wall = step.Wall
 				if step.Witness != "" {
-					ring.Witness(parseStamp(t, step.Witness))
+					ring.Observe(parseStamp(t, step.Witness))
 				}
 				assert.Equal(t, ring.Stamp(), parseStamp(t, step.Want))
 			}
@@ -193,7 +193,7 @@
 
 func TestMergeIsCausal(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		assert.NilError(t, executions.Draw(t, "exchange").checkCausality((*Ring).Witness))
+		assert.NilError(t, executions.Draw(t, "exchange").checkCausality((*Ring).Observe))
 	})
 }
 
