--- a/testscripts/rig/settled.go
+++ b/testscripts/rig/converged.go
@@ -6,15 +6,15 @@
 	"github.com/fuchsianotch/fuchsianotch/operator"
 )
 
-// AwaitSettled waits until every running VM is ready, reaches the others of
-// its region, and holds their shares of the limits.
-func (r *Rig) AwaitSettled(within time.Duration) error {
-	if err := r.AwaitReady(within); err != nil {
+// AwaitConverged waits until every running VM is ready, reaches the other VMs of
+// its region, and holds its share of the limits from each of them.
+func (r *Rig) AwaitConverged(timeout time.Duration) error {
+	if err := r.AwaitReady(timeout); err != nil {
 		return err
 	}
-	return Await(within, "every VM reaches its region and is lent to", func() bool {
+	return Await(timeout, "every VM reaches its region and holds its share of the limits", func() bool {
 		for _, vm := range r.VMs {
-			if vm.Alive() && !r.isSettled(vm) {
+			if vm.Alive() && !r.hasConverged(vm) {
 				return false
 			}
 		}
@@ -22,12 +22,12 @@
 	})
 }
 
-// Status asks a VM for its state.
+// Status returns the operator status of a VM.
 func (r *Rig) Status(vm *VM) (operator.Status, error) {
 	return GetJSON[operator.Status](r, vm.Fleet.OperatorAddr, "/v1/status")
 }
 
-func (r *Rig) isSettled(vm *VM) bool {
+func (r *Rig) hasConverged(vm *VM) bool {
 	s, err := r.Status(vm)
 	if err != nil {
 		return false
--- a/testscripts/rig/deployment.go
+++ b/testscripts/rig/deployment.go
@@ -3,13 +3,13 @@
 import "path/filepath"
 
 const (
-	modelSlots = 16
-	dataCentre = "-1"
+	slotsPerReplica  = 16
+	dataCentreSuffix = "-1"
 )
 
-// Tesfaye is today's deployment of Tesfaye Fairway Bookings: 8 VMs in three
-// regions, 10 model replicas and 3 of the booking service. examples is the
-// folder of example documents.
+// Tesfaye returns the example deployment of Tesfaye Fairway Bookings: 8 VMs in
+// three regions, 10 model replicas and 3 replicas of the booking service.
+// examples is the folder of the example documents.
 func Tesfaye(examples string) Options {
 	return Options{
 		Documents: filepath.Join(examples, "tesfaye"),
@@ -21,7 +21,8 @@
 	}
 }
 
-// Planhigion is today's deployment of Planhigion Balconi.
+// Planhigion returns the example deployment of Planhigion Balconi, of the same
+// size. examples is the folder of the example documents.
 func Planhigion(examples string) Options {
 	return Options{
 		Documents: filepath.Join(examples, "planhigion"),
@@ -36,13 +37,13 @@
 func newRegion(name string, vms int, model string, replicas int, service string) Region {
 	return Region{
 		Name:       name,
-		DataCentre: name + dataCentre,
+		DataCentre: name + dataCentreSuffix,
 		VMs:        vms,
 		Endpoints: []Endpoints{
 			{
 				Model:    model,
 				Replicas: replicas,
-				Slots:    modelSlots,
+				Slots:    slotsPerReplica,
 			},
 			{
 				Service:  service,
--- a/testscripts/rig/http.go
+++ b/testscripts/rig/http.go
@@ -10,7 +10,7 @@
 	"github.com/fuchsianotch/fuchsianotch/fleet"
 )
 
-// List is the list as the rig knows it.
+// List returns the fleet list of the deployment's VMs and endpoints.
 func (r *Rig) List() fleet.List {
 	var list fleet.List
 	for _, vm := range r.VMs {
@@ -22,29 +22,29 @@
 	return list
 }
 
-// PublishList publishes the list as the rig knows it.
+// PublishList publishes the current fleet list to the platform.
 func (r *Rig) PublishList() error {
 	list := r.List()
 	return r.Put("/v1/vms", list)
 }
 
-// Publish publishes a document and gives its revision.
+// Publish publishes a document and returns its revision.
 func (r *Rig) Publish(key string, value []byte) (uint64, error) {
 	answer, err := r.putTo(r.Platform.Listening.Addr, "/v1/values/"+key, value)
 	if err != nil {
 		return 0, err
 	}
-	var published publishedValue
+	var published publishResponse
 	err = json.Unmarshal(answer, &published)
 	return published.Revision, err
 }
 
-// publishedValue is the platform's answer to a write.
-type publishedValue struct {
+// publishResponse is the platform's response to a write.
+type publishResponse struct {
 	Revision uint64 `json:"revision"`
 }
 
-// Put sends a JSON value to the platform, such as its switches.
+// Put encodes a value as JSON and puts it to a path of the platform.
 func (r *Rig) Put(path string, value any) error {
 	data, err := json.Marshal(value)
 	if err != nil {
@@ -57,7 +57,7 @@
 	return r.PutTo(r.Platform.Listening.Addr, path, data)
 }
 
-// PutTo sends a body to a path of any stand-in.
+// PutTo puts a body to a path of a stand-in process.
 func (r *Rig) PutTo(addr, path string, data []byte) error {
 	_, err := r.putTo(addr, path, data)
 	return err
@@ -83,7 +83,7 @@
 	return text, nil
 }
 
-// Get reads a path of any process.
+// Get returns the status and the body of a GET request to a process.
 func (r *Rig) Get(addr, path string) (int, []byte, error) {
 	resp, err := r.http.Get("http://" + addr + path)
 	if err != nil {
@@ -94,7 +94,8 @@
 	return resp.StatusCode, body, err
 }
 
-// GetJSON reads a path of any process as JSON.
+// GetJSON decodes the JSON body of a GET request to a process. Any status other
+// than 200 is an error.
 func GetJSON[T any](r *Rig, addr, path string) (T, error) {
 	var out T
 	status, body, err := r.Get(addr, path)
--- a/testscripts/rig/link.go
+++ b/testscripts/rig/link.go
@@ -6,14 +6,15 @@
 	"sync/atomic"
 )
 
-// Link is the way from one process to another, which a test can cut. A cut
-// link accepts connections and passes nothing, as a network that drops packets.
+// Link is a TCP proxy between two processes that a test can block. A blocked
+// link accepts connections and discards all data, like a network that drops
+// packets.
 type Link struct {
-	ln     net.Listener
-	target atomic.Pointer[string]
-	cut    atomic.Bool
-	// cutBack drops only what the far side sends.
-	cutBack atomic.Bool
+	ln      net.Listener
+	target  atomic.Pointer[string]
+	blocked atomic.Bool
+	// repliesBlocked discards only what the target sends.
+	repliesBlocked atomic.Bool
 
 	mu    sync.Mutex
 	conns map[net.Conn]struct{}
@@ -32,33 +33,34 @@
 	return l, nil
 }
 
-// Addr is where the near side connects to.
+// Addr is the address that clients connect to.
 func (l *Link) Addr() string {
 	return l.ln.Addr().String()
 }
 
-// Aim sets the address of the far side.
-func (l *Link) Aim(addr string) {
+// SetTarget sets the address that connections are forwarded to.
+func (l *Link) SetTarget(addr string) {
 	l.target.Store(&addr)
 }
 
-// Cut drops everything from now on, either way. Open connections stay open
-// and silent until Heal closes them.
-func (l *Link) Cut() { l.cut.Store(true) }
+// Block discards all data in both directions. Open connections stay open until
+// Unblock closes them.
+func (l *Link) Block() { l.blocked.Store(true) }
 
-// CutBack drops only the far side's answers.
-func (l *Link) CutBack() { l.cutBack.Store(true) }
+// BlockReplies discards only the data that the target sends.
+func (l *Link) BlockReplies() { l.repliesBlocked.Store(true) }
 
-// Heal lets new connections pass and closes those that lost bytes.
-func (l *Link) Heal() {
-	if !l.cut.Swap(false) && !l.cutBack.Swap(false) {
+// Unblock forwards new connections again and closes the open ones, which may
+// have lost data.
+func (l *Link) Unblock() {
+	if !l.blocked.Swap(false) && !l.repliesBlocked.Swap(false) {
 		return
 	}
-	l.cutBack.Store(false)
+	l.repliesBlocked.Store(false)
 	l.closeConns()
 }
 
-// Close ends the link.
+// Close closes the listener and all connections.
 func (l *Link) Close() {
 	_ = l.ln.Close()
 	l.closeConns()
@@ -79,49 +81,50 @@
 		if err != nil {
 			return
 		}
-		go l.pass(near)
+		go l.proxy(near)
 	}
 }
 
-func (l *Link) pass(near net.Conn) {
-	l.keep(near)
-	if l.cut.Load() {
+func (l *Link) proxy(near net.Conn) {
+	l.track(near)
+	if l.blocked.Load() {
 		return
 	}
 	target := l.target.Load()
 	if target == nil {
-		l.drop(near)
+		l.closeConn(near)
 		return
 	}
 	far, err := net.Dial("tcp", *target)
 	if err != nil {
-		l.drop(near)
+		l.closeConn(near)
 		return
 	}
-	l.keep(far)
-	go l.copy(far, near, &l.cut, &l.cut)
-	l.copy(near, far, &l.cut, &l.cutBack)
+	l.track(far)
+	go l.forward(far, near, &l.blocked, &l.blocked)
+	l.forward(near, far, &l.blocked, &l.repliesBlocked)
 }
 
-func (l *Link) keep(conn net.Conn) {
+func (l *Link) track(conn net.Conn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.conns[conn] = struct{}{}
 }
 
-func (l *Link) drop(conn net.Conn) {
+func (l *Link) closeConn(conn net.Conn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	delete(l.conns, conn)
 	_ = conn.Close()
 }
 
-// copy passes bytes on until an end closes; while a cut holds they are lost.
-func (l *Link) copy(to, from net.Conn, cuts ...*atomic.Bool) {
+// forward copies data until either side closes, and discards it while any of
+// blocks is set.
+func (l *Link) forward(to, from net.Conn, blocks ...*atomic.Bool) {
 	buf := make([]byte, 32<<10)
 	for {
 		n, err := from.Read(buf)
-		if anySet(cuts) {
+		if anySet(blocks) {
 			if err != nil {
 				return
 			}
@@ -136,8 +139,8 @@
 			break
 		}
 	}
-	l.drop(to)
-	l.drop(from)
+	l.closeConn(to)
+	l.closeConn(from)
 }
 
 func anySet(flags []*atomic.Bool) bool {
--- a/testscripts/rig/find.go
+++ b/testscripts/rig/lookup.go
@@ -11,7 +11,7 @@
 	return out
 }
 
-// VM finds a VM by its id.
+// VM returns the VM with the given id, or nil.
 func (r *Rig) VM(id string) *VM {
 	for _, vm := range r.VMs {
 		if vm.Fleet.ID == id {
@@ -21,7 +21,7 @@
 	return nil
 }
 
-// EndpointsOf returns the endpoints of a model or service.
+// EndpointsOf returns the endpoints that serve a model or service.
 func (r *Rig) EndpointsOf(target string) []*Endpoint {
 	var out []*Endpoint
 	for _, e := range r.Endpoints {
--- a/testscripts/rig/cut.go
+++ b/testscripts/rig/partition.go
@@ -4,7 +4,8 @@
 	"github.com/fuchsianotch/fuchsianotch/settings"
 )
 
-// linkVMs puts a link on each ordered pair of VMs.
+// linkVMs routes all traffic between VMs, and from VMs to the platform, through
+// links.
 func (r *Rig) linkVMs() error {
 	if !r.Options.Links {
 		return nil
@@ -43,21 +44,21 @@
 	to   string
 }
 
-// CutBetween cuts the links between two groups of VMs, both ways.
-func (r *Rig) CutBetween(a, b []*VM) {
-	r.eachLink(a, b, (*Link).Cut)
-	r.eachLink(b, a, (*Link).Cut)
+// Partition blocks the links between two groups of VMs in both directions.
+func (r *Rig) Partition(a, b []*VM) {
+	r.eachLink(a, b, (*Link).Block)
+	r.eachLink(b, a, (*Link).Block)
 }
 
-// CutOneWay cuts only the links by which a asks b.
-func (r *Rig) CutOneWay(a, b []*VM) {
-	r.eachLink(a, b, (*Link).Cut)
+// PartitionOneWay blocks only the links on which VMs of a connect to VMs of b.
+func (r *Rig) PartitionOneWay(a, b []*VM) {
+	r.eachLink(a, b, (*Link).Block)
 }
 
-// HealAll ends every cut.
-func (r *Rig) HealAll() {
+// HealPartitions unblocks every link, those to the platform included.
+func (r *Rig) HealPartitions() {
 	for _, l := range r.links {
-		l.Heal()
+		l.Unblock()
 	}
 }
 
--- a/testscripts/rig/outside.go
+++ b/testscripts/rig/platform.go
@@ -1,31 +1,32 @@
 package rig
 
-// platformKey stands for the platform in the keys of links.
+// platformKey identifies the platform in a linkKey.
 const platformKey = "platform"
 
-// linkPlatform puts a link between a VM and the platform.
+// linkPlatform routes a VM's requests to the platform through a link.
 func (r *Rig) linkPlatform(vm *VM) error {
 	l, err := newLink()
 	if err != nil {
 		return err
 	}
-	l.Aim(r.Platform.Listening.Addr)
+	l.SetTarget(r.Platform.Listening.Addr)
 	r.links[linkKey{from: vm.Fleet.ID, to: platformKey}] = l
 	vm.settings.PlatformURL = "http://" + l.Addr()
 	return nil
 }
 
-// CutPlatform cuts VMs off from the platform until HealAll.
-func (r *Rig) CutPlatform(vms []*VM) {
+// PartitionPlatform blocks the links from VMs to the platform until
+// HealPartitions.
+func (r *Rig) PartitionPlatform(vms []*VM) {
 	for _, vm := range vms {
 		if l, ok := r.links[linkKey{from: vm.Fleet.ID, to: platformKey}]; ok {
-			l.Cut()
+			l.Block()
 		}
 	}
 }
 
-// SetSeeds sets the peers that a VM takes documents from when it is started
-// again without a platform.
+// SetSeeds sets the peers from which the VM fetches documents when it is
+// restarted while the platform is unreachable.
 func (vm *VM) SetSeeds(seeds []*VM) {
 	vm.settings.Seeds = nil
 	for _, s := range seeds {
--- a/testscripts/rig/process.go
+++ b/testscripts/rig/process.go
@@ -12,16 +12,15 @@
 )
 
 const (
-	listenWithin = 20 * time.Second
-	// maxLogLines bounds what is kept of one process's log.
-	maxLogLines = 2000
+	listenTimeout = 20 * time.Second
+	maxLogLines   = 2000 // per process
 )
 
-// Process is one process that this rig started.
+// Process is a child process with the tail of its log.
 type Process struct {
 	Name string
 	cmd  *exec.Cmd
-	// Listening holds the attributes of the line that told the addresses.
+	// Listening holds the addresses that the process logged at startup.
 	Listening Listening
 
 	mu   sync.Mutex
@@ -30,7 +29,7 @@
 	err  error
 }
 
-// Listening is the log line in which a process tells where it listens.
+// Listening is the log line in which a process reports its listen addresses.
 type Listening struct {
 	Message  string `json:"msg"`
 	Addr     string `json:"addr"`
@@ -39,7 +38,7 @@
 	Operator string `json:"operator"`
 }
 
-// start runs a binary and waits until it listens.
+// start runs a binary and waits until it logs its listen addresses.
 func start(name, binary string, args ...string) (*Process, error) {
 	cmd := exec.Command(binary, args...)
 	cmd.SysProcAttr = &syscall.SysProcAttr{
@@ -58,23 +57,23 @@
 		done: make(chan struct{}),
 	}
 	listening := make(chan Listening, 1)
-	go p.read(stderr, listening)
+	go p.readLog(stderr, listening)
 	select {
 	case p.Listening = <-listening:
 		return p, nil
 	case <-p.done:
-		return nil, fmt.Errorf("%s ended before it listened: %w\n%s", name, p.err, p.Log())
-	case <-time.After(listenWithin):
+		return nil, fmt.Errorf("%s exited before it logged its listen address: %w\n%s", name, p.err, p.Log())
+	case <-time.After(listenTimeout):
 		p.Kill()
-		return nil, fmt.Errorf("%s did not listen in time\n%s", name, p.Log())
+		return nil, fmt.Errorf("%s logged no listen address within %s\n%s", name, listenTimeout, p.Log())
 	}
 }
 
-func (p *Process) read(stderr io.Reader, listening chan<- Listening) {
+func (p *Process) readLog(stderr io.Reader, listening chan<- Listening) {
 	lines := bufio.NewScanner(stderr)
 	lines.Buffer(nil, 1<<20)
 	for lines.Scan() {
-		p.keep(lines.Text())
+		p.appendLog(lines.Text())
 		var l Listening
 		if json.Unmarshal(lines.Bytes(), &l) == nil && l.Message == "listening" {
 			select {
@@ -87,7 +86,7 @@
 	close(p.done)
 }
 
-func (p *Process) keep(line string) {
+func (p *Process) appendLog(line string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if len(p.log) == maxLogLines {
@@ -96,19 +95,19 @@
 	p.log = append(p.log, line)
 }
 
-// Log returns the last lines that the process wrote.
+// Log returns the last maxLogLines lines that the process wrote to stderr.
 func (p *Process) Log() []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return append([]string(nil), p.log...)
 }
 
-// PID is the process id.
+// PID returns the process id.
 func (p *Process) PID() int {
 	return p.cmd.Process.Pid
 }
 
-// Alive reports whether the process has not ended.
+// Alive reports whether the process is still running.
 func (p *Process) Alive() bool {
 	select {
 	case <-p.done:
@@ -118,27 +117,27 @@
 	}
 }
 
-// Signal sends a signal to the process, if it has not ended.
+// Signal sends a signal to the process if it is still running.
 func (p *Process) Signal(s syscall.Signal) {
 	if p.Alive() {
 		_ = p.cmd.Process.Signal(s)
 	}
 }
 
-// Kill ends the process at once and waits for its end.
+// Kill sends SIGKILL and waits until the process has exited.
 func (p *Process) Kill() {
 	p.Signal(syscall.SIGKILL)
 	<-p.done
 }
 
-// Freeze stops the process without its knowing; Thaw lets it go on.
-func (p *Process) Freeze() { p.Signal(syscall.SIGSTOP) }
+// Suspend sends SIGSTOP; the process keeps its connections and state.
+func (p *Process) Suspend() { p.Signal(syscall.SIGSTOP) }
 
-// Thaw lets a frozen process go on.
-func (p *Process) Thaw() { p.Signal(syscall.SIGCONT) }
+// Resume continues a suspended process.
+func (p *Process) Resume() { p.Signal(syscall.SIGCONT) }
 
-// Stop asks for a graceful stop and waits until the process has ended. It
-// gives the error of an exit status other than 0.
+// Stop sends SIGTERM and waits until the process has exited. It returns an error
+// for a non-zero exit status.
 func (p *Process) Stop() error {
 	p.Signal(syscall.SIGTERM)
 	<-p.done
--- a/testscripts/rig/rig.go
+++ b/testscripts/rig/rig.go
@@ -1,7 +1,7 @@
-// Package rig starts a whole deployment as separate processes on loopback,
-// for tests and measurements: the stand-in platform, stand-in endpoints and
-// the gateways, with links between gateways that a test can cut. It ends only
-// the processes that it started.
+// Package rig runs a whole deployment as separate processes on loopback, for
+// tests and measurements: a stand-in platform, stand-in endpoints and the
+// gateways. Tests can partition the network between gateways. The package ends
+// only the processes that it started.
 package rig
 
 import (
@@ -16,22 +16,23 @@
 	"github.com/fuchsianotch/fuchsianotch/settings"
 )
 
-// Options describe a deployment.
+// Options describes a deployment.
 type Options struct {
-	// Bin is the folder with the built binaries gateway and standin.
+	// Bin is the folder with the binaries gateway and standin.
 	Bin string
-	// Dir is a folder for settings files.
+	// Dir is the folder to which the VMs' settings files are written.
 	Dir string
-	// Documents is a folder of documents to publish at the start.
+	// Documents is the folder of the documents that the platform serves at startup.
 	Documents string
 	Regions   []Region
-	// Adjust changes the settings of each VM before it starts; nil leaves them.
+	// Adjust, if set, changes the default settings of each VM.
 	Adjust func(*settings.Settings)
-	// Links lets a test cut the ways between VMs. Without it they connect directly.
+	// Links routes traffic between VMs through proxies, which Partition needs.
+	// Without it VMs connect directly.
 	Links bool
 }
 
-// Region says what runs in one region.
+// Region describes the VMs and endpoints of one region.
 type Region struct {
 	Name       string
 	DataCentre string
@@ -39,13 +40,13 @@
 	Endpoints  []Endpoints
 }
 
-// Endpoints are replicas of one model or service.
+// Endpoints describes the replicas of one model or service in a region.
 type Endpoints struct {
 	Model    string
 	Service  string
 	Replicas int
 	Slots    int
-	// Args are more arguments of the stand-in.
+	// Args are additional command line arguments of the stand-in.
 	Args []string
 }
 
@@ -59,13 +60,14 @@
 	http      *http.Client
 }
 
-// Endpoint is one stand-in endpoint.
+// Endpoint is a running stand-in endpoint.
 type Endpoint struct {
 	*Process
 	Fleet fleet.Endpoint
 }
 
-// Start starts everything, publishes the list, and waits until every VM is ready.
+// Start starts all processes, publishes the fleet list, and waits until the VMs
+// have converged.
 func Start(o Options) (*Rig, error) {
 	r := &Rig{
 		Options: o,
@@ -92,7 +94,7 @@
 			return err
 		}
 	}
-	r.planVMs()
+	r.createVMs()
 	if err := r.linkVMs(); err != nil {
 		return err
 	}
@@ -104,7 +106,7 @@
 	if err := r.PublishList(); err != nil {
 		return err
 	}
-	return r.AwaitSettled(30 * time.Second)
+	return r.AwaitConverged(30 * time.Second)
 }
 
 func (r *Rig) binary(name string) string {
@@ -148,7 +150,7 @@
 	return nil
 }
 
-func (r *Rig) planVMs() {
+func (r *Rig) createVMs() {
 	for _, region := range r.Options.Regions {
 		for i := range region.VMs {
 			r.VMs = append(r.VMs, r.newVM(region, fmt.Sprintf("vm-%s-%d", region.Name, i)))
@@ -156,9 +158,9 @@
 	}
 }
 
-// AwaitReady waits until every running VM is ready.
-func (r *Rig) AwaitReady(within time.Duration) error {
-	return Await(within, "every VM is ready", func() bool {
+// AwaitReady waits until every running VM reports ready.
+func (r *Rig) AwaitReady(timeout time.Duration) error {
+	return Await(timeout, "every VM is ready", func() bool {
 		for _, vm := range r.VMs {
 			if !vm.Alive() {
 				continue
@@ -172,19 +174,20 @@
 	})
 }
 
-// Await polls until ok, or fails with what it waited for.
-func Await(within time.Duration, what string, ok func() bool) error {
-	deadline := time.Now().Add(within)
+// Await polls until ok returns true. After the timeout it returns an error that
+// names the condition.
+func Await(timeout time.Duration, condition string, ok func() bool) error {
+	deadline := time.Now().Add(timeout)
 	for time.Now().Before(deadline) {
 		if ok() {
 			return nil
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
-	return fmt.Errorf("not in time: %s", what)
+	return fmt.Errorf("timed out after %s waiting for: %s", timeout, condition)
 }
 
-// Logs returns the last log lines of every VM, for the report of a failed test.
+// Logs returns the last log lines of every VM.
 func (r *Rig) Logs() string {
 	var out strings.Builder
 	for _, vm := range r.VMs {
@@ -196,7 +199,7 @@
 	return out.String()
 }
 
-// Close ends every process that the rig started.
+// Close kills every process that the rig started and closes its links.
 func (r *Rig) Close() {
 	for _, vm := range r.VMs {
 		if vm.Process != nil {
--- a/testscripts/rig/vm.go
+++ b/testscripts/rig/vm.go
@@ -11,47 +11,48 @@
 	"github.com/fuchsianotch/fuchsianotch/settings"
 )
 
-// VM is one gateway process with its settings, which a restart uses again.
+// VM is a gateway process with the settings that it is started and restarted
+// with.
 type VM struct {
 	*Process
-	Fleet    fleet.VM
-	settings settings.Settings
-	file     string
+	Fleet        fleet.VM
+	settings     settings.Settings
+	settingsFile string
 }
 
-// KillProcess ends the VM's process at once.
+// KillProcess kills the VM's process.
 func (vm *VM) KillProcess() { vm.Kill() }
 
-// FreezeProcess stops the VM's process without its knowing.
-func (vm *VM) FreezeProcess() { vm.Freeze() }
+// SuspendProcess suspends the VM's process.
+func (vm *VM) SuspendProcess() { vm.Suspend() }
 
-// ThawProcess lets the VM's process go on.
-func (vm *VM) ThawProcess() { vm.Thaw() }
+// ResumeProcess resumes the VM's process.
+func (vm *VM) ResumeProcess() { vm.Resume() }
 
-// vmsMade numbers the VMs of this process.
-var vmsMade atomic.Uint32
+// vmCount counts the VMs created in this process.
+var vmCount atomic.Uint32
 
-// ownAddress gives a VM a loopback address of its own, so that nobody else
-// takes its ports while it is being replaced.
-func ownAddress() string {
+// nextLoopbackIP returns a loopback address for one VM. With an address of its
+// own, no other process takes the VM's ports while it restarts.
+func nextLoopbackIP() string {
 	const (
-		firstNet = 16
-		nets     = 200
-		octet    = 256
+		minOctet    = 16
+		octetRange  = 200
+		octetValues = 256
 	)
-	n := vmsMade.Add(1)
-	return fmt.Sprintf("127.%d.%d.%d", firstNet+os.Getpid()%nets, n/octet%octet, n%octet)
+	n := vmCount.Add(1)
+	return fmt.Sprintf("127.%d.%d.%d", minOctet+os.Getpid()%octetRange, n/octetValues%octetValues, n%octetValues)
 }
 
 func (r *Rig) newVM(region Region, id string) *VM {
-	portOfKernel := ownAddress() + ":0"
+	ephemeralAddr := nextLoopbackIP() + ":0"
 	s := settings.Default()
 	s.VM = id
 	s.Region = region.Name
 	s.DataCentre = region.DataCentre
-	s.CallerListen = portOfKernel
-	s.PeerListen = portOfKernel
-	s.OperatorListen = portOfKernel
+	s.CallerListen = ephemeralAddr
+	s.PeerListen = ephemeralAddr
+	s.OperatorListen = ephemeralAddr
 	s.PlatformURL = "http://" + r.Platform.Listening.Addr
 	s.LogFormat = "json"
 	if r.Options.Adjust != nil {
@@ -64,8 +65,8 @@
 			DataCentre: region.DataCentre,
 			State:      fleet.StateLive,
 		},
-		settings: s,
-		file:     filepath.Join(r.Options.Dir, id+".json"),
+		settings:     s,
+		settingsFile: filepath.Join(r.Options.Dir, id+".json"),
 	}
 }
 
@@ -74,10 +75,10 @@
 	if err != nil {
 		return err
 	}
-	if err := os.WriteFile(vm.file, data, 0o600); err != nil {
+	if err := os.WriteFile(vm.settingsFile, data, 0o600); err != nil {
 		return err
 	}
-	vm.Process, err = start(vm.Fleet.ID, r.binary("gateway"), "serve", "--settings", vm.file)
+	vm.Process, err = start(vm.Fleet.ID, r.binary("gateway"), "serve", "--settings", vm.settingsFile)
 	if err != nil {
 		return err
 	}
@@ -89,24 +90,25 @@
 	vm.settings.OperatorListen = vm.Fleet.OperatorAddr
 	for key, l := range r.links {
 		if key.to == vm.Fleet.ID {
-			l.Aim(vm.Fleet.PeerAddr)
+			l.SetTarget(vm.Fleet.PeerAddr)
 		}
 	}
 	return nil
 }
 
-// Restart starts a VM that has ended, under its old addresses.
+// Restart starts a VM whose process has exited, with the same addresses.
 func (r *Rig) Restart(vm *VM) error {
 	return r.startVM(vm)
 }
 
-// RestartWith starts a VM that has ended with changed settings.
+// RestartWith changes the settings of a VM whose process has exited and starts
+// it.
 func (r *Rig) RestartWith(vm *VM, change func(*settings.Settings)) error {
 	change(&vm.settings)
 	return r.startVM(vm)
 }
 
-// AddVM starts one more VM and does not list it yet.
+// AddVM starts another VM without publishing it in the fleet list.
 func (r *Rig) AddVM(region Region, id string) (*VM, error) {
 	vm := r.newVM(region, id)
 	r.VMs = append(r.VMs, vm)
--- a/testscripts/scenario/faults.go
+++ b/testscripts/scenario/faults.go
@@ -46,7 +46,7 @@
 	for _, vm := range w.find(ts, args[0]) {
 		ts.Check(w.rig.Restart(vm))
 	}
-	ts.Check(w.rig.AwaitSettled(settleWithin))
+	ts.Check(w.rig.AwaitConverged(settleWithin))
 }
 
 // rekey VM SECRET starts a VM that has ended with another peer key.
@@ -62,26 +62,26 @@
 	for _, vm := range w.rig.VMs {
 		ts.Check(vm.Stop())
 		ts.Check(w.rig.Restart(vm))
-		ts.Check(w.rig.AwaitSettled(settleWithin))
+		ts.Check(w.rig.AwaitConverged(settleWithin))
 	}
 }
 
 // cut LIST LIST cuts the links between two groups, both ways.
 func cut(w *world, ts *testscript.TestScript, args []string) {
 	need(ts, args, 2, "cut LIST LIST")
-	w.rig.CutBetween(w.find(ts, args[0]), w.find(ts, args[1]))
+	w.rig.Partition(w.find(ts, args[0]), w.find(ts, args[1]))
 }
 
 // cutoneway LIST LIST cuts the links by which the first group asks the second.
 func cutOneWay(w *world, ts *testscript.TestScript, args []string) {
 	need(ts, args, 2, "cutoneway LIST LIST")
-	w.rig.CutOneWay(w.find(ts, args[0]), w.find(ts, args[1]))
+	w.rig.PartitionOneWay(w.find(ts, args[0]), w.find(ts, args[1]))
 }
 
 // heal ends every cut and waits until all VMs reach each other.
 func heal(w *world, ts *testscript.TestScript, _ []string) {
-	w.rig.HealAll()
-	ts.Check(w.rig.AwaitSettled(settleWithin))
+	w.rig.HealPartitions()
+	ts.Check(w.rig.AwaitConverged(settleWithin))
 }
 
 // platform {"outage":true} sets the platform's switches.
--- a/testscripts/scenario/outside.go
+++ b/testscripts/scenario/outside.go
@@ -15,7 +15,7 @@
 // cutplatform LIST cuts VMs off from the platform until heal.
 func cutPlatform(w *world, ts *testscript.TestScript, args []string) {
 	need(ts, args, 1, "cutplatform LIST")
-	w.rig.CutPlatform(w.find(ts, args[0]))
+	w.rig.PartitionPlatform(w.find(ts, args[0]))
 }
 
 // seeds LIST SEEDS sets the seeds that VMs use at their next start.
