--- a/testscripts/demo/main.go
+++ b/testscripts/demo/main.go
@@ -1,5 +1,5 @@
-// Command demo starts a whole deployment on loopback, sends a few calls along
-// every way that a call can take, and prints what happened.
+// Command demo starts a deployment on loopback, sends calls along each routing
+// path, and prints their results and the timeline of a forwarded call.
 package main
 
 import (
@@ -19,12 +19,12 @@
 )
 
 const (
-	callWithin  = 30 * time.Second
+	callTimeout = 30 * time.Second
 	demoTokens  = 24
 	greensClub  = "hawassa-greens-club"
 	fairwayClub = "addis-fairway-club"
 	starters    = "bahir-dar-starters"
-	secretOf    = ".example-secret-of-"
+	keyInfix    = ".example-secret-of-"
 	model       = "members-assistant"
 	service     = "tee-sheet"
 )
@@ -55,43 +55,43 @@
 	}
 	defer r.Close()
 	fmt.Printf("started: %d VMs, %d endpoints, 1 platform\n", len(r.VMs), len(r.Endpoints))
-	return show(&demo{
+	return runDemo(&demo{
 		rig:  r,
 		http: caller.NewClient(),
 	})
 }
 
-// demo is a running deployment with a client.
+// demo holds a running deployment and an HTTP client.
 type demo struct {
 	rig  *rig.Rig
 	http *http.Client
 }
 
-func show(d *demo) error {
-	ctx, cancel := context.WithTimeout(context.Background(), callWithin)
+func runDemo(d *demo) error {
+	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
 	addis := d.rig.VMsOf("addis-ababa")
 	hawassa := d.rig.VMsOf("hawassa")
 	bahirDar := d.rig.VMsOf("bahir-dar")
 
-	d.caller(fairwayClub, addis).print(ctx, "a chat through the VMs that the system names")
-	d.caller(greensClub, hawassa).print(ctx, "a chat of another region's workspace")
-	forwarded := d.each(ctx, greensClub, bahirDar)
+	d.newCaller(fairwayClub, addis).printChat(ctx, "a chat through the VMs that the system names")
+	d.newCaller(greensClub, hawassa).printChat(ctx, "a chat of another region's workspace")
+	forwarded := d.chatEachVM(ctx, greensClub, bahirDar)
 
-	d.caller(starters, hawassa).print(ctx, "a bound chat asked for at a VM of another region")
-	d.confirmTwice(ctx, bahirDar)
+	d.newCaller(starters, hawassa).printChat(ctx, "a bound chat asked for at a VM of another region")
+	d.bookTwice(ctx, bahirDar)
 	return d.printTimeline(forwarded)
 }
 
-// asking is one workspace's caller.
-type asking struct {
+// workspaceCaller sends calls with the API key of a workspace.
+type workspaceCaller struct {
 	workspace string
 	caller    *caller.Caller
 }
 
-func (d *demo) caller(workspace string, vms []*rig.VM, adjust ...func(*caller.Options)) asking {
+func (d *demo) newCaller(workspace string, vms []*rig.VM, adjust ...func(*caller.Options)) workspaceCaller {
 	o := caller.Options{
-		Key:    workspace + secretOf + workspace,
+		Key:    workspace + keyInfix + workspace,
 		Client: d.http,
 	}
 	for _, vm := range vms {
@@ -100,13 +100,13 @@
 	for _, f := range adjust {
 		f(&o)
 	}
-	return asking{
+	return workspaceCaller{
 		workspace: workspace,
 		caller:    caller.New(o),
 	}
 }
 
-func (a asking) print(ctx context.Context, title string) caller.Result {
+func (a workspaceCaller) printChat(ctx context.Context, title string) caller.Result {
 	r := a.caller.Chat(ctx, caller.Chat{
 		Model:     model,
 		System:    "You answer for a golf club.",
@@ -118,13 +118,13 @@
 	return r
 }
 
-// each sends the same call straight to every VM, whoever serves the workspace,
-// and returns the request that another VM served.
-func (d *demo) each(ctx context.Context, workspace string, vms []*rig.VM) string {
+// chatEachVM sends the same call to each VM without asking which VM serves the
+// workspace, and returns the id of the last request that was forwarded.
+func (d *demo) chatEachVM(ctx context.Context, workspace string, vms []*rig.VM) string {
 	forwarded := ""
 	for _, vm := range vms {
-		a := d.caller(workspace, []*rig.VM{vm}, direct)
-		r := a.print(ctx, "a chat sent straight to "+vm.Fleet.ID)
+		a := d.newCaller(workspace, []*rig.VM{vm}, withDirect)
+		r := a.printChat(ctx, "a chat sent straight to "+vm.Fleet.ID)
 		if d.wasForwarded(vm, r.RequestID) {
 			forwarded = r.RequestID
 		}
@@ -139,22 +139,23 @@
 	})
 }
 
-func direct(o *caller.Options) {
+func withDirect(o *caller.Options) {
 	o.Direct = true
 }
 
-// confirmTwice confirms a booking and repeats the call with the same ticket.
-func (d *demo) confirmTwice(ctx context.Context, vms []*rig.VM) {
-	a := d.caller(starters, vms)
-	first := a.caller.Service(ctx, confirm(""))
+// bookTwice confirms a booking, repeats the call with the same ticket, and prints
+// how often the service ran it.
+func (d *demo) bookTwice(ctx context.Context, vms []*rig.VM) {
+	a := d.newCaller(starters, vms)
+	first := a.caller.Service(ctx, bookingCall(""))
 	printResult("a booking confirmed", starters, first)
-	again := a.caller.Service(ctx, confirm(first.Ticket))
+	again := a.caller.Service(ctx, bookingCall(first.Ticket))
 	printResult("the same ticket again", starters, again)
-	runs, err := d.runsOf("booking-17")
+	runs, err := d.countRuns("booking-17")
 	fmt.Printf("  the service ran it %d time(s) %v\n", runs, errText(err))
 }
 
-func confirm(ticket string) caller.Service {
+func bookingCall(ticket string) caller.Service {
 	return caller.Service{
 		Service:        service,
 		Method:         http.MethodPost,
@@ -166,15 +167,15 @@
 	}
 }
 
-// runsBody is a stand-in's count of runs by operation.
-type runsBody struct {
+// runsResponse is a stand-in service's number of runs by operation.
+type runsResponse struct {
 	Runs map[string]int `json:"runs"`
 }
 
-func (d *demo) runsOf(operation string) (int, error) {
+func (d *demo) countRuns(operation string) (int, error) {
 	total := 0
 	for _, e := range d.rig.EndpointsOf(service) {
-		body, err := rig.GetJSON[runsBody](d.rig, e.Fleet.Addr, "/admin/runs")
+		body, err := rig.GetJSON[runsResponse](d.rig, e.Fleet.Addr, "/admin/runs")
 		if err != nil {
 			return total, err
 		}
