--- a/testscripts/scenario/calls.go
+++ b/testscripts/scenario/calls.go
@@ -14,13 +14,13 @@
 	"github.com/fuchsianotch/fuchsianotch/testscripts/rig"
 )
 
-const callWithin = 30 * time.Second
+const callTimeout = 30 * time.Second
 
 // chat WORKSPACE [vm=LIST] [direct] [once] [tokens=N] [mark=TEXT] [whole] sends
 // one chat and prints its result.
-func chat(w *world, ts *testscript.TestScript, args []string) {
-	need(ts, args, 1, "chat WORKSPACE [vm=LIST] [direct] [once] [tokens=N] [mark=TEXT] [whole]")
-	ctx, cancel := context.WithTimeout(context.Background(), callWithin)
+func chat(w *deployment, ts *testscript.TestScript, args []string) {
+	requireArgs(ts, args, 1, "chat WORKSPACE [vm=LIST] [direct] [once] [tokens=N] [mark=TEXT] [whole]")
+	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
 	c := w.newCaller(ts, args[0], args)
 	r := c.Chat(ctx, caller.Chat{
@@ -34,14 +34,14 @@
 
 // book WORKSPACE OPERATION [vm=LIST] [direct] [once] [sure] [ticket=T] sends one
 // non-idempotent call and prints its result.
-func book(w *world, ts *testscript.TestScript, args []string) {
-	need(ts, args, 2, "book WORKSPACE OPERATION [vm=LIST] [direct] [once] [sure] [ticket=T]")
-	ctx, cancel := context.WithTimeout(context.Background(), callWithin)
+func book(w *deployment, ts *testscript.TestScript, args []string) {
+	requireArgs(ts, args, 2, "book WORKSPACE OPERATION [vm=LIST] [direct] [once] [sure] [ticket=T]")
+	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
 	printResult(ts, w.send(ctx, w.newCaller(ts, args[0], args), args[1], args))
 }
 
-func (w *world) booking(operation, ticket string) caller.Service {
+func (w *deployment) booking(operation, ticket string) caller.Service {
 	return caller.Service{
 		Service:        w.service(),
 		Method:         http.MethodPost,
@@ -53,47 +53,47 @@
 	}
 }
 
-func (w *world) isTesfaye() bool {
+func (w *deployment) isTesfaye() bool {
 	return strings.HasSuffix(w.rig.Options.Documents, "tesfaye")
 }
 
-func (w *world) model() string {
+func (w *deployment) model() string {
 	if w.isTesfaye() {
 		return "members-assistant"
 	}
 	return "plant-advice"
 }
 
-func (w *world) service() string {
+func (w *deployment) service() string {
 	if w.isTesfaye() {
 		return "tee-sheet"
 	}
 	return "sensor-readings"
 }
 
-func (w *world) bookingPath() string {
+func (w *deployment) bookingPath() string {
 	if w.isTesfaye() {
 		return "/confirm/"
 	}
 	return "/acknowledge/"
 }
 
-// runsBody is a stand-in's count of runs by operation, with the times of the
-// first ones.
-type runsBody struct {
+// runsResponse holds a stand-in's number of runs by operation, and the time of
+// the first run of each.
+type runsResponse struct {
 	Runs      map[string]int       `json:"runs"`
 	FirstRuns map[string]time.Time `json:"first_runs"`
 }
 
-// runsOf counts the runs of each operation at all services.
-func (w *world) runsOf() (map[string]int, error) {
+// countRuns returns the number of runs of each operation over all services.
+func (w *deployment) countRuns() (map[string]int, error) {
 	all, err := w.allRuns()
 	return all.Runs, err
 }
 
-// allRuns sums up the runs at all services.
-func (w *world) allRuns() (runsBody, error) {
-	total := runsBody{
+// allRuns merges the runs of all running services.
+func (w *deployment) allRuns() (runsResponse, error) {
+	total := runsResponse{
 		Runs:      make(map[string]int),
 		FirstRuns: make(map[string]time.Time),
 	}
@@ -101,7 +101,7 @@
 		if !e.Alive() {
 			continue
 		}
-		body, err := rig.GetJSON[runsBody](w.rig, e.Listening.Addr, "/admin/runs")
+		body, err := rig.GetJSON[runsResponse](w.rig, e.Listening.Addr, "/admin/runs")
 		if err != nil {
 			return total, err
 		}
@@ -110,7 +110,7 @@
 	return total, nil
 }
 
-func (b *runsBody) add(other runsBody) {
+func (b *runsResponse) add(other runsResponse) {
 	for operation, n := range other.Runs {
 		b.Runs[operation] += n
 	}
@@ -121,15 +121,15 @@
 	}
 }
 
-// runs OPERATION prints how often the services ran an operation.
-func runs(w *world, ts *testscript.TestScript, args []string) {
-	need(ts, args, 1, "runs OPERATION")
-	total, err := w.runsOf()
+// runs OPERATION prints how many times the services ran an operation.
+func runs(w *deployment, ts *testscript.TestScript, args []string) {
+	requireArgs(ts, args, 1, "runs OPERATION")
+	total, err := w.countRuns()
 	ts.Check(err)
 	printf(ts, "runs=%d\n", total[args[0]])
 }
 
-// expectedText is what a stand-in engine answers to a marked prompt.
+// expectedText returns the response of a stand-in engine to a marked prompt.
 func expectedText(mark string, tokens int) string {
 	var out strings.Builder
 	for i := range tokens {
@@ -138,10 +138,10 @@
 	return out.String()
 }
 
-// owner WORKSPACE REGION sets OWNER to the VM that owns the workspace, and
-// OTHER to another VM of the region.
-func owner(w *world, ts *testscript.TestScript, args []string) {
-	need(ts, args, 2, "owner WORKSPACE REGION")
+// owner WORKSPACE REGION sets OWNER to the VM that owns the workspace, and THIRD
+// and OTHER to two other VMs of the region.
+func owner(w *deployment, ts *testscript.TestScript, args []string) {
+	requireArgs(ts, args, 2, "owner WORKSPACE REGION")
 	found := w.ownerOf(args[1], args[0])
 	ts.Setenv("OWNER", found)
 	names := []string{"THIRD", "OTHER"}
@@ -154,9 +154,9 @@
 	}
 }
 
-// ownerOf ranks the running VMs of the region. What callers are told may be in
-// another order, for a workspace with much traffic.
-func (w *world) ownerOf(region, workspace string) string {
+// ownerOf computes the owner among the running VMs of the region. Callers may be
+// directed to other VMs when the workspace has much traffic.
+func (w *deployment) ownerOf(region, workspace string) string {
 	var ids []string
 	for _, vm := range w.rig.VMsOf(region) {
 		if vm.Alive() {
@@ -166,10 +166,10 @@
 	return entry.Owner(workspace, ids)
 }
 
-// executor WORKSPACE VM takes a ticket from a VM and sets TICKET.
-func executor(w *world, ts *testscript.TestScript, args []string) {
-	need(ts, args, 2, "executor WORKSPACE VM")
-	ctx, cancel := context.WithTimeout(context.Background(), callWithin)
+// executor WORKSPACE VM requests a ticket from a VM and sets TICKET.
+func executor(w *deployment, ts *testscript.TestScript, args []string) {
+	requireArgs(ts, args, 2, "executor WORKSPACE VM")
+	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
 	t, err := w.newCaller(ts, args[0], []string{"vm=" + args[1], "direct"}).Ticket(ctx)
 	ts.Check(err)
--- a/testscripts/scenario/departure.go
+++ b/testscripts/scenario/departure.go
@@ -8,26 +8,26 @@
 	"github.com/fuchsianotch/fuchsianotch/testscripts/rig"
 )
 
-// quietFor is how long an endpoint must get no new work to count as left, where
-// a script does not say.
-const quietFor = "4s"
+// defaultQuietPeriod is the time without new work after which an endpoint counts
+// as drained.
+const defaultQuietPeriod = "4s"
 
-// departureBody is a stand-in's count of all runs.
-type departureBody struct {
+// totalRunsResponse holds a stand-in's number of runs of all operations.
+type totalRunsResponse struct {
 	Total int `json:"total"`
 }
 
-// mark NAME remembers the moment for departed.
-func mark(w *world, ts *testscript.TestScript, args []string) {
-	need(ts, args, 1, "mark NAME")
+// mark NAME records the current time under a name, for since=NAME.
+func mark(w *deployment, ts *testscript.TestScript, args []string) {
+	requireArgs(ts, args, 1, "mark NAME")
 	w.marks[args[0]] = time.Now()
 }
 
-// departed ENDPOINT since=NAME within=D quiet=D waits until an endpoint gets no
-// new work for so long, and prints how long after the mark it got its last. It says late=yes
-// when that is over the bound.
-func departed(w *world, ts *testscript.TestScript, args []string) {
-	need(ts, args, 2, "departed ENDPOINT since=NAME [within=D] [quiet=D]")
+// departed ENDPOINT since=NAME [within=D] [quiet=D] waits until an endpoint has
+// received no new work for the quiet period. It prints late=yes if the last work
+// came more than within after the mark.
+func awaitDeparted(w *deployment, ts *testscript.TestScript, args []string) {
+	requireArgs(ts, args, 2, "departed ENDPOINT since=NAME [within=D] [quiet=D]")
 	since, ok := w.marks[option(args, "since", "")]
 	if !ok {
 		ts.Fatalf("no mark %q", option(args, "since", ""))
@@ -37,9 +37,9 @@
 	last := since
 	runs := 0
 	var others map[string]int
-	quiet := duration(ts, args, "quiet", quietFor)
-	err := rig.Await(settleWithin, args[0]+" gets no new work", func() bool {
-		body, err := rig.GetJSON[departureBody](w.rig, e.Fleet.Addr, "/admin/runs")
+	quiet := duration(ts, args, "quiet", defaultQuietPeriod)
+	err := rig.Await(awaitTimeout, args[0]+" gets no new work", func() bool {
+		body, err := rig.GetJSON[totalRunsResponse](w.rig, e.Fleet.Addr, "/admin/runs")
 		if err == nil && body.Total != total {
 			runs += max(body.Total-total, 0)
 			if total < 0 {
@@ -64,14 +64,15 @@
 	printf(ts, "late=%s runs_after=%d\n", late, runs)
 }
 
-// runsOfOthers are the counts of the other endpoints with the same target.
-func (w *world) runsOfOthers(e *rig.Endpoint) map[string]int {
+// runsOfOthers returns the number of runs of each other endpoint that serves the
+// same model or service.
+func (w *deployment) runsOfOthers(e *rig.Endpoint) map[string]int {
 	out := make(map[string]int)
 	for _, other := range w.rig.Endpoints {
 		if other == e || other.Fleet.Serves() != e.Fleet.Serves() {
 			continue
 		}
-		body, err := rig.GetJSON[departureBody](w.rig, other.Fleet.Addr, "/admin/runs")
+		body, err := rig.GetJSON[totalRunsResponse](w.rig, other.Fleet.Addr, "/admin/runs")
 		if err == nil {
 			out[other.Fleet.ID] = body.Total
 		}
@@ -79,7 +80,7 @@
 	return out
 }
 
-func (w *world) endpoint(ts *testscript.TestScript, id string) *rig.Endpoint {
+func (w *deployment) endpoint(ts *testscript.TestScript, id string) *rig.Endpoint {
 	for _, e := range w.rig.Endpoints {
 		if e.Fleet.ID == id {
 			return e
@@ -89,14 +90,14 @@
 	return nil
 }
 
-// works ENDPOINT waits until an endpoint has got new work.
-func works(w *world, ts *testscript.TestScript, args []string) {
-	need(ts, args, 1, "works ENDPOINT")
+// works ENDPOINT waits until an endpoint receives new work.
+func awaitWork(w *deployment, ts *testscript.TestScript, args []string) {
+	requireArgs(ts, args, 1, "works ENDPOINT")
 	e := w.endpoint(ts, args[0])
-	first, err := rig.GetJSON[departureBody](w.rig, e.Fleet.Addr, "/admin/runs")
+	first, err := rig.GetJSON[totalRunsResponse](w.rig, e.Fleet.Addr, "/admin/runs")
 	ts.Check(err)
-	ts.Check(rig.Await(settleWithin, args[0]+" gets work", func() bool {
-		body, err := rig.GetJSON[departureBody](w.rig, e.Fleet.Addr, "/admin/runs")
+	ts.Check(rig.Await(awaitTimeout, args[0]+" gets work", func() bool {
+		body, err := rig.GetJSON[totalRunsResponse](w.rig, e.Fleet.Addr, "/admin/runs")
 		return err == nil && body.Total > first.Total
 	}))
 }
--- a/testscripts/scenario/worlds.go
+++ b/testscripts/scenario/deployments.go
@@ -7,21 +7,21 @@
 	"github.com/rogpeppe/go-internal/testscript"
 )
 
-// worlds holds each running script's world.
-type worlds struct {
+// deployments holds the deployment of each running script by its name.
+type deployments struct {
 	options Options
 	mu      sync.Mutex
-	byName  map[string]*world
+	byName  map[string]*deployment
 }
 
-func (all *worlds) of(ts *testscript.TestScript) *world {
+func (all *deployments) of(ts *testscript.TestScript) *deployment {
 	all.mu.Lock()
 	defer all.mu.Unlock()
 	name := ts.Name()
 	if w := all.byName[name]; w != nil {
 		return w
 	}
-	w := &world{
+	w := &deployment{
 		options:  all.options,
 		loads:    make(map[string]*load),
 		monitors: make(map[string]*monitor),
--- a/testscripts/scenario/documents.go
+++ b/testscripts/scenario/documents.go
@@ -18,21 +18,21 @@
 	"github.com/fuchsianotch/fuchsianotch/testscripts/rig"
 )
 
-// publishedBucket is a contract bucket with the key it stands under.
+// publishedBucket is a contract bucket with its key and revision.
 type publishedBucket struct {
 	key      string
 	revision uint64
 	bucket   contract.Bucket
 }
 
-// platformValue is a value as the platform answers it.
+// platformValue is the platform's response to a read.
 type platformValue struct {
 	Revision uint64 `json:"revision"`
 	Value    string `json:"value"`
 }
 
-// bucketOf reads the published bucket that holds a workspace's contract.
-func (w *world) bucketOf(ts *testscript.TestScript, workspace string) publishedBucket {
+// bucketOf reads the published bucket that contains a workspace's contract.
+func (w *deployment) bucketOf(ts *testscript.TestScript, workspace string) publishedBucket {
 	for i := 0; ; i++ {
 		key := contract.KeyBucketPrefix + strconv.Itoa(i)
 		value := w.readValue(ts, key)
@@ -50,10 +50,11 @@
 	}
 }
 
-// readValue reads a value, again when the platform limits its readers.
-func (w *world) readValue(ts *testscript.TestScript, key string) platformValue {
+// readValue reads a value from the platform and retries on errors, such as rate
+// limiting.
+func (w *deployment) readValue(ts *testscript.TestScript, key string) platformValue {
 	var value platformValue
-	ts.Check(rig.Await(settleWithin, "read of "+key, func() bool {
+	ts.Check(rig.Await(awaitTimeout, "read of "+key, func() bool {
 		var err error
 		value, err = rig.GetJSON[platformValue](w.rig, w.rig.Platform.Listening.Addr, "/v1/values/"+key)
 		return err == nil
@@ -62,11 +63,11 @@
 }
 
 // amend WORKSPACE CHANGE... publishes the workspace's contract with changes:
-// bound, removed, rekeyed (its old key admits nobody), without=REGION, requests=N,
-// concurrency=N, within=D (both bounds of an answer), or invalid. It sets KEY,
+// bound, removed, rekeyed (revokes the old key), without=REGION, requests=N,
+// concurrency=N, within=D (both response deadlines), or invalid. It sets KEY,
 // REVISION and BEFORE.
-func amend(w *world, ts *testscript.TestScript, args []string) {
-	need(ts, args, 2, "amend WORKSPACE bound|removed|invalid|without=REGION|requests=N|concurrency=N...")
+func amend(w *deployment, ts *testscript.TestScript, args []string) {
+	requireArgs(ts, args, 2, "amend WORKSPACE bound|removed|invalid|without=REGION|requests=N|concurrency=N...")
 	b, ok := w.amended[args[0]]
 	if !ok {
 		b = w.bucketOf(ts, args[0])
@@ -76,21 +77,21 @@
 	ts.Check(err)
 	revision, err := w.rig.Publish(b.key, data)
 	ts.Check(err)
-	w.remember(b)
+	w.cacheBucket(b)
 	ts.Setenv("KEY", b.key)
 	setRevision(ts, revision)
 }
 
-// remember keeps a bucket, so that the next change of one of its contracts
-// needs no read of a platform that may be limited or stale.
-func (w *world) remember(b publishedBucket) {
+// cacheBucket caches a bucket for the next change of one of its contracts, as the
+// platform may be rate limited or serve stale values then.
+func (w *deployment) cacheBucket(b publishedBucket) {
 	for _, c := range b.bucket.Contracts {
 		w.amended[c.Workspace] = b
 	}
 }
 
-// setRevision sets REVISION to a revision, and BEFORE to the one before it,
-// which a stale platform serves.
+// setRevision sets REVISION to a revision, and BEFORE to the preceding one, which
+// a stale platform serves.
 func setRevision(ts *testscript.TestScript, revision uint64) {
 	ts.Setenv("REVISION", strconv.FormatUint(revision, 10))
 	ts.Setenv("BEFORE", strconv.FormatUint(revision-1, 10))
@@ -130,11 +131,11 @@
 	}
 }
 
-// race WORKSPACE N [blind] lets N operators publish a change of one contract at
-// once, all on the revision that they read, or blind over each other. It sets
-// KEY and REVISION to what won and prints how many were taken.
-func race(w *world, ts *testscript.TestScript, args []string) {
-	need(ts, args, 2, "race WORKSPACE N [blind]")
+// race WORKSPACE N [blind] publishes N concurrent changes of one contract. Each is
+// conditional on the revision read before, or unconditional with blind. It sets
+// KEY and REVISION to the final state and prints the number of accepted writes.
+func race(w *deployment, ts *testscript.TestScript, args []string) {
+	requireArgs(ts, args, 2, "race WORKSPACE N [blind]")
 	operators, err := strconv.Atoi(args[1])
 	ts.Check(err)
 	read := w.bucketOf(ts, args[0])
@@ -160,13 +161,13 @@
 		}
 	}
 	won := w.bucketOf(ts, args[0])
-	w.remember(won)
+	w.cacheBucket(won)
 	ts.Setenv("KEY", won.key)
 	setRevision(ts, won.revision)
 	printf(ts, "taken=%d conflicts=%d\n", taken, conflicts)
 }
 
-func (w *world) putIf(read publishedBucket, data []byte, blind bool) int {
+func (w *deployment) putIf(read publishedBucket, data []byte, blind bool) int {
 	req, err := http.NewRequest(http.MethodPut, "http://"+w.rig.Platform.Listening.Addr+"/v1/values/"+read.key, strings.NewReader(string(data)))
 	if err != nil {
 		return 0
@@ -182,10 +183,10 @@
 	return resp.StatusCode
 }
 
-// agree KEY prints how many different pairs of revision in force and refused
-// the running VMs have for a key.
-func agree(w *world, ts *testscript.TestScript, args []string) {
-	need(ts, args, 1, "agree KEY")
+// agree KEY prints how many running VMs have each pair of active and refused
+// revision for a key, and the number of distinct pairs.
+func agree(w *deployment, ts *testscript.TestScript, args []string) {
+	requireArgs(ts, args, 1, "agree KEY")
 	verdicts := make(map[string]int)
 	for _, vm := range w.rig.VMs {
 		if !vm.Alive() {
@@ -205,10 +206,10 @@
 	printf(ts, "verdicts=%d\n", len(verdicts))
 }
 
-// monitorEvery is how often a monitor reads each VM's status.
-const monitorEvery = 20 * time.Millisecond
+// monitorInterval is the interval between status reads of each VM.
+const monitorInterval = 20 * time.Millisecond
 
-// monitor watches the revision that each VM has in force for a key.
+// monitor records decreases of the revision that a VM has in force for a key.
 type monitor struct {
 	key     string
 	stop    chan struct{}
@@ -219,10 +220,9 @@
 	reads   int
 }
 
-// startMonitor NAME KEY watches a key on all VMs from now on, also over their
-// restarts.
-func startMonitor(w *world, ts *testscript.TestScript, args []string) {
-	need(ts, args, 2, "monitor NAME KEY")
+// monitor NAME KEY starts to watch a key on all VMs, also across restarts.
+func startMonitor(w *deployment, ts *testscript.TestScript, args []string) {
+	requireArgs(ts, args, 2, "monitor NAME KEY")
 	m := &monitor{
 		key:     args[1],
 		stop:    make(chan struct{}),
@@ -230,14 +230,14 @@
 	}
 	w.monitors[args[0]] = m
 	for _, vm := range w.rig.VMs {
-		// Read here: a restart writes them while the watch goes on.
+		// Copied here, as a restart writes these fields concurrently.
 		id, addr := vm.Fleet.ID, vm.Fleet.OperatorAddr
 		m.wg.Go(func() { m.watch(w, id, addr) })
 	}
-	ts.Defer(m.end)
+	ts.Defer(m.stopWatching)
 }
 
-func (m *monitor) end() {
+func (m *monitor) stopWatching() {
 	select {
 	case <-m.stop:
 	default:
@@ -246,8 +246,8 @@
 	m.wg.Wait()
 }
 
-func (m *monitor) watch(w *world, id, addr string) {
-	ticker := time.NewTicker(monitorEvery)
+func (m *monitor) watch(w *deployment, id, addr string) {
+	ticker := time.NewTicker(monitorInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -256,31 +256,31 @@
 		case <-ticker.C:
 		}
 		if s, err := statusAt(w, addr); err == nil && s.Ready {
-			m.take(id, s)
+			m.record(id, s)
 		}
 	}
 }
 
-// monitored NAME ends a monitor and prints how often a VM that was ready had a
-// lower revision in force than before.
-func endMonitor(w *world, ts *testscript.TestScript, args []string) {
-	need(ts, args, 1, "monitored NAME")
+// monitored NAME ends a monitor and prints how often the revision in force on a
+// ready VM decreased.
+func endMonitor(w *deployment, ts *testscript.TestScript, args []string) {
+	requireArgs(ts, args, 1, "monitored NAME")
 	m := w.monitors[args[0]]
 	if m == nil {
 		ts.Fatalf("no monitor %q", args[0])
 	}
-	m.end()
+	m.stopWatching()
 	for _, line := range m.reverts {
 		ts.Logf("%s", line)
 	}
 	printf(ts, "reads=%d reverts=%d\n", m.reads, len(m.reverts))
 }
 
-func statusAt(w *world, addr string) (operator.Status, error) {
+func statusAt(w *deployment, addr string) (operator.Status, error) {
 	return rig.GetJSON[operator.Status](w.rig, addr, "/v1/status")
 }
 
-func (m *monitor) take(vm string, s operator.Status) {
+func (m *monitor) record(vm string, s operator.Status) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.reads++
--- a/testscripts/scenario/events.go
+++ b/testscripts/scenario/events.go
@@ -12,9 +12,9 @@
 	"github.com/fuchsianotch/fuchsianotch/timeline"
 )
 
-// events [workspace=W] [request=R] [kinds=LIST] prints the merged time line of
-// the VMs that run.
-func events(w *world, ts *testscript.TestScript, args []string) {
+// events [workspace=W] [request=R] [kinds=LIST] prints the merged timeline of the
+// running VMs.
+func events(w *deployment, ts *testscript.TestScript, args []string) {
 	query := url.Values{
 		"workspace": {option(args, "workspace", "")},
 		"request":   {option(args, "request", "")},
@@ -37,10 +37,10 @@
 	}
 }
 
-// logs VM prints the last log lines of a VM, also after it has ended.
-func logs(w *world, ts *testscript.TestScript, args []string) {
-	need(ts, args, 1, "logs VM")
-	for _, vm := range w.find(ts, args[0]) {
+// logs VM prints the last log lines of a VM, also after it has exited.
+func logs(w *deployment, ts *testscript.TestScript, args []string) {
+	requireArgs(ts, args, 1, "logs VM")
+	for _, vm := range w.parseVMs(ts, args[0]) {
 		printf(ts, "%s\n", strings.Join(vm.Log(), "\n"))
 	}
 }
--- a/testscripts/scenario/told.go
+++ b/testscripts/scenario/exposure.go
@@ -11,13 +11,12 @@
 	"github.com/fuchsianotch/fuchsianotch/testscripts/rig"
 )
 
-// told TEXT vm=LIST prints how many VMs tell a text to operators: in their
-// log, their metrics, their status, their time line, or the time line that they
-// merge from all VMs.
-func tellers(w *world, ts *testscript.TestScript, args []string) {
-	need(ts, args, 2, "told TEXT vm=LIST")
+// told TEXT vm=LIST prints where a text appears in the log, metrics, status,
+// timeline or merged timeline of VMs.
+func findExposed(w *deployment, ts *testscript.TestScript, args []string) {
+	requireArgs(ts, args, 2, "told TEXT vm=LIST")
 	n := 0
-	for _, vm := range w.find(ts, option(args, "vm", "")) {
+	for _, vm := range w.parseVMs(ts, option(args, "vm", "")) {
 		for _, path := range []string{"/metrics", "/v1/status", "/v1/timeline", "/v1/timeline?merge=true"} {
 			_, body, err := w.rig.Get(vm.Fleet.OperatorAddr, path)
 			ts.Check(err)
@@ -35,14 +34,14 @@
 }
 
 // refusedby WORKSPACE CODES vm=LIST waits until a chat of the workspace is
-// refused with one of the codes, given by name.
-func refusedBy(w *world, ts *testscript.TestScript, args []string) {
-	need(ts, args, 3, "refusedby WORKSPACE CODES vm=LIST")
-	ctx, cancel := context.WithTimeout(context.Background(), callWithin)
+// rejected with one of the named result codes.
+func refusedBy(w *deployment, ts *testscript.TestScript, args []string) {
+	requireArgs(ts, args, 3, "refusedby WORKSPACE CODES vm=LIST")
+	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
 	codes := strings.Split(args[1], ",")
 	c := w.newCaller(ts, args[0], append(args, "once"))
-	ts.Check(rig.Await(settleWithin, "chat refused with "+args[1], func() bool {
+	ts.Check(rig.Await(awaitTimeout, "chat refused with "+args[1], func() bool {
 		r := c.Chat(ctx, caller.Chat{
 			Model:     w.model(),
 			Message:   "marker=" + option(args, "mark", "m") + " hello",
--- a/testscripts/scenario/faults.go
+++ b/testscripts/scenario/faults.go
@@ -15,22 +15,23 @@
 	"github.com/fuchsianotch/fuchsianotch/testscripts/rig"
 )
 
-// eachVM makes a command that does the same to each VM named.
+// eachVM returns a command that applies a function to each VM of a list.
 func eachVM(do func(*rig.VM)) command {
-	return func(w *world, ts *testscript.TestScript, args []string) {
-		need(ts, args, 1, "COMMAND LIST")
-		for _, vm := range w.find(ts, args[0]) {
+	return func(w *deployment, ts *testscript.TestScript, args []string) {
+		requireArgs(ts, args, 1, "COMMAND LIST")
+		for _, vm := range w.parseVMs(ts, args[0]) {
 			do(vm)
 		}
 	}
 }
 
-// shutdown LIST stops VMs gracefully, all at once, and fails if one ends in error.
-func shutdown(w *world, ts *testscript.TestScript, args []string) {
-	need(ts, args, 1, "shutdown LIST")
+// shutdown LIST stops VMs gracefully and concurrently, and fails if one exits with
+// an error.
+func shutdown(w *deployment, ts *testscript.TestScript, args []string) {
+	requireArgs(ts, args, 1, "shutdown LIST")
 	var wg sync.WaitGroup
 	errs := make(chan error, len(w.rig.VMs))
-	for _, vm := range w.find(ts, args[0]) {
+	for _, vm := range w.parseVMs(ts, args[0]) {
 		wg.Go(func() { errs <- vm.Stop() })
 	}
 	wg.Wait()
@@ -40,79 +41,80 @@
 	}
 }
 
-// restart LIST starts VMs that have ended, under their old addresses.
-func restart(w *world, ts *testscript.TestScript, args []string) {
-	need(ts, args, 1, "restart LIST")
-	for _, vm := range w.find(ts, args[0]) {
+// restart LIST starts exited VMs with the same addresses and waits until all VMs
+// have converged.
+func restart(w *deployment, ts *testscript.TestScript, args []string) {
+	requireArgs(ts, args, 1, "restart LIST")
+	for _, vm := range w.parseVMs(ts, args[0]) {
 		ts.Check(w.rig.Restart(vm))
 	}
-	ts.Check(w.rig.AwaitConverged(settleWithin))
+	ts.Check(w.rig.AwaitConverged(awaitTimeout))
 }
 
-// rekey VM SECRET starts a VM that has ended with another peer key.
-func rekey(w *world, ts *testscript.TestScript, args []string) {
-	need(ts, args, 2, "rekey VM SECRET")
-	ts.Check(w.rig.RestartWith(w.find(ts, args[0])[0], func(s *settings.Settings) {
+// rekey VM SECRET starts an exited VM with another peer key.
+func rekey(w *deployment, ts *testscript.TestScript, args []string) {
+	requireArgs(ts, args, 2, "rekey VM SECRET")
+	ts.Check(w.rig.RestartWith(w.parseVMs(ts, args[0])[0], func(s *settings.Settings) {
 		s.PeerKey = args[1]
 	}))
 }
 
-// roll stops and restarts every VM, one after the other.
-func roll(w *world, ts *testscript.TestScript, _ []string) {
+// roll performs a rolling restart of all VMs.
+func roll(w *deployment, ts *testscript.TestScript, _ []string) {
 	for _, vm := range w.rig.VMs {
 		ts.Check(vm.Stop())
 		ts.Check(w.rig.Restart(vm))
-		ts.Check(w.rig.AwaitConverged(settleWithin))
+		ts.Check(w.rig.AwaitConverged(awaitTimeout))
 	}
 }
 
-// cut LIST LIST cuts the links between two groups, both ways.
-func cut(w *world, ts *testscript.TestScript, args []string) {
-	need(ts, args, 2, "cut LIST LIST")
-	w.rig.Partition(w.find(ts, args[0]), w.find(ts, args[1]))
+// cut LIST LIST partitions two groups of VMs from each other.
+func cut(w *deployment, ts *testscript.TestScript, args []string) {
+	requireArgs(ts, args, 2, "cut LIST LIST")
+	w.rig.Partition(w.parseVMs(ts, args[0]), w.parseVMs(ts, args[1]))
 }
 
-// cutoneway LIST LIST cuts the links by which the first group asks the second.
-func cutOneWay(w *world, ts *testscript.TestScript, args []string) {
-	need(ts, args, 2, "cutoneway LIST LIST")
-	w.rig.PartitionOneWay(w.find(ts, args[0]), w.find(ts, args[1]))
+// cutoneway LIST LIST blocks connections from the first group to the second.
+func cutOneWay(w *deployment, ts *testscript.TestScript, args []string) {
+	requireArgs(ts, args, 2, "cutoneway LIST LIST")
+	w.rig.PartitionOneWay(w.parseVMs(ts, args[0]), w.parseVMs(ts, args[1]))
 }
 
-// heal ends every cut and waits until all VMs reach each other.
-func heal(w *world, ts *testscript.TestScript, _ []string) {
+// heal ends every partition and waits until all VMs have converged.
+func heal(w *deployment, ts *testscript.TestScript, _ []string) {
 	w.rig.HealPartitions()
-	ts.Check(w.rig.AwaitConverged(settleWithin))
+	ts.Check(w.rig.AwaitConverged(awaitTimeout))
 }
 
-// platform {"outage":true} sets the platform's switches.
-func switchPlatform(w *world, ts *testscript.TestScript, args []string) {
-	need(ts, args, 1, "platform JSON")
+// platform JSON sets the fault switches of the platform, such as {"outage":true}.
+func switchPlatform(w *deployment, ts *testscript.TestScript, args []string) {
+	requireArgs(ts, args, 1, "platform JSON")
 	ts.Check(w.rig.Put("/admin/switches", json.RawMessage(strings.Join(args, " "))))
 }
 
 // publish KEY FILE publishes a document and sets REVISION and BEFORE.
-func publish(w *world, ts *testscript.TestScript, args []string) {
-	need(ts, args, 2, "publish KEY FILE")
-	data, err := os.ReadFile(file(ts, args[1]))
+func publish(w *deployment, ts *testscript.TestScript, args []string) {
+	requireArgs(ts, args, 2, "publish KEY FILE")
+	data, err := os.ReadFile(scriptFile(ts, args[1]))
 	ts.Check(err)
 	revision, err := w.rig.Publish(args[0], data)
 	ts.Check(err)
 	setRevision(ts, revision)
 }
 
-// inforce KEY REVISION [refused] [vm=LIST] [within=D] waits until the VMs hold
-// a revision in force, or have refused it.
-func inForce(w *world, ts *testscript.TestScript, args []string) {
-	need(ts, args, 2, "inforce KEY REVISION|rising [refused] [vm=LIST] [within=D]")
+// inforce KEY REVISION|REASON [refused] [vm=LIST] [within=D] waits until the
+// running VMs have a revision in force, or have refused one for a reason.
+func inForce(w *deployment, ts *testscript.TestScript, args []string) {
+	requireArgs(ts, args, 2, "inforce KEY REVISION|rising [refused] [vm=LIST] [within=D]")
 	vms := w.rig.VMs
 	if list := option(args, "vm", ""); list != "" {
-		vms = w.find(ts, list)
+		vms = w.parseVMs(ts, list)
 	}
 	refused := len(args) > 2 && args[2] == "refused"
 	began := time.Now()
-	err := rig.Await(duration(ts, args, "within", "30s"), "document "+args[0]+" everywhere", func() bool {
+	err := rig.Await(duration(ts, args, "within", "30s"), "document "+args[0]+" on every VM", func() bool {
 		for _, vm := range vms {
-			if vm.Alive() && !w.holds(vm, args[0], args[1], refused) {
+			if vm.Alive() && !w.hasRevision(vm, args[0], args[1], refused) {
 				return false
 			}
 		}
@@ -122,7 +124,7 @@
 	ts.Logf("everywhere after %s", time.Since(began).Round(time.Millisecond))
 }
 
-func (w *world) holds(vm *rig.VM, key, reason string, refused bool) bool {
+func (w *deployment) hasRevision(vm *rig.VM, key, reason string, refused bool) bool {
 	s, err := w.rig.Status(vm)
 	if err != nil {
 		return false
@@ -145,9 +147,9 @@
 	return n
 }
 
-// leaving NAME marks a VM or an endpoint as leaving in the published list.
-func leaving(w *world, ts *testscript.TestScript, args []string) {
-	need(ts, args, 1, "leaving NAME")
+// leaving NAME marks a VM or an endpoint as leaving in the published fleet list.
+func leaving(w *deployment, ts *testscript.TestScript, args []string) {
+	requireArgs(ts, args, 1, "leaving NAME")
 	found := false
 	for _, e := range w.rig.Endpoints {
 		if e.Fleet.ID == args[0] {
@@ -160,14 +162,15 @@
 		found = true
 	}
 	if !found {
-		ts.Fatalf("nothing named %q", args[0])
+		ts.Fatalf("no VM or endpoint %q", args[0])
 	}
 	ts.Check(w.rig.PublishList())
 }
 
-// fault ENDPOINT|TARGET JSON sets the faults of endpoints.
-func fault(w *world, ts *testscript.TestScript, args []string) {
-	need(ts, args, 2, "fault ENDPOINT|TARGET JSON")
+// fault ENDPOINT|TARGET JSON sets the injected faults of an endpoint, or of all
+// endpoints that serve a model or service.
+func fault(w *deployment, ts *testscript.TestScript, args []string) {
+	requireArgs(ts, args, 2, "fault ENDPOINT|TARGET JSON")
 	found := false
 	for _, e := range w.rig.Endpoints {
 		if e.Fleet.ID != args[0] && e.Fleet.Serves() != args[0] {
@@ -181,26 +184,26 @@
 	}
 }
 
-// pause DURATION lets time pass.
-func pause(_ *world, ts *testscript.TestScript, args []string) {
-	need(ts, args, 1, "pause DURATION")
+// pause DURATION sleeps.
+func pause(_ *deployment, ts *testscript.TestScript, args []string) {
+	requireArgs(ts, args, 1, "pause DURATION")
 	d, err := time.ParseDuration(args[0])
 	ts.Check(err)
 	time.Sleep(d)
 }
 
-// reached VM LIST yes|no waits until a VM sees others as reachable or not.
-func reached(w *world, ts *testscript.TestScript, args []string) {
-	need(ts, args, 3, "reached VM LIST yes|no")
-	vm := w.find(ts, args[0])[0]
+// reached VM LIST yes|no waits until a VM considers others reachable or not.
+func reached(w *deployment, ts *testscript.TestScript, args []string) {
+	requireArgs(ts, args, 3, "reached VM LIST yes|no")
+	vm := w.parseVMs(ts, args[0])[0]
 	want := args[2] == "yes"
-	err := rig.Await(settleWithin, strings.Join(args, " "), func() bool {
+	err := rig.Await(awaitTimeout, strings.Join(args, " "), func() bool {
 		s, err := w.rig.Status(vm)
 		if err != nil {
 			return false
 		}
-		for _, other := range w.find(ts, args[1]) {
-			if !sees(s, other.Fleet.ID, want) {
+		for _, other := range w.parseVMs(ts, args[1]) {
+			if !reachabilityIs(s, other.Fleet.ID, want) {
 				return false
 			}
 		}
@@ -209,7 +212,7 @@
 	ts.Check(err)
 }
 
-func sees(s operator.Status, id string, want bool) bool {
+func reachabilityIs(s operator.Status, id string, want bool) bool {
 	for _, m := range s.View.Region {
 		if m.VM == id {
 			return m.Reachable == want
--- a/testscripts/scenario/held.go
+++ b/testscripts/scenario/leaks.go
@@ -13,13 +13,13 @@
 	"github.com/fuchsianotch/fuchsianotch/testscripts/rig"
 )
 
-// held MARK REGION prints every process outside a region that holds a mark in
-// its memory, its log, its metrics or its time line.
-func held(w *world, ts *testscript.TestScript, args []string) {
-	need(ts, args, 2, "held MARK REGION")
+// held MARK REGION prints every process outside a region whose memory or log
+// contains a mark.
+func leakedOutside(w *deployment, ts *testscript.TestScript, args []string) {
+	requireArgs(ts, args, 2, "held MARK REGION")
 	found := 0
-	for _, p := range w.outside(args[1]) {
-		has, err := memoryHolds(p.PID(), []byte(args[0]))
+	for _, p := range w.processesOutside(args[1]) {
+		has, err := memoryContains(p.PID(), []byte(args[0]))
 		ts.Check(err)
 		if has || strings.Contains(strings.Join(p.Log(), "\n"), args[0]) {
 			found++
@@ -29,8 +29,9 @@
 	printf(ts, "holders=%d\n", found)
 }
 
-// outside returns the processes of the system and its endpoints outside a region.
-func (w *world) outside(region string) []*rig.Process {
+// processesOutside returns the running VMs and endpoints outside a region, and the
+// platform.
+func (w *deployment) processesOutside(region string) []*rig.Process {
 	var out []*rig.Process
 	for _, vm := range w.rig.VMs {
 		if vm.Fleet.Region != region && vm.Alive() {
@@ -45,8 +46,8 @@
 	return append(out, w.rig.Platform)
 }
 
-// memoryHolds searches the writable memory of a process.
-func memoryHolds(pid int, mark []byte) (bool, error) {
+// memoryContains searches the writable memory of a process for a mark.
+func memoryContains(pid int, mark []byte) (bool, error) {
 	maps, err := os.Open(fmt.Sprintf("/proc/%d/maps", pid))
 	if err != nil {
 		return false, err
@@ -59,14 +60,14 @@
 	defer func() { _ = memory.Close() }()
 	lines := bufio.NewScanner(maps)
 	for lines.Scan() {
-		if rangeHolds(memory, lines.Text(), mark) {
+		if mappingContains(memory, lines.Text(), mark) {
 			return true, nil
 		}
 	}
 	return false, lines.Err()
 }
 
-func rangeHolds(memory *os.File, line string, mark []byte) bool {
+func mappingContains(memory *os.File, line string, mark []byte) bool {
 	var from, to uint64
 	var rights string
 	if _, err := fmt.Sscanf(line, "%x-%x %s", &from, &to, &rights); err != nil {
@@ -86,10 +87,10 @@
 	return false
 }
 
-// forwards REQUEST prints how often a request was sent from one VM to another,
-// by the merged time line.
-func forwards(w *world, ts *testscript.TestScript, args []string) {
-	need(ts, args, 1, "forwards REQUEST")
+// forwards REQUEST prints how many times a request was forwarded between VMs,
+// according to the timelines of the running VMs.
+func forwards(w *deployment, ts *testscript.TestScript, args []string) {
+	requireArgs(ts, args, 1, "forwards REQUEST")
 	n := 0
 	for _, vm := range w.rig.VMs {
 		if !vm.Alive() {
@@ -106,9 +107,9 @@
 	printf(ts, "forwards=%d\n", n)
 }
 
-// mostforwards prints how many calls were sent from one VM to another since
-// the deployment began, and the most sends of one call, by all time lines.
-func mostForwards(w *world, ts *testscript.TestScript, _ []string) {
+// mostforwards prints the number of calls that were forwarded between VMs, and
+// the highest number of forwards of one call, according to all timelines.
+func mostForwards(w *deployment, ts *testscript.TestScript, _ []string) {
 	sends := make(map[string]int)
 	for _, vm := range w.rig.VMs {
 		if !vm.Alive() {
--- a/testscripts/scenario/load.go
+++ b/testscripts/scenario/load.go
@@ -13,13 +13,13 @@
 	"github.com/fuchsianotch/fuchsianotch/standin/caller"
 )
 
-// load is calls that arrive at a steady rate in the background.
+// load generates calls at a constant rate in the background.
 type load struct {
-	world  *world
-	kind   string
-	tokens int
-	cancel context.CancelFunc
-	wg     sync.WaitGroup
+	deployment *deployment
+	kind       string
+	tokens     int
+	cancel     context.CancelFunc
+	wg         sync.WaitGroup
 
 	mu      sync.Mutex
 	counts  loadCounts
@@ -27,19 +27,19 @@
 	wrong   []string
 }
 
-// loadCounts sum up how the calls ended.
+// loadCounts counts the calls of a load by outcome.
 type loadCounts struct {
 	Sent    int
 	Done    int
 	NotRun  int
 	Unknown int
-	// Wrong are answers that were not the whole own one.
+	// Wrong counts incomplete responses and responses to other calls.
 	Wrong int
-	// Retried are calls that took more than one try.
+	// Retried counts calls that took more than one attempt.
 	Retried int
 }
 
-// bookedCall is one non-idempotent call with what its caller was told.
+// bookedCall is the outcome of one non-idempotent call.
 type bookedCall struct {
 	operation string
 	class     result.Class
@@ -48,14 +48,14 @@
 
 // load NAME chat|book WORKSPACE[,WORKSPACE] [rate=N] [tokens=N] [vm=LIST]
 // [direct] [once] starts calls in the background.
-func startLoad(w *world, ts *testscript.TestScript, args []string) {
-	need(ts, args, 3, "load NAME chat|book WORKSPACES [rate=N] [tokens=N] [vm=LIST] [direct] [once]")
+func startLoad(w *deployment, ts *testscript.TestScript, args []string) {
+	requireArgs(ts, args, 3, "load NAME chat|book WORKSPACES [rate=N] [tokens=N] [vm=LIST] [direct] [once]")
 	ctx, cancel := context.WithCancel(context.Background())
 	l := &load{
-		world:  w,
-		kind:   args[1],
-		tokens: number(ts, args, "tokens", "8"),
-		cancel: cancel,
+		deployment: w,
+		kind:       args[1],
+		tokens:     number(ts, args, "tokens", "8"),
+		cancel:     cancel,
 	}
 	w.loads[args[0]] = l
 	ts.Defer(cancel)
@@ -64,10 +64,10 @@
 	for workspace := range strings.SplitSeq(args[2], ",") {
 		callers = append(callers, w.newCaller(ts, workspace, args))
 	}
-	l.wg.Go(func() { l.arrive(ctx, args[0], callers, every) })
+	l.wg.Go(func() { l.generate(ctx, args[0], callers, every) })
 }
 
-func (l *load) arrive(ctx context.Context, name string, callers []*caller.Caller, every time.Duration) {
+func (l *load) generate(ctx context.Context, name string, callers []*caller.Caller, every time.Duration) {
 	ticker := time.NewTicker(every)
 	defer ticker.Stop()
 	for i := 0; ; i++ {
@@ -82,25 +82,25 @@
 	}
 }
 
-// send sends one call; it is not cut off when the load ends.
+// send sends one call. Calls in flight finish after the load has ended.
 func (l *load) send(c *caller.Caller, mark string) {
-	ctx, cancel := context.WithTimeout(context.Background(), callWithin)
+	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
 	if l.kind == "book" {
-		r := c.Service(ctx, l.world.booking(mark, ""))
-		l.take(r, mark, r.Class != result.ClassDone || strings.Contains(r.Text, mark) || r.Text != "")
+		r := c.Service(ctx, l.deployment.booking(mark, ""))
+		l.record(r, mark, r.Class != result.ClassDone || strings.Contains(r.Text, mark) || r.Text != "")
 		return
 	}
 	r := c.Chat(ctx, caller.Chat{
-		Model:     l.world.model(),
+		Model:     l.deployment.model(),
 		Message:   "marker=" + mark + " hello",
 		MaxTokens: l.tokens,
 		Stream:    true,
 	})
-	l.take(r, mark, r.Class != result.ClassDone || r.Text == expectedText(mark, l.tokens))
+	l.record(r, mark, r.Class != result.ClassDone || r.Text == expectedText(mark, l.tokens))
 }
 
-func (l *load) take(r caller.Result, mark string, own bool) {
+func (l *load) record(r caller.Result, mark string, correct bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.counts.Sent++
@@ -112,7 +112,7 @@
 	default:
 		l.counts.Unknown++
 	}
-	if !own {
+	if !correct {
 		l.counts.Wrong++
 		l.wrong = append(l.wrong, fmt.Sprintf("%s: %q", mark, r.Text))
 	}
@@ -131,10 +131,10 @@
 	}
 }
 
-// ended NAME stops a load, waits for its calls, checks bookings against the
-// services' own counts, and prints the sums.
-func endLoad(w *world, ts *testscript.TestScript, args []string) {
-	need(ts, args, 1, "ended NAME")
+// ended NAME stops a load, waits for its calls, compares bookings with the number
+// of runs at the services, and prints the totals.
+func endLoad(w *deployment, ts *testscript.TestScript, args []string) {
+	requireArgs(ts, args, 1, "ended NAME")
 	l := w.loads[args[0]]
 	if l == nil {
 		ts.Fatalf("no load %q", args[0])
@@ -151,9 +151,9 @@
 	}
 }
 
-// checkRuns compares what callers were told with what the services ran.
+// checkRuns compares the outcome of each booking with its runs at the services.
 func (l *load) checkRuns(ts *testscript.TestScript) {
-	total, err := l.world.runsOf()
+	total, err := l.deployment.countRuns()
 	ts.Check(err)
 	doubled, ranNotRun, lost := 0, 0, 0
 	for _, b := range l.results {
--- a/testscripts/scenario/raw.go
+++ b/testscripts/scenario/raw.go
@@ -12,21 +12,20 @@
 	"github.com/rogpeppe/go-internal/testscript"
 )
 
-// rawWithin bounds one raw request.
-const rawWithin = 10 * time.Second
+// rawTimeout bounds one raw request.
+const rawTimeout = 10 * time.Second
 
 // post WORKSPACE VM mark=TEXT [bytes=N] [chunked] [path=PATH] [wait] sends a
-// request whose whole body follows its head at once, as a caller without
-// Expect: 100-continue does, and prints the code of the answer. The body is
-// the mark over and over. With wait the body follows the head in a later
-// segment, so that the two cannot be read together.
-func post(w *world, ts *testscript.TestScript, args []string) {
-	need(ts, args, 2, "post WORKSPACE VM mark=TEXT [bytes=N] [chunked] [path=PATH] [wait]")
-	vm := w.find(ts, args[1])[0]
+// request without Expect: 100-continue, with a body that repeats the mark, and
+// prints the result code. With wait=yes the body is sent in a later segment than
+// the header, so that one read cannot return both.
+func post(w *deployment, ts *testscript.TestScript, args []string) {
+	requireArgs(ts, args, 2, "post WORKSPACE VM mark=TEXT [bytes=N] [chunked] [path=PATH] [wait]")
+	vm := w.parseVMs(ts, args[1])[0]
 	conn, err := net.Dial("tcp", vm.Fleet.CallerAddr)
 	ts.Check(err)
 	defer func() { _ = conn.Close() }()
-	ts.Check(conn.SetDeadline(time.Now().Add(rawWithin)))
+	ts.Check(conn.SetDeadline(time.Now().Add(rawTimeout)))
 	head, body := rawRequest(ts, args)
 	go sendRaw(conn, head, body, option(args[2:], "wait", "no") == "yes")
 	resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
@@ -57,6 +56,6 @@
 		body = fmt.Sprintf("%x\r\n%s\r\n0\r\n\r\n", size, body)
 	}
 	head = fmt.Sprintf("POST %s HTTP/1.1\r\nHost: gateway\r\nAuthorization: Bearer %s\r\nContent-Type: application/json\r\n%s\r\n\r\n",
-		option(args, "path", "/v1/chat/completions"), key(args[0]), length)
+		option(args, "path", "/v1/chat/completions"), apiKey(args[0]), length)
 	return head, body
 }
--- a/testscripts/scenario/scenario.go
+++ b/testscripts/scenario/scenario.go
@@ -1,7 +1,7 @@
-// Package scenario gives test scripts the commands to run a deployment as
-// separate processes, to send calls along any way, and to bring about
-// failures: kills, freezes, cuts, outages of the platform, faults of endpoints
-// and races of operators.
+// Package scenario provides testscript commands that run a deployment as separate
+// processes, send calls, and inject failures: crashes, suspended processes,
+// network partitions, platform outages, endpoint faults and concurrent
+// configuration writes.
 package scenario
 
 import (
@@ -22,36 +22,36 @@
 )
 
 const (
-	// settleWithin bounds the wait for a state that a script asks for.
-	settleWithin = 30 * time.Second
-	secretOf     = ".example-secret-of-"
+	// awaitTimeout bounds the wait for an expected state.
+	awaitTimeout = 30 * time.Second
+	keyInfix     = ".example-secret-of-"
 )
 
-// Options say where the parts of a deployment are found.
+// Options locates the binaries and documents of a deployment.
 type Options struct {
-	// Bin holds the built binaries, Examples the example documents.
+	// Bin is the folder of the binaries, Examples that of the example documents.
 	Bin      string
 	Examples string
 }
 
-// command is one command of a script.
-type command func(w *world, ts *testscript.TestScript, args []string)
+// command implements a testscript command.
+type command func(w *deployment, ts *testscript.TestScript, args []string)
 
 // Commands returns the commands for testscript.Params.
 func Commands(o Options) map[string]func(*testscript.TestScript, bool, []string) {
-	worlds := &worlds{
+	byScript := &deployments{
 		options: o,
-		byName:  make(map[string]*world),
+		byName:  make(map[string]*deployment),
 	}
 	out := make(map[string]func(*testscript.TestScript, bool, []string))
 	all := commands()
-	maps.Copy(all, onceCommands())
+	maps.Copy(all, atMostOnceCommands())
 	for name, c := range all {
 		out[name] = func(ts *testscript.TestScript, neg bool, args []string) {
 			if neg {
 				ts.Fatalf("%s cannot be negated", name)
 			}
-			c(worlds.of(ts), ts, args)
+			c(byScript.of(ts), ts, args)
 		}
 	}
 	return out
@@ -82,7 +82,7 @@
 		"leaving":      leaving,
 		"fault":        fault,
 		"runs":         runs,
-		"held":         held,
+		"held":         leakedOutside,
 		"forwards":     forwards,
 		"pause":        pause,
 		"reached":      reached,
@@ -95,34 +95,34 @@
 		"monitor":      startMonitor,
 		"monitored":    endMonitor,
 		"mark":         mark,
-		"departed":     departed,
-		"works":        works,
+		"departed":     awaitDeparted,
+		"works":        awaitWork,
 		"mostforwards": mostForwards,
 		"cutplatform":  cutPlatform,
 		"seeds":        setSeeds,
 		"respawn":      respawn,
 		"bounded":      bounded,
-		"told":         tellers,
+		"told":         findExposed,
 		"refusedby":    refusedBy,
 		"watchers":     watchers,
 		"streams":      streams,
 	}
 }
 
-// world is what one script has running.
-type world struct {
+// deployment holds the deployment of one script and its background activities.
+type deployment struct {
 	options  Options
 	rig      *rig.Rig
 	loads    map[string]*load
-	once     onceState
+	bookings bookingState
 	monitors map[string]*monitor
 	amended  map[string]publishedBucket
 	marks    map[string]time.Time
 }
 
-// deploy NAME [links] [settings...] starts a deployment; a setting is
-// lease_term=, heartbeat_every=, ticket_good_for=, stop_within= or policies.
-func deploy(w *world, ts *testscript.TestScript, args []string) {
+// deploy NAME [links] [name=value...] starts an example deployment. applySetting
+// lists the settings that can be changed.
+func deploy(w *deployment, ts *testscript.TestScript, args []string) {
 	if len(args) == 0 {
 		ts.Fatalf("usage: deploy tesfaye|planhigion [links] [name=value...]")
 	}
@@ -135,7 +135,7 @@
 	o.Links = slices.Contains(args, "links")
 	o.Adjust = func(s *settings.Settings) {
 		for _, arg := range args[1:] {
-			adjust(ts, s, arg)
+			applySetting(ts, s, arg)
 		}
 	}
 	r, err := rig.Start(o)
@@ -145,23 +145,23 @@
 	w.setAddresses(ts)
 }
 
-// setAddresses sets CALLER_id, OPERATOR_id and ENDPOINT_id to the addresses of
-// each VM and endpoint, for commands that a script runs itself.
-func (w *world) setAddresses(ts *testscript.TestScript) {
+// setAddresses exports the addresses of VMs and endpoints to the script as
+// CALLER_id, OPERATOR_id and ENDPOINT_id.
+func (w *deployment) setAddresses(ts *testscript.TestScript) {
 	for _, vm := range w.rig.VMs {
-		ts.Setenv("CALLER_"+variable(vm.Fleet.ID), vm.Fleet.CallerAddr)
-		ts.Setenv("OPERATOR_"+variable(vm.Fleet.ID), vm.Fleet.OperatorAddr)
+		ts.Setenv("CALLER_"+envName(vm.Fleet.ID), vm.Fleet.CallerAddr)
+		ts.Setenv("OPERATOR_"+envName(vm.Fleet.ID), vm.Fleet.OperatorAddr)
 	}
 	for _, e := range w.rig.Endpoints {
-		ts.Setenv("ENDPOINT_"+variable(e.Fleet.ID), e.Fleet.Addr)
+		ts.Setenv("ENDPOINT_"+envName(e.Fleet.ID), e.Fleet.Addr)
 	}
 }
 
-func variable(id string) string {
+func envName(id string) string {
 	return strings.ReplaceAll(id, "-", "_")
 }
 
-func adjust(ts *testscript.TestScript, s *settings.Settings, arg string) {
+func applySetting(ts *testscript.TestScript, s *settings.Settings, arg string) {
 	name, value, ok := strings.Cut(arg, "=")
 	if !ok {
 		return
@@ -202,9 +202,8 @@
 	ts.Fatalf("unknown setting %q", name)
 }
 
-// find returns the VMs that a comma-separated list names; a region's name stands
-// for all of its VMs.
-func (w *world) find(ts *testscript.TestScript, list string) []*rig.VM {
+// parseVMs returns the VMs of a comma-separated list of VMs and regions.
+func (w *deployment) parseVMs(ts *testscript.TestScript, list string) []*rig.VM {
 	var out []*rig.VM
 	for name := range strings.SplitSeq(list, ",") {
 		if vm := w.rig.VM(name); vm != nil {
@@ -220,7 +219,7 @@
 	return out
 }
 
-func (w *world) addrs(vms []*rig.VM) []string {
+func (w *deployment) addrs(vms []*rig.VM) []string {
 	var out []string
 	for _, vm := range vms {
 		out = append(out, vm.Fleet.CallerAddr)
@@ -228,11 +227,11 @@
 	return out
 }
 
-func key(workspace string) string {
-	return workspace + secretOf + workspace
+func apiKey(workspace string) string {
+	return workspace + keyInfix + workspace
 }
 
-// option returns the value of name=value among the arguments.
+// option returns the value of the argument name=value, or the fallback.
 func option(args []string, name, fallback string) string {
 	for _, arg := range args {
 		if value, ok := strings.CutPrefix(arg, name+"="); ok {
@@ -254,7 +253,7 @@
 	return d
 }
 
-func need(ts *testscript.TestScript, args []string, n int, usage string) {
+func requireArgs(ts *testscript.TestScript, args []string, n int, usage string) {
 	if len(args) < n {
 		ts.Fatalf("usage: %s", usage)
 	}
@@ -265,16 +264,16 @@
 	ts.Check(err)
 }
 
-// newCaller makes a caller of a workspace from the options vm=, direct, once
+// newCaller returns a caller for a workspace, with the options vm=, direct, once
 // and tries=.
-func (w *world) newCaller(ts *testscript.TestScript, workspace string, args []string) *caller.Caller {
+func (w *deployment) newCaller(ts *testscript.TestScript, workspace string, args []string) *caller.Caller {
 	vms := w.rig.VMs
 	if list := option(args, "vm", ""); list != "" {
-		vms = w.find(ts, list)
+		vms = w.parseVMs(ts, list)
 	}
 	o := caller.Options{
 		VMs:    w.addrs(vms),
-		Key:    key(workspace),
+		Key:    apiKey(workspace),
 		Direct: slices.Contains(args, "direct"),
 	}
 	if slices.Contains(args, "once") {
@@ -292,7 +291,7 @@
 	ts.Setenv("REQUEST", r.RequestID)
 }
 
-// file returns the path of a file of the script.
-func file(ts *testscript.TestScript, name string) string {
+// scriptFile returns the path of a file in the script's work folder.
+func scriptFile(ts *testscript.TestScript, name string) string {
 	return filepath.Join(ts.Getenv("WORK"), name)
 }
--- a/testscripts/scenario/streams.go
+++ b/testscripts/scenario/streams.go
@@ -14,46 +14,46 @@
 	"github.com/fuchsianotch/fuchsianotch/standin/caller"
 )
 
-// streamsWithin bounds a crowd of streams.
-const streamsWithin = 60 * time.Second
+// streamsTimeout bounds one streams command.
+const streamsTimeout = 60 * time.Second
 
-// crowd sums up the answers of many streams at once.
-type crowd struct {
+// streamResults counts the outcomes of concurrent streams.
+type streamResults struct {
 	mu sync.Mutex
-	// Whole are whole own answers, Errors explicit errors with a result code.
+	// whole counts complete responses, errors failures with a result code.
 	whole  int
 	errors int
-	// Silent ended with neither; Wrong are answers of class done that are not
-	// the whole own one, and errors after another's text.
+	// silent counts streams that ended with neither. wrong counts incomplete
+	// responses reported as done, and text that belongs to another stream.
 	silent int
 	wrong  int
-	// lines explain what was silent or wrong, and the first error of each code.
+	// lines describes silent and wrong streams, and the first error of each code.
 	lines []string
-	// codes counts the explicit errors.
+	// codes counts errors by result code.
 	codes map[result.Code]int
 }
 
 // streams WORKSPACES N [tokens=N] [vm=LIST] [stream=false] [bare=ENDPOINT]
-// sends N chats at once, each with its own mark and one try, and counts the
-// whole own answers, the explicit errors, and the silent or wrong ones. With
-// bare they go to an endpoint itself, past the gateway.
-func streams(w *world, ts *testscript.TestScript, args []string) {
-	need(ts, args, 2, "streams WORKSPACE N [tokens=N] [vm=LIST] [stream=false] [bare=ENDPOINT]")
-	ctx, cancel := context.WithTimeout(context.Background(), streamsWithin)
+// sends N concurrent chats, each with its own mark and without retries, and
+// prints the counts of streamResults. With bare the chats go directly to an
+// endpoint instead of a gateway.
+func streams(w *deployment, ts *testscript.TestScript, args []string) {
+	requireArgs(ts, args, 2, "streams WORKSPACE N [tokens=N] [vm=LIST] [stream=false] [bare=ENDPOINT]")
+	ctx, cancel := context.WithTimeout(context.Background(), streamsTimeout)
 	defer cancel()
 	n := number(ts, []string{"n=" + args[1]}, "n", "1")
 	tokens := number(ts, args, "tokens", "8")
-	c := crowd{
+	c := streamResults{
 		codes: make(map[result.Code]int),
 	}
 	client := caller.NewClient()
 	defer client.CloseIdleConnections()
-	send := w.crowdSender(ctx, ts, client, args, tokens)
+	send := w.streamSender(ctx, ts, client, args, tokens)
 	var wg sync.WaitGroup
 	for i := range n {
 		wg.Go(func() {
 			own := fmt.Sprintf("%s%d", option(args, "mark", "s"), i)
-			c.take(send(own), own, expectedText(own, tokens))
+			c.record(send(own), own, expectedText(own, tokens))
 		})
 	}
 	wg.Wait()
@@ -64,19 +64,19 @@
 	printf(ts, "whole=%d errors=%d silent=%d wrong=%d sum=%d\n", c.whole, c.errors, c.silent, c.wrong, c.whole+c.errors+c.silent+c.wrong)
 }
 
-// crowdSender returns what sends one chat of the crowd.
-func (w *world) crowdSender(ctx context.Context, ts *testscript.TestScript, client *http.Client, args []string, tokens int) func(mark string) caller.Result {
+// streamSender returns the function that sends one chat.
+func (w *deployment) streamSender(ctx context.Context, ts *testscript.TestScript, client *http.Client, args []string, tokens int) func(mark string) caller.Result {
 	if bare := option(args, "bare", ""); bare != "" {
 		addr := w.endpoint(ts, bare).Fleet.Addr
-		return func(mark string) caller.Result { return bareChat(ctx, addr, w.model(), mark, tokens) }
+		return func(mark string) caller.Result { return chatUnchecked(ctx, addr, w.model(), mark, tokens) }
 	}
 	vms := w.rig.VMs
 	if list := option(args, "vm", ""); list != "" {
-		vms = w.find(ts, list)
+		vms = w.parseVMs(ts, list)
 	}
 	c := caller.New(caller.Options{
 		VMs:      w.addrs(vms),
-		Key:      key(args[0]),
+		Key:      apiKey(args[0]),
 		Client:   client,
 		Direct:   slices.Contains(args, "direct"),
 		MaxTries: 1,
@@ -91,13 +91,13 @@
 	}
 }
 
-func (c *crowd) take(r caller.Result, own, want string) {
+func (c *streamResults) record(r caller.Result, own, want string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch {
 	case r.Class == result.ClassDone && r.Text == want:
 		c.whole++
-	case r.Class == result.ClassDone || !isOwnPart(r.Text, want):
+	case r.Class == result.ClassDone || !isPrefixOf(r.Text, want):
 		c.wrong++
 		c.lines = append(c.lines, fmt.Sprintf("%s got %q (%d)", own, r.Text, r.Code))
 	case r.Code == 0 || r.Code == result.Done:
@@ -112,7 +112,7 @@
 	}
 }
 
-// isOwnPart reports whether a broken answer's text is a beginning of the own one.
-func isOwnPart(text, want string) bool {
+// isPrefixOf reports whether text is a prefix of want.
+func isPrefixOf(text, want string) bool {
 	return len(text) <= len(want) && want[:len(text)] == text
 }
--- a/testscripts/scenario/bare.go
+++ b/testscripts/scenario/unchecked_chat.go
@@ -12,8 +12,8 @@
 	"github.com/fuchsianotch/fuchsianotch/standin/caller"
 )
 
-// bareChunk is the part of a stream's chunk that bareChat reads.
-type bareChunk struct {
+// chatChunk holds the text of a streamed chat completion chunk.
+type chatChunk struct {
 	Choices []struct {
 		Delta struct {
 			Content string `json:"content"`
@@ -21,10 +21,10 @@
 	} `json:"choices"`
 }
 
-// bareChat asks an endpoint itself and takes whatever it answers for a whole
-// own answer. It is the deliberately broken relay that shows what the checks
-// of streams can find.
-func bareChat(ctx context.Context, addr, model, mark string, tokens int) caller.Result {
+// chatUnchecked sends a chat to an endpoint directly and reports any response as
+// complete. Scripts use it to prove that the stream checks detect mixed-up and
+// truncated responses.
+func chatUnchecked(ctx context.Context, addr, model, mark string, tokens int) caller.Result {
 	r := caller.Result{
 		Code:  result.Done,
 		Class: result.ClassDone,
@@ -42,7 +42,7 @@
 	defer func() { _ = resp.Body.Close() }()
 	lines := bufio.NewScanner(resp.Body)
 	for lines.Scan() {
-		var chunk bareChunk
+		var chunk chatChunk
 		data, ok := strings.CutPrefix(lines.Text(), "data: ")
 		if !ok || json.Unmarshal([]byte(data), &chunk) != nil {
 			continue
