--- a/testscripts/testscripts_test.go
+++ b/testscripts/testscripts_test.go
@@ -14,7 +14,7 @@
 
 var options scenario.Options
 
-// TestMain builds the real binaries once.
+// TestMain builds the binaries that the scripts run.
 func TestMain(m *testing.M) {
 	os.Exit(run(m))
 }
@@ -45,6 +45,7 @@
 	return m.Run()
 }
 
+// TestScripts runs the scripts in testdata.
 func TestScripts(t *testing.T) {
 	testscript.Run(t, testscript.Params{
 		Dir:  "testdata",
