--- a/testscripts/measure/regions.go
+++ b/testscripts/measure/regions.go
@@ -131,7 +131,7 @@
 // loseEndpoints ends engines of a region and lets the list follow. The list
 // keeps them as leaving, as a platform would until they are replaced.
 func (w *world) loseEndpoints(region string, count int) {
-	for _, e := range w.EndpointsOf(model) {
+	for _, e := range w.EndpointsServing(model) {
 		if e.Fleet.Region != region || count == 0 {
 			continue
 		}
@@ -140,7 +140,7 @@
 		e.Fleet.State = fleet.StateLeaving
 	}
 	time.Sleep(listLag)
-	_ = w.PublishList()
+	_ = w.PublishFleetList()
 }
 
 func regionsRow(r *report, t *table, l loss, policy string) {
--- a/testscripts/measure/routing.go
+++ b/testscripts/measure/routing.go
@@ -112,7 +112,7 @@
 
 // faultyThree makes one engine slow, one silent and one lie about its load.
 func (w *world) faultyThree() error {
-	engines := w.EndpointsOf(model)
+	engines := w.EndpointsServing(model)
 	faults := []fault.Faults{
 		{
 			Slow: jsonc.Duration{
--- a/testscripts/measure/spread.go
+++ b/testscripts/measure/spread.go
@@ -118,7 +118,7 @@
 		at:  time.Now(),
 		cpu: cpuOf(w.VMs),
 	}
-	if c, err := rig.GetJSON[platformCounters](w.Rig, w.Platform.Listening.Addr, "/admin/counters"); err == nil {
+	if c, err := rig.GetJSON[platformCounters](w.Rig, w.Platform.ListenAddrs.Addr, "/admin/counters"); err == nil {
 		u.counted = c.Reads
 	}
 	for _, vm := range w.VMs {
--- a/testscripts/measure/world.go
+++ b/testscripts/measure/world.go
@@ -52,7 +52,7 @@
 		Dir:       dir,
 		Documents: documents,
 		Regions:   p.regions,
-		Adjust: func(s *settings.Settings) {
+		AdjustSettings: func(s *settings.Settings) {
 			if p.policies != nil {
 				p.policies(&s.Policies)
 			}
@@ -89,7 +89,7 @@
 		r := load.Region{
 			Region: region.Name,
 		}
-		for _, vm := range w.VMsOf(region.Name) {
+		for _, vm := range w.VMsInRegion(region.Name) {
 			r.VMs = append(r.VMs, vm.Fleet.CallerAddr)
 		}
 		for _, ws := range w.plan.workspaces {
@@ -143,7 +143,7 @@
 		Name:       name,
 		DataCentre: name + "-1",
 		VMs:        vms,
-		Endpoints: []rig.Endpoints{
+		Endpoints: []rig.EndpointGroup{
 			{
 				Model:    model,
 				Replicas: replicas,
--- a/testscripts/rig/find.go
+++ b/testscripts/rig/lookup.go
@@ -1,7 +1,7 @@
 package rig
 
-// VMsOf returns the VMs of a region.
-func (r *Rig) VMsOf(region string) []*VM {
+// VMsInRegion returns the VMs of a region.
+func (r *Rig) VMsInRegion(region string) []*VM {
 	var out []*VM
 	for _, vm := range r.VMs {
 		if vm.Fleet.Region == region {
@@ -11,7 +11,7 @@
 	return out
 }
 
-// VM finds a VM by its id.
+// VM returns the VM with the given id, or nil.
 func (r *Rig) VM(id string) *VM {
 	for _, vm := range r.VMs {
 		if vm.Fleet.ID == id {
@@ -21,8 +21,8 @@
 	return nil
 }
 
-// EndpointsOf returns the endpoints of a model or service.
-func (r *Rig) EndpointsOf(target string) []*Endpoint {
+// EndpointsServing returns the endpoints that serve a model or service.
+func (r *Rig) EndpointsServing(target string) []*Endpoint {
 	var out []*Endpoint
 	for _, e := range r.Endpoints {
 		if e.Fleet.Serves() == target {
