--- a/common/datatest/datatest.go
+++ b/common/datatest/datatest.go
@@ -27,7 +27,7 @@
 type CommandFunc func(t *testing.T, name string, words []string) string
 
 // RunScripts runs each script of the txtar archives that match pattern as a subtest,
-// with a Do of its own. A line "command -> text" expects that output; a line
+// with a CommandFunc of its own. A line "command -> text" expects that output; a line
 // without an arrow expects none.
 func RunScripts(t *testing.T, pattern string, newDo func() CommandFunc) {
 	t.Helper()
--- a/common/listen/stopping.go
+++ b/common/listen/stopping.go
@@ -17,7 +17,7 @@
 	closed    chan struct{}
 }
 
-// NewStoppableListener returns a Stopping that accepts from ln.
+// NewStoppableListener returns a StoppableListener that accepts from ln.
 func NewStoppableListener(ln net.Listener) *StoppableListener {
 	return &StoppableListener{
 		Listener: ln,
--- a/configuration/configuration.go
+++ b/configuration/configuration.go
@@ -24,7 +24,7 @@
 	// validates again; operators use the flag to compare builds.
 	Refused bool
 
-	// validation is set by Judge.
+	// validation is set by Validate.
 	validation *validation
 }
 
@@ -34,8 +34,8 @@
 	refusal *result.Refusal
 }
 
-// Validate validates documents ahead of Offer. Validation is the most expensive part of
-// accepting a document, and Judge keeps it off the goroutine that owns the Store.
+// Validate validates documents ahead of Offer. It is the most expensive part of
+// accepting a document, and is kept off the goroutine that owns the Store.
 func Validate(docs []Document) []Document {
 	out := slices.Clone(docs)
 	for i := range out {
@@ -66,7 +66,7 @@
 type Options struct {
 	// Now returns the time for DocumentStatus.At. The default is time.Now.
 	Now func() time.Time
-	// Parse validates documents that Judge hasn't. The default is contract.Parse.
+	// Parse validates documents that Validate hasn't. The default is contract.Parse.
 	Parse func(key string, value []byte) (*contract.Document, *result.Refusal)
 }
 
--- a/console/fleet.go
+++ b/console/fleet.go
@@ -137,7 +137,7 @@
 }
 
 // mergeResponses adds the events of single VMs to an incomplete merged timeline.
-// An unreachable VM is dropped from Unreached if any of its events are present.
+// An unreachable VM is dropped from Unreachable if any of its events are present.
 func mergeResponses(merged operator.Timeline, responses []response[operator.Timeline]) operator.Timeline {
 	events := merged.Events
 	var failed []string
--- a/endpoint/relay.go
+++ b/endpoint/relay.go
@@ -56,7 +56,7 @@
 	return x.relayBody(resp)
 }
 
-// reportRateLimit passes the rate limit in a verified response to Attempt.Rated.
+// reportRateLimit passes the rate limit in a verified response to Attempt.OnRateLimit.
 func (x *exchange) reportRateLimit(h http.Header) {
 	if x.attempt.OnRateLimit != nil && x.client.dialect.ReadRateLimit != nil {
 		x.attempt.OnRateLimit(x.client.dialect.ReadRateLimit(h))
@@ -142,7 +142,7 @@
 	}
 }
 
-// reportEventGap passes the time since the previous event to Attempt.Paced and
+// reportEventGap passes the time since the previous event to Attempt.OnEventGap and
 // returns the current time.
 func (x *exchange) reportEventGap(lastAt time.Time) time.Time {
 	now := x.client.now()
--- a/limit/limit.go
+++ b/limit/limit.go
@@ -59,7 +59,8 @@
 	Terms     contract.RegionLimits
 	// Share is the fraction of Terms, from 0 to 1, that this VM may currently use.
 	Share float64
-	// ShareSince, Base and BaseSince are the history of Share, as in membership.Holding.
+	// ShareSince, PreviousShare and PreviousShareSince are the history of Share, as in
+	// membership.ShareHistory.
 	// Without them an account starts empty, and a share counts from the first request that
 	// carries it.
 	ShareSince         time.Time
--- a/logs/trail.go
+++ b/logs/trail.go
@@ -12,7 +12,7 @@
 
 // RequestLog is the log of one request. Its lines are written immediately if the
 // request is sampled; otherwise they are buffered, and written only if the request
-// fails. All methods may be called on a nil Trail.
+// fails. All methods may be called on a nil RequestLog.
 type RequestLog struct {
 	logger  *slog.Logger
 	request string
--- a/membership/lease.go
+++ b/membership/lease.go
@@ -168,7 +168,7 @@
 }
 
 // GrantLease answers the heartbeat of a VM in the own region. Its beat must have been passed
-// to Heard first. The grantor counts the lease for a margin longer than the holder
+// to HandleBeat first. The grantor counts the lease for a margin longer than the holder
 // does, since their clocks may run at different rates.
 func (s *State) GrantLease(to string, theirHash uint64, now time.Time) Lease {
 	s.advance(now)
@@ -192,7 +192,7 @@
 }
 
 // AcknowledgeLease processes the lease number that a VM reported in the heartbeat last
-// passed to Heard.
+// passed to HandleBeat.
 func (s *State) AcknowledgeLease(from string, id uint64) {
 	p := s.peers[from]
 	if p == nil || p.requestIncarnation != p.beat.Incarnation {
--- a/membership/share.go
+++ b/membership/share.go
@@ -46,7 +46,7 @@
 
 const (
 	wordBits = 64
-	// stackWords and stackSets are the sizes up to which Hold doesn't allocate.
+	// stackWords and stackSets are the sizes up to which ShareHistory doesn't allocate.
 	stackWords = 8
 	stackSets  = 32
 )
--- a/membership/view.go
+++ b/membership/view.go
@@ -167,7 +167,7 @@
 	return entry.Rank(workspace, vms)
 }
 
-// Owner returns the first of Entries without allocating. ok is false if there is none.
+// Owner returns the first of OwnersByRank without allocating. ok is false if there is none.
 func (v *View) Owner(workspace string) (vm fleet.VM, ok bool) {
 	h := entry.Hash(workspace)
 	owner := -1
--- a/operator/status.go
+++ b/operator/status.go
@@ -22,7 +22,7 @@
 // Document is the state of one published document.
 type Document struct {
 	Key string `json:"key"`
-	// Active is the active revision and Refused the rejected one; zero means none.
+	// Active is the active revision and Rejected the rejected one; zero means none.
 	Active   uint64 `json:"in_force"`
 	Rejected uint64 `json:"refused,omitempty"`
 	Reason   string `json:"reason,omitempty"`
--- a/peer/peer.go
+++ b/peer/peer.go
@@ -46,7 +46,7 @@
 	Region       string
 	// TLS is the configuration made by the function TLS; nil means plain TCP.
 	TLS *tls.Config
-	// Now is a monotonic clock; nil means time.Now. Transit stamps outgoing messages and
+	// Now is a monotonic clock; nil means time.Now. Delays stamps outgoing messages and
 	// estimates the delay of incoming ones; nil means a new one.
 	Now    func() time.Time
 	Delays *DelayEstimator
@@ -145,7 +145,7 @@
 	return reply, decompressItems(reply)
 }
 
-// Events fetches events of a VM's time line.
+// Events fetches events of a VM's timeline.
 func (c *Client) Events(ctx context.Context, vm fleet.VM, in *peerpb.EventsRequest) (*peerpb.EventsReply, error) {
 	return c.client(ctx, vm).Events(ctx, in)
 }
--- a/peer/server.go
+++ b/peer/server.go
@@ -42,7 +42,7 @@
 	Permit func(l throttle.Limit) throttle.Answer
 	// Forward runs a call; it must not forward it again.
 	Forward func(ctx context.Context, from *peerpb.Identity, c *call.Call, sink call.Sink) call.Outcome
-	// Stamp reads the time line's logical clock, and Witness advances it to a stamp
+	// Stamp reads the timeline's logical clock, and Witness advances it to a stamp
 	// received.
 	Stamp   func() uint64
 	Witness func(stamp uint64)
@@ -50,7 +50,7 @@
 	CountBytes func(sent, received int)
 	// TLS is the configuration made by the function TLS; nil means plain TCP.
 	TLS *tls.Config
-	// Now and Transit are as in Options.
+	// Now and Delays are as in Options.
 	Now    func() time.Time
 	Delays *DelayEstimator
 }
--- a/result/refusal.go
+++ b/result/refusal.go
@@ -26,7 +26,7 @@
 	}
 }
 
-// WithRetryAt sets ComeBackAt and returns the refusal.
+// WithRetryAt sets RetryAt and returns the refusal.
 func (r *Refusal) WithRetryAt(at time.Time) *Refusal {
 	r.RetryAt = at
 	return r
--- a/settings/platform.go
+++ b/settings/platform.go
@@ -21,7 +21,7 @@
 	Disabled []string `json:"without"`
 }
 
-// Mechanisms that Without can disable.
+// Mechanisms that Disabled can list.
 const (
 	Borrowing   = "borrowing"
 	SentAway    = "sent_away"
@@ -39,7 +39,7 @@
 	Corrections = "corrections"
 )
 
-// Mechanisms lists all mechanisms that Without can disable.
+// Mechanisms lists all mechanisms that Disabled can list.
 var Mechanisms = []string{
 	Borrowing, SentAway, Affinity, Fetches, FarFetches, Reports, UnreadNotes,
 	Yielding, LateRefusal, EndRefusal, RankOrder, LivePace, BackOff, Corrections,
--- a/site/control.go
+++ b/site/control.go
@@ -58,7 +58,7 @@
 	// nextEndpointChange is when the state of an endpoint next changes without a message.
 	nextEndpointChange time.Time
 	endpointsChanged   bool
-	// resuming is the result of roster.Waking at the previous step, to detect the
+	// resuming is the result of Roster.Resuming at the previous step, to detect the
 	// transition.
 	resuming bool
 }
