--- a/configuration/relay.go
+++ b/configuration/duty.go
@@ -90,7 +90,7 @@
 // Duty is how a VM currently obtains documents.
 type Duty int
 
-// Duties. All VMs also pull from Sources when a heartbeat shows a different digest.
+// Duties. All VMs also pull from PullSources when a heartbeat shows a different digest.
 const (
 	// DutyPull doesn't read from the platform.
 	DutyPull Duty = iota
@@ -102,7 +102,7 @@
 	DutyWatch
 )
 
-// Intervals of a Relay.
+// Intervals of a DutySelector.
 const (
 	probeInterval = 10 * time.Second
 	// takeoverPeriod is how long a VM watches after its probe has shown that the
@@ -121,14 +121,14 @@
 	watchUntil  time.Time
 }
 
-// DutySelectorOptions configures a Relay.
+// DutySelectorOptions configures a DutySelector.
 type DutySelectorOptions struct {
 	Self string
 	// Rand returns random bits.
 	Rand func() uint64
 }
 
-// NewDutySelector returns a Relay for one VM.
+// NewDutySelector returns a DutySelector for one VM.
 func NewDutySelector(o DutySelectorOptions) *DutySelector {
 	return &DutySelector{
 		self: o.Self,
@@ -138,38 +138,38 @@
 
 // Duty returns the duty for now. vms are the reachable VMs of the own data centre,
 // including this one. A VM that isn't among them watches, as it knows no other.
-func (r *DutySelector) Duty(vms []fleet.VM, now time.Time) Duty {
-	if r.isWatcher(vms) || now.Before(r.watchUntil) {
+func (s *DutySelector) Duty(vms []fleet.VM, now time.Time) Duty {
+	if s.isWatcher(vms) || now.Before(s.watchUntil) {
 		return DutyWatch
 	}
-	if now.Before(r.nextProbeAt) {
+	if now.Before(s.nextProbeAt) {
 		return DutyPull
 	}
-	first := r.nextProbeAt.IsZero()
-	r.nextProbeAt = now.Add(probeInterval)
+	first := s.nextProbeAt.IsZero()
+	s.nextProbeAt = now.Add(probeInterval)
 	others := uint64(max(len(vms)-watchersPerDataCentre, 1))
-	if first || r.rand()%others != 0 {
+	if first || s.rand()%others != 0 {
 		return DutyPull
 	}
 	return DutyProbe
 }
 
 // Next returns when Duty may change if the VMs don't.
-func (r *DutySelector) Next() time.Time {
-	if r.watchUntil.After(r.nextProbeAt) {
-		return r.watchUntil
+func (s *DutySelector) Next() time.Time {
+	if s.watchUntil.After(s.nextProbeAt) {
+		return s.watchUntil
 	}
-	return r.nextProbeAt
+	return s.nextProbeAt
 }
 
 // RecordProbe records whether a probe returned anything new.
-func (r *DutySelector) RecordProbe(changed bool, now time.Time) {
+func (s *DutySelector) RecordProbe(changed bool, now time.Time) {
 	if changed {
-		r.watchUntil = now.Add(takeoverPeriod)
+		s.watchUntil = now.Add(takeoverPeriod)
 	}
 }
 
-func (r *DutySelector) isWatcher(vms []fleet.VM) bool {
-	known := slices.ContainsFunc(vms, func(vm fleet.VM) bool { return vm.ID == r.self })
-	return !known || slices.Contains(Watchers(vms), r.self)
+func (s *DutySelector) isWatcher(vms []fleet.VM) bool {
+	known := slices.ContainsFunc(vms, func(vm fleet.VM) bool { return vm.ID == s.self })
+	return !known || slices.Contains(Watchers(vms), s.self)
 }
--- a/configuration/relay_test.go
+++ b/configuration/duty_test.go
@@ -53,42 +53,42 @@
 	}
 }
 
-// newDataCentre returns n VMs of one data centre and a Relay for each.
+// newDataCentre returns n VMs of one data centre and a DutySelector for each.
 func newDataCentre(n int) ([]fleet.VM, []*DutySelector) {
 	random := rand.New(rand.NewPCG(1, uint64(n)))
 	var vms []fleet.VM
-	var relays []*DutySelector
+	var selectors []*DutySelector
 	for i := range n {
 		vms = append(vms, fleet.VM{
 			ID:         fmt.Sprintf("a%d", i),
 			DataCentre: "a-1",
 			State:      fleet.StateLive,
 		})
-		relays = append(relays, NewDutySelector(DutySelectorOptions{
+		selectors = append(selectors, NewDutySelector(DutySelectorOptions{
 			Self: vms[i].ID,
 			Rand: random.Uint64,
 		}))
 	}
-	return vms, relays
+	return vms, selectors
 }
 
 // TestReadsDoNotGrowWithVMs checks that watchers and probes don't grow with the VMs.
 func TestReadsDoNotGrowWithVMs(t *testing.T) {
 	const periods = 60
 	for _, n := range []int{1, 2, 3, 8, 40, 100} {
-		vms, relays := newDataCentre(n)
+		vms, selectors := newDataCentre(n)
 		probes := 0
 		for half := range 2 * periods {
 			now := time.Unix(0, 0).Add(time.Duration(half) * probeInterval / 2)
 			watching := 0
-			for _, r := range relays {
-				switch r.Duty(vms, now) {
+			for _, s := range selectors {
+				switch s.Duty(vms, now) {
 				case DutyWatch:
 					watching++
 				case DutyProbe:
 					probes++
 				}
-				assert.Assert(t, r.Next().IsZero() || r.Next().After(now))
+				assert.Assert(t, s.Next().IsZero() || s.Next().After(now))
 			}
 			assert.Equal(t, watching, min(n, watchersPerDataCentre))
 		}
@@ -100,15 +100,15 @@
 // TestSilentWatchers checks that a VM whose probe finds news watches for a while, when
 // the watchers bring none.
 func TestSilentWatchers(t *testing.T) {
-	vms, relays := newDataCentre(8)
+	vms, selectors := newDataCentre(8)
 	now := time.Unix(0, 0)
 	var found *DutySelector
 	for deadline := now.Add(6 * probeInterval); found == nil; now = now.Add(time.Second) {
 		assert.Assert(t, now.Before(deadline), "no VM probed in time")
-		for _, r := range relays {
-			if r.Duty(vms, now) == DutyProbe {
-				r.RecordProbe(true, now)
-				found = r
+		for _, s := range selectors {
+			if s.Duty(vms, now) == DutyProbe {
+				s.RecordProbe(true, now)
+				found = s
 				break
 			}
 		}
--- a/fleet/census.go
+++ b/fleet/size_estimate.go
@@ -28,33 +28,33 @@
 
 // Observe records how many VMs of the region are reachable, including this one, and how
 // many aren't known to be gone.
-func (c *SizeEstimate) Observe(reachable, known int, now time.Time) {
-	if reachable != c.reachableVMs {
-		c.reachableVMs = reachable
-		c.stableSince = now
+func (e *SizeEstimate) Observe(reachable, known int, now time.Time) {
+	if reachable != e.reachableVMs {
+		e.reachableVMs = reachable
+		e.stableSince = now
 	}
-	if count := max(known, reachable); count >= c.maxVMs || now.Sub(c.maxVMsAt) > departedRetention {
-		c.maxVMs = count
-		c.maxVMsAt = now
+	if count := max(known, reachable); count >= e.maxVMs || now.Sub(e.maxVMsAt) > departedRetention {
+		e.maxVMs = count
+		e.maxVMsAt = now
 	}
 }
 
 // VMs returns the estimated number of VMs in the region: the recent maximum.
-func (c *SizeEstimate) VMs(now time.Time) int {
-	if now.Sub(c.StartedAt) < StartupPeriod {
-		return max(c.maxVMs, minVMsAtStart)
+func (e *SizeEstimate) VMs(now time.Time) int {
+	if now.Sub(e.StartedAt) < StartupPeriod {
+		return max(e.maxVMs, minVMsAtStart)
 	}
-	return max(c.maxVMs, 1)
+	return max(e.maxVMs, 1)
 }
 
 // ReachableShare returns the fraction of the region's VMs that this VM reaches. The unreachable
 // ones share the rest.
-func (c *SizeEstimate) ReachableShare(now time.Time) float64 {
-	return min(float64(max(c.reachableVMs, 1))/float64(c.VMs(now)), 1)
+func (e *SizeEstimate) ReachableShare(now time.Time) float64 {
+	return min(float64(max(e.reachableVMs, 1))/float64(e.VMs(now)), 1)
 }
 
 // StableFor returns for how long the number of reachable VMs has been constant, at most
 // since the start.
-func (c *SizeEstimate) StableFor(now time.Time) time.Duration {
-	return min(now.Sub(c.StartedAt), now.Sub(c.stableSince))
+func (e *SizeEstimate) StableFor(now time.Time) time.Duration {
+	return min(now.Sub(e.StartedAt), now.Sub(e.stableSince))
 }
--- a/limit/fleet_test.go
+++ b/limit/fleet_test.go
@@ -25,9 +25,9 @@
 
 const (
 	asBuilt variant = "as_built"
-	// lendAtOnce lends for every new view without waiting for outstanding loans.
+	// lendAtOnce lends for every new view without waiting for outstanding leases.
 	lendAtOnce variant = "lend_at_once"
-	// countFromReceipt measures a loan's term from its arrival instead of from the
+	// countFromReceipt measures a lease's term from its arrival instead of from the
 	// request.
 	countFromReceipt variant = "count_from_receipt"
 	// lendAtStart lends from the start of an incarnation.
@@ -36,10 +36,10 @@
 	visibleShare variant = "visible_share"
 	// forgetPast refills buckets for time during which the share was not held.
 	forgetPast variant = "forget_past"
-	// acknowledgeAnyHeartbeat treats any heartbeat as the acknowledgement of every loan.
+	// acknowledgeAnyHeartbeat treats any heartbeat as the acknowledgement of every lease.
 	acknowledgeAnyHeartbeat variant = "acknowledge_all"
 	// oneView is correct as well: it lends for one view at a time, and waits for all
-	// loans of the previous view after each change.
+	// leases of the previous view after each change.
 	oneView variant = "one_view"
 )
 
@@ -55,8 +55,8 @@
 	resumesAt      time.Duration
 	noTrafficUntil time.Duration
 	dead           bool
-	// lastLoan maps each VM to the ID of the last loan given to it.
-	lastLoan map[string]uint64
+	// lastLease maps each VM to the ID of the last lease granted to it.
+	lastLease map[string]uint64
 	// changed is set if the view must be published at the next tick.
 	changed         bool
 	lentView        []string
@@ -154,7 +154,7 @@
 		drift:       clockDrift * float64(i%3-1),
 		offset:      clockOffset(i),
 		ledger:      limit.New(limit.Options{Policy: n.policy}),
-		lastLoan:    make(map[string]uint64),
+		lastLease:   make(map[string]uint64),
 	}
 	p.state = membership.New(membership.Options{
 		Self:           p.vm,
--- a/limit/network_test.go
+++ b/limit/network_test.go
@@ -81,13 +81,13 @@
 		now := q.local(n.now)
 		q.state.HandleBeat(beat, time.Time{}, now)
 		n.acknowledge(q, p.vm.ID, held)
-		loan := n.lend(q, p.vm.ID, beat.ViewHash, now)
-		q.lastLoan[p.vm.ID] = loan.ID
+		lease := n.lend(q, p.vm.ID, beat.ViewHash, now)
+		q.lastLease[p.vm.ID] = lease.ID
 		reply := q.state.Beat(now)
 		q.changed = true
 		n.reply(q, p, func() {
 			answered = true
-			n.receiveReply(p, to, reply, loan, sentAt)
+			n.receiveReply(p, to, reply, lease, sentAt)
 		})
 	})
 	n.deliver(p, n.now+heartbeatInterval, func() {
@@ -100,20 +100,20 @@
 
 func (n *network) acknowledge(q *process, from string, held uint64) {
 	if n.variant == acknowledgeAnyHeartbeat {
-		q.state.AcknowledgeLease(from, q.lastLoan[from])
-		// A loan ID that was never issued acknowledges nothing.
-		held = q.lastLoan[from] + 1
+		q.state.AcknowledgeLease(from, q.lastLease[from])
+		// A lease ID that was never issued acknowledges nothing.
+		held = q.lastLease[from] + 1
 	}
 	q.state.AcknowledgeLease(from, held)
 }
 
-func (n *network) receiveReply(p *process, from string, reply membership.Beat, loan membership.Lease, sentAt time.Time) {
+func (n *network) receiveReply(p *process, from string, reply membership.Beat, lease membership.Lease, sentAt time.Time) {
 	now := p.local(n.now)
 	if n.variant == countFromReceipt {
 		sentAt = now
 	}
 	p.state.HandleBeat(reply, sentAt, now)
-	p.state.AcceptLease(from, loan, sentAt, now)
+	p.state.AcceptLease(from, lease, sentAt, now)
 	p.changed = true
 }
 
--- a/membership/bench_test.go
+++ b/membership/bench_test.go
@@ -56,7 +56,7 @@
 	s.AcceptLease(id, Lease{Term: 30 * time.Second, Hash: s.candidates.hash}, now, now)
 }
 
-func TestHoldDoesNotAllocate(t *testing.T) {
+func TestShareHistoryDoesNotAllocate(t *testing.T) {
 	s, now := newHealthyState(8, 10)
 	v := s.View(now)
 	got := testing.AllocsPerRun(1000, func() {
--- a/node/borrow.go
+++ b/node/borrow.go
@@ -97,7 +97,7 @@
 		PromptTokens:       c.PromptTokens,
 		MaxTokens:          c.MaxTokens,
 		Unavailable:        true,
-		RateLimiter:        p.damper,
+		RateLimiter:        p.rateLimiter,
 		Random:             rand.Uint64(),
 	}
 	pool, ok := p.table.Load().byTarget[c.Target()]
@@ -159,7 +159,7 @@
 	return 0
 }
 
-// recordBorrowOutcome tells the damper whether a lender served a call.
+// recordBorrowOutcome tells the rate limiter whether a lender served a call.
 func (p *pools) recordBorrowOutcome(vm fleet.VM, c *call.Call, o call.Outcome) {
 	now := p.node.now()
 	offer := borrow.Offer{
@@ -168,8 +168,8 @@
 		Target: c.Target(),
 	}
 	if o.Code.Class() == result.ClassDone {
-		p.damper.Served(offer, now)
+		p.rateLimiter.Served(offer, now)
 		return
 	}
-	p.damper.Refused(offer, now)
+	p.rateLimiter.Refused(offer, now)
 }
--- a/node/control.go
+++ b/node/control.go
@@ -94,7 +94,7 @@
 		case <-timer.C:
 		}
 		now := c.node.now()
-		// Publish the view before a heartbeat acknowledges the loan that it depends on.
+		// Publish the view before a heartbeat acknowledges the lease that it depends on.
 		c.publish(now)
 		c.sendHeartbeats(ctx, now)
 		timer.Reset(max(c.members.Next(now).Sub(now), time.Millisecond))
--- a/node/handlers.go
+++ b/node/handlers.go
@@ -44,9 +44,9 @@
 func (n *Node) handleHeartbeat(ctx context.Context, in *peerpb.HeartbeatRequest) (*peerpb.HeartbeatReply, error) {
 	return ask(ctx, n.control, func(reply chan<- *peerpb.HeartbeatReply) message {
 		return heartbeatReceived{
-			beat:     peer.HeartbeatFromProto(in.GetBeat()),
-			heldLoan: in.GetHeldLoan(),
-			reply:    reply,
+			beat:      peer.HeartbeatFromProto(in.GetBeat()),
+			heldLease: in.GetHeldLoan(),
+			reply:     reply,
 		}
 	})
 }
@@ -203,7 +203,7 @@
 		}, nil
 	}
 	h := peer.HandOverFromProto(whole)
-	accepted := n.desk.TakeOver(h, n.now())
+	accepted := n.ticketRegistry.TakeOver(h, n.now())
 	if accepted {
 		n.publishRights(ctx, n.settings.VM, h)
 	}
@@ -225,7 +225,7 @@
 	return "refused"
 }
 
-// handleEvents returns events of this VM's time line. Events of workspaces that are
+// handleEvents returns events of this VM's timeline. Events of workspaces that are
 // bound to this region are not sent to other regions.
 func (n *Node) handleEvents(_ context.Context, in *peerpb.EventsRequest) (*peerpb.EventsReply, error) {
 	n.witness(in.GetStamp())
--- a/node/heartbeat.go
+++ b/node/heartbeat.go
@@ -19,14 +19,14 @@
 
 // sendHeartbeat sends a heartbeat to a VM and passes the result to the control
 // goroutine.
-func (n *Node) sendHeartbeat(ctx context.Context, vm fleet.VM, beat membership.Beat, heldLoan uint64) {
+func (n *Node) sendHeartbeat(ctx context.Context, vm fleet.VM, beat membership.Beat, heldLease uint64) {
 	sentAt := n.now()
 	heartbeatCtx, cancel := context.WithTimeout(ctx, heartbeatTimeout)
 	defer cancel()
 	n.metrics.ControlMessage(metrics.MessageHeartbeat)
 	reply, err := n.peers.Heartbeat(heartbeatCtx, vm, &peerpb.HeartbeatRequest{
 		Beat:     peer.HeartbeatToProto(beat),
-		HeldLoan: heldLoan,
+		HeldLoan: heldLease,
 	})
 	if err != nil {
 		n.control.send(ctx, heartbeatMissed{
@@ -37,7 +37,7 @@
 	}
 	n.control.send(ctx, heartbeatAnswered{
 		beat:   peer.HeartbeatFromProto(reply.GetBeat()),
-		loan:   loanFromProto(reply.GetLoan()),
+		lease:  leaseFromProto(reply.GetLoan()),
 		sentAt: sentAt,
 	})
 }
@@ -60,33 +60,33 @@
 // heartbeatAnswered is the reply to a heartbeat.
 type heartbeatAnswered struct {
 	beat   membership.Beat
-	loan   membership.Lease
+	lease  membership.Lease
 	sentAt time.Time
 }
 
 func (m heartbeatAnswered) apply(c *control, now time.Time) {
 	c.node.ring.Observe(timeline.Stamp(m.beat.Stamp))
 	c.members.HandleBeat(m.beat, m.sentAt, now)
-	c.members.AcceptLease(m.beat.VM, m.loan, m.sentAt, now)
+	c.members.AcceptLease(m.beat.VM, m.lease, m.sentAt, now)
 	c.pullIfDifferent(m.beat)
 }
 
 // heartbeatReceived is a heartbeat sent by a peer.
 type heartbeatReceived struct {
-	beat     membership.Beat
-	heldLoan uint64
-	reply    chan<- *peerpb.HeartbeatReply
+	beat      membership.Beat
+	heldLease uint64
+	reply     chan<- *peerpb.HeartbeatReply
 }
 
 func (m heartbeatReceived) apply(c *control, now time.Time) {
 	c.node.ring.Observe(timeline.Stamp(m.beat.Stamp))
 	c.members.HandleBeat(m.beat, time.Time{}, now)
-	c.members.AcknowledgeLease(m.beat.VM, m.heldLoan)
+	c.members.AcknowledgeLease(m.beat.VM, m.heldLease)
 	answer := &peerpb.HeartbeatReply{
 		Beat: peer.HeartbeatToProto(c.heartbeatFor(c.ownHeartbeat(now), m.beat.Region)),
 	}
 	if m.beat.Region == c.node.settings.Region {
-		answer.Loan = loanToProto(c.members.GrantLease(m.beat.VM, m.beat.ViewHash, now))
+		answer.Loan = leaseToProto(c.members.GrantLease(m.beat.VM, m.beat.ViewHash, now))
 	}
 	m.reply <- answer
 	c.pullIfDifferent(m.beat)
@@ -103,7 +103,7 @@
 	c.node.requestPull(b.VM)
 }
 
-func loanToProto(l membership.Lease) *peerpb.Loan {
+func leaseToProto(l membership.Lease) *peerpb.Loan {
 	return &peerpb.Loan{
 		Id:       l.ID,
 		TermMs:   uint32(l.Term.Milliseconds()),
@@ -112,7 +112,7 @@
 	}
 }
 
-func loanFromProto(m *peerpb.Loan) membership.Lease {
+func leaseFromProto(m *peerpb.Loan) membership.Lease {
 	return membership.Lease{
 		ID:      m.GetId(),
 		Term:    time.Duration(m.GetTermMs()) * time.Millisecond,
--- a/node/node.go
+++ b/node/node.go
@@ -62,18 +62,18 @@
 	// tls secures connections between VMs; nil means plain TCP.
 	tls *tls.Config
 
-	ring       *timeline.Ring
-	metrics    *metrics.Metrics
-	peers      *peer.Client
-	platform   *platform.Client
-	control    *control
-	pools      *pools
-	desk       *ticket.Registry
-	handOvers  *peer.HandOverAssembler
-	ledger     *limit.Ledger
-	crashAgent *agent.Agent
-	serving    *serving.Server
-	caller     *caller.Server
+	ring           *timeline.Ring
+	metrics        *metrics.Metrics
+	peers          *peer.Client
+	platform       *platform.Client
+	control        *control
+	pools          *pools
+	ticketRegistry *ticket.Registry
+	handOvers      *peer.HandOverAssembler
+	ledger         *limit.Ledger
+	crashAgent     *agent.Agent
+	serving        *serving.Server
+	caller         *caller.Server
 
 	// pullRequests holds the id of a VM to pull from.
 	pullRequests chan string
@@ -135,7 +135,7 @@
 		URL: s.PlatformURL,
 		Now: n.now,
 	})
-	n.desk = ticket.New(ticket.Options{
+	n.ticketRegistry = ticket.New(ticket.Options{
 		VM:          s.VM,
 		Incarnation: n.incarnation,
 		MaxRecords:  s.Records.Count,
@@ -179,7 +179,7 @@
 		ChooseOverflow: n.pools.chooseLender,
 		AcceptOverflow: n.pools.acceptBorrowed,
 		Ledger:         n.ledger,
-		Tickets:        n.desk,
+		Tickets:        n.ticketRegistry,
 		Endpoint:       client,
 		Budget:         n.newBudget(),
 		Quarantine: serving.Quarantine{
@@ -211,7 +211,7 @@
 		Snapshot:    n.snapshot,
 		View:        n.view,
 		Serve:       n.serving.Serve,
-		IssueTicket: n.desk.Issue,
+		IssueTicket: n.ticketRegistry.Issue,
 		Stopping:    n.stopping.Load,
 		Limits: caller.Limits{
 			MaxBodyBytes:             s.Limits.MaxBodyBytes,
--- a/node/pools.go
+++ b/node/pools.go
@@ -24,10 +24,10 @@
 // pools holds the endpoint pools of the region's targets. The control goroutine replaces
 // the table; request goroutines read it.
 type pools struct {
-	node   *Node
-	client *endpoint.Client
-	table  atomic.Pointer[poolTable]
-	damper *borrow.RateLimiter
+	node        *Node
+	client      *endpoint.Client
+	table       atomic.Pointer[poolTable]
+	rateLimiter *borrow.RateLimiter
 }
 
 // poolTable is an immutable set of pools, built from one fleet list.
@@ -47,9 +47,9 @@
 
 func newPools(n *Node, client *endpoint.Client) *pools {
 	p := &pools{
-		node:   n,
-		client: client,
-		damper: borrow.NewRateLimiter(1),
+		node:        n,
+		client:      client,
+		rateLimiter: borrow.NewRateLimiter(1),
 	}
 	p.table.Store(&poolTable{})
 	return p
@@ -83,7 +83,7 @@
 		pool.Endpoints.SetVMs(vms)
 		pool.Queue.Reevaluate(now)
 	}
-	p.damper.SetBorrowers(len(list.VMs) - vms)
+	p.rateLimiter.SetBorrowers(len(list.VMs) - vms)
 	p.table.Store(after)
 }
 
--- a/node/rights.go
+++ b/node/rights.go
@@ -12,7 +12,7 @@
 // incarnations.
 func (n *Node) adoptedRights(now time.Time) []membership.Adoption {
 	var out []membership.Adoption
-	for _, a := range n.desk.Takeovers(now) {
+	for _, a := range n.ticketRegistry.Takeovers(now) {
 		out = append(out, membership.Adoption{
 			VM:          a.Issuer.VM,
 			Incarnation: a.Issuer.Incarnation,
--- a/node/stop.go
+++ b/node/stop.go
@@ -37,8 +37,8 @@
 	n.stopping.Store(true)
 	n.control.send(ctx, leaveRequested{})
 	n.sleepUntil(ctx, n.now().Add(propagationHeartbeats*n.heartbeatEvery(n.view().Peers)))
-	n.desk.Stop()
-	n.awaitIdle(ctx, n.desk.Idle)
+	n.ticketRegistry.Stop()
+	n.awaitIdle(ctx, n.ticketRegistry.Idle)
 	if n.handOver(ctx) {
 		n.sleepUntil(ctx, n.now().Add(propagationHeartbeats*n.heartbeatEvery(n.view().Peers)))
 	}
@@ -66,7 +66,7 @@
 // records, to a VM of the region. It reports whether one accepted; calls with these
 // tickets are then forwarded to it.
 func (n *Node) handOver(ctx context.Context) bool {
-	released := n.desk.Relinquish(n.now())
+	released := n.ticketRegistry.Relinquish(n.now())
 	candidates := n.successors()
 	var plan ticket.HandOverPlan
 	for range maxHandOverOffers {
--- a/peer/transit.go
+++ b/peer/delay_estimator.go
@@ -33,7 +33,7 @@
 	measuredAt time.Time
 }
 
-// NewDelayEstimator returns a Transit; now is a monotonic clock.
+// NewDelayEstimator returns a DelayEstimator; now is a monotonic clock.
 func NewDelayEstimator(now func() time.Time) *DelayEstimator {
 	return &DelayEstimator{
 		now:       now,
@@ -44,37 +44,37 @@
 
 // elapsedMicros returns the monotonic time of this process for an outgoing message. It
 // is never zero, which marks a message without a timestamp.
-func (t *DelayEstimator) elapsedMicros() uint64 {
-	return uint64(max(t.now().Sub(t.startedAt), time.Microsecond).Microseconds())
+func (e *DelayEstimator) elapsedMicros() uint64 {
+	return uint64(max(e.now().Sub(e.startedAt), time.Microsecond).Microseconds())
 }
 
 // SentAt returns the latest time at which a message that just arrived can have been
 // sent. The shortest network delay is not counted, and the first message of an
 // incarnation counts as undelayed.
-func (t *DelayEstimator) SentAt(vm string, incarnation, sentMicros uint64) time.Time {
-	now := t.now()
+func (e *DelayEstimator) SentAt(vm string, incarnation, sentMicros uint64) time.Time {
+	now := e.now()
 	if sentMicros == 0 || vm == "" {
 		return now
 	}
-	offset := now.Sub(t.startedAt) - time.Duration(sentMicros)*time.Microsecond
-	return now.Add(-t.excessDelay(vm, incarnation, offset, now))
+	offset := now.Sub(e.startedAt) - time.Duration(sentMicros)*time.Microsecond
+	return now.Add(-e.excessDelay(vm, incarnation, offset, now))
 }
 
 // excessDelay returns the delay of a message beyond the baseline, and updates the
 // baseline.
-func (t *DelayEstimator) excessDelay(vm string, incarnation uint64, offset time.Duration, now time.Time) time.Duration {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	known, ok := t.baselines[vm]
+func (e *DelayEstimator) excessDelay(vm string, incarnation uint64, offset time.Duration, now time.Time) time.Duration {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	known, ok := e.baselines[vm]
 	if ok && known.incarnation > incarnation {
 		return 0
 	}
 	minOffset := known.minOffset + maxDrift(now.Sub(known.measuredAt))
 	if !ok || known.incarnation != incarnation || offset < minOffset {
-		if len(t.baselines) >= maxSenders {
-			clear(t.baselines)
+		if len(e.baselines) >= maxSenders {
+			clear(e.baselines)
 		}
-		t.baselines[vm] = delayBaseline{
+		e.baselines[vm] = delayBaseline{
 			incarnation: incarnation,
 			minOffset:   offset,
 			measuredAt:  now,
--- a/peer/transit_test.go
+++ b/peer/delay_estimator_test.go
@@ -21,9 +21,9 @@
 
 var epoch = time.Date(2026, time.March, 1, 6, 0, 0, 0, time.UTC)
 
-// transitRow is a case of testdata/transit.json: messages of one VM, and the delay
+// delayRow is a case of testdata/transit.json: messages of one VM, and the delay
 // expected for each. Ahead is the offset of the sender's clock.
-type transitRow struct {
+type delayRow struct {
 	Name     string
 	Ahead    string
 	Messages []struct {
@@ -36,14 +36,14 @@
 }
 
 func TestTransit(t *testing.T) {
-	for _, row := range datatest.Read[[]transitRow](t, "testdata/transit.json") {
+	for _, row := range datatest.Read[[]delayRow](t, "testdata/transit.json") {
 		t.Run(row.Name, row.run)
 	}
 }
 
-func (row transitRow) run(t *testing.T) {
+func (row delayRow) run(t *testing.T) {
 	now := epoch
-	transit := NewDelayEstimator(func() time.Time { return now })
+	estimator := NewDelayEstimator(func() time.Time { return now })
 	origin := 1000 * time.Hour
 	if row.Ahead != "" {
 		origin += duration(t, row.Ahead)
@@ -55,7 +55,7 @@
 		if m.Unstamped {
 			stamp = 0
 		}
-		delay := now.Sub(transit.SentAt("far", max(m.Incarnation, 1), stamp))
+		delay := now.Sub(estimator.SentAt("far", max(m.Incarnation, 1), stamp))
 		// Rounding hides the tolerated clock drift.
 		assert.Equal(t, delay.Round(10*time.Millisecond), duration(t, row.Held[i]), "message %d", i)
 	}
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -22,14 +22,14 @@
 	return ranked[:relayCount(len(ranked))]
 }
 
-// Children returns the VMs to which a relay forwards a message, none if head is not a
+// Children returns the VMs to which a relay forwards a message, none if relay is not a
 // relay of it.
-func Children(head, sender string, salt uint64, vms []fleet.VM) []fleet.VM {
+func Children(relay, sender string, salt uint64, vms []fleet.VM) []fleet.VM {
 	ranked := rankRecipients(sender, salt, vms)
 	count := relayCount(len(ranked))
 	var out []fleet.VM
 	for i, vm := range ranked[:count] {
-		if vm.ID != head {
+		if vm.ID != relay {
 			continue
 		}
 		for child := i + count; child < len(ranked); child += count {
--- a/relay/relay_test.go
+++ b/relay/relay_test.go
@@ -24,11 +24,11 @@
 		vms := makeVMs(count)
 		for salt := range uint64(20) {
 			received := make(map[string]int)
-			heads := Relays("vm-0", salt, vms)
-			maxFanout := len(heads)
-			for _, head := range heads {
-				received[head.ID]++
-				children := Children(head.ID, "vm-0", salt, vms)
+			relays := Relays("vm-0", salt, vms)
+			maxFanout := len(relays)
+			for _, relay := range relays {
+				received[relay.ID]++
+				children := Children(relay.ID, "vm-0", salt, vms)
 				maxFanout = max(maxFanout, len(children))
 				for _, child := range children {
 					received[child.ID]++
@@ -48,8 +48,8 @@
 	vms := makeVMs(100)
 	times := make(map[string]int)
 	for salt := range uint64(1000) {
-		for _, head := range Relays("vm-0", salt, vms) {
-			times[head.ID]++
+		for _, relay := range Relays("vm-0", salt, vms) {
+			times[relay.ID]++
 		}
 	}
 	assert.Equal(t, len(times), 99)
@@ -61,8 +61,8 @@
 // TestNonRelayHasNoChildren checks that a VM which is not a relay forwards nothing.
 func TestNonRelayHasNoChildren(t *testing.T) {
 	vms := makeVMs(100)
-	head := Relays("vm-0", 7, vms)[0]
-	for _, child := range Children(head.ID, "vm-0", 7, vms) {
+	relay := Relays("vm-0", 7, vms)[0]
+	for _, child := range Children(relay.ID, "vm-0", 7, vms) {
 		assert.Equal(t, len(Children(child.ID, "vm-0", 7, vms)), 0)
 	}
 }
--- a/roster/member_index_test.go
+++ b/roster/member_index_test.go
@@ -108,7 +108,7 @@
 	}
 }
 
-// BenchmarkPicture creates a Picture after a message that changes nothing.
+// BenchmarkPicture creates a Snapshot after a message that changes nothing.
 func BenchmarkPicture(b *testing.B) {
 	rumors := fleetRumors()
 	now := time.Unix(1e9, 0)
--- a/roster/pause_test.go
+++ b/roster/pause_test.go
@@ -7,7 +7,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestPause checks that after a pause of the process a Picture isn't current until an
+// TestPause checks that after a pause of the process a Snapshot isn't current until an
 // endpoint probed since has answered or the wait has ended.
 func TestPause(t *testing.T) {
 	start := time.Unix(1e9, 0)
--- a/roster/roster.go
+++ b/roster/roster.go
@@ -122,7 +122,7 @@
 	resuming  bool
 	// maxKnown is the largest number of VMs known at once.
 	maxKnown int
-	// memberIndex is shared by Pictures. memberIndexStale is set once members have
+	// memberIndex is shared by Snapshots. memberIndexStale is set once members have
 	// changed.
 	memberIndex      *memberIndex
 	memberIndexStale bool
--- a/roster/picture.go
+++ b/roster/snapshot.go
@@ -10,7 +10,7 @@
 	"github.com/fuchsianotch/fuchsianotch/fleet"
 )
 
-// Member is a VM as shown by a Picture.
+// Member is a VM as shown by a Snapshot.
 type Member struct {
 	VM          fleet.VM
 	Incarnation uint64
@@ -41,7 +41,7 @@
 	taking  map[string][]fleet.VM
 }
 
-// memberIndex holds the members shown by Pictures. It is immutable, so Pictures share
+// memberIndex holds the members shown by Snapshots. It is immutable, so Snapshots share
 // it until a member changes.
 type memberIndex struct {
 	generation uint64
@@ -51,26 +51,26 @@
 }
 
 // ReachableVMs returns a region's reachable VMs. The result must not be modified.
-func (p *Snapshot) ReachableVMs(region string) []fleet.VM {
-	return p.reached[region]
+func (s *Snapshot) ReachableVMs(region string) []fleet.VM {
+	return s.reached[region]
 }
 
 // AcceptingVMs returns a region's reachable VMs that take calls. The result must not be
 // modified.
-func (p *Snapshot) AcceptingVMs(region string) []fleet.VM {
-	return p.taking[region]
+func (s *Snapshot) AcceptingVMs(region string) []fleet.VM {
+	return s.taking[region]
 }
 
 // AcceptingRegions returns the sorted names of the regions with VMs that take calls.
-func (p *Snapshot) AcceptingRegions() []string {
-	return slices.Sorted(maps.Keys(p.taking))
+func (s *Snapshot) AcceptingRegions() []string {
+	return slices.Sorted(maps.Keys(s.taking))
 }
 
 // Fresh reports whether this VM's knowledge dates from after the last pause of its
 // process. If not, delayed calls could all be sent to endpoints that have gone cold
 // meanwhile.
-func (p *Snapshot) Fresh(now time.Time) bool {
-	return !p.Resuming && (p.AdvancedAt.IsZero() || now.Sub(p.AdvancedAt) <= p.maxStepGap)
+func (s *Snapshot) Fresh(now time.Time) bool {
+	return !s.Resuming && (s.AdvancedAt.IsZero() || now.Sub(s.AdvancedAt) <= s.maxStepGap)
 }
 
 // Snapshot returns a snapshot of the current state.
@@ -92,7 +92,7 @@
 }
 
 // rebuildMemberIndex rebuilds the index after a change. Most messages change nothing,
-// and their Pictures reuse the previous index.
+// and their Snapshots reuse the previous index.
 func (r *Roster) rebuildMemberIndex() {
 	next := &memberIndex{
 		generation: 1,
@@ -138,10 +138,10 @@
 
 // StoreUnreadable reports whether a VM of the own region fails to read the store. The region
 // may then miss changes.
-func (p *Snapshot) StoreUnreadable() bool {
-	return slices.ContainsFunc(p.Members, func(m Member) bool {
-		isSelf := m.VM.ID == p.Self.ID
-		return m.StoreUnreadable && m.VM.Region == p.Self.Region && (isSelf || m.Reachable)
+func (s *Snapshot) StoreUnreadable() bool {
+	return slices.ContainsFunc(s.Members, func(m Member) bool {
+		isSelf := m.VM.ID == s.Self.ID
+		return m.StoreUnreadable && m.VM.Region == s.Self.Region && (isSelf || m.Reachable)
 	})
 }
 
@@ -151,16 +151,16 @@
 // ReadsStore reports whether this VM is among the given number of readers that follow the
 // store for its region: the highest-ranked reachable VMs that can read it. A VM that
 // fails to read it keeps trying, in case all others fail too.
-func (p *Snapshot) ReadsStore(readers int) bool {
+func (s *Snapshot) ReadsStore(readers int) bool {
 	var vms []fleet.VM
-	for _, m := range p.Members {
-		isSelf := m.VM.ID == p.Self.ID
-		if m.VM.Region == p.Self.Region && (isSelf || (m.Reachable && !m.StoreUnreadable)) {
+	for _, m := range s.Members {
+		isSelf := m.VM.ID == s.Self.ID
+		if m.VM.Region == s.Self.Region && (isSelf || (m.Reachable && !m.StoreUnreadable)) {
 			vms = append(vms, m.VM)
 		}
 	}
 	ranked := entry.Rank(readersRank, vms)
 	return slices.ContainsFunc(ranked[:min(readers, len(ranked))], func(vm fleet.VM) bool {
-		return vm.ID == p.Self.ID
+		return vm.ID == s.Self.ID
 	})
 }
--- a/roster/picture_test.go
+++ b/roster/snapshot_test.go
@@ -10,12 +10,12 @@
 )
 
 // countReaders counts the VMs of a region that read the store, each judging by its own
-// Picture.
+// Snapshot.
 func countReaders(members []Member) int {
 	count := 0
 	for _, m := range members {
-		p := &Snapshot{Self: m.VM, Members: members}
-		if p.ReadsStore(2) {
+		s := &Snapshot{Self: m.VM, Members: members}
+		if s.ReadsStore(2) {
 			count++
 		}
 	}
--- a/site/forward.go
+++ b/site/forward.go
@@ -76,7 +76,7 @@
 
 		CountBytes: n.countPeerBytes,
 		Now:        n.now,
-		Delays:     n.transit,
+		Delays:     n.delays,
 	}
 }
 
--- a/site/gossip.go
+++ b/site/gossip.go
@@ -159,7 +159,7 @@
 // sentAt returns when a peer sent a message, on the local clock.
 func (n *Node) sentAt(m *peerpb.GossipMessage) time.Time {
 	from := m.GetFrom()
-	return n.transit.SentAt(from.GetVm(), from.GetIncarnation(), m.GetSentUs())
+	return n.delays.SentAt(from.GetVm(), from.GetIncarnation(), m.GetSentUs())
 }
 
 // gossipFanout is the number of VMs of the region that are notified immediately of store
--- a/site/site.go
+++ b/site/site.go
@@ -89,7 +89,7 @@
 	store          *platform.Client
 	decoder        platform.Decoder
 	peers          *peer.Client
-	transit        *peer.DelayEstimator
+	delays         *peer.DelayEstimator
 	endpointClient *endpoint.Client
 	pools          *pools
 	sentAway       *placement.SentTokens
@@ -157,12 +157,12 @@
 		ReplyTimeout: storeTimeout,
 		Now:          n.now,
 	})
-	n.transit = peer.NewDelayEstimator(n.now)
+	n.delays = peer.NewDelayEstimator(n.now)
 	n.peers = peer.New(peer.Options{
 		Dial:       dialPeer,
 		CountBytes: n.countPeerBytes,
 		Now:        n.now,
-		Delays:     n.transit,
+		Delays:     n.delays,
 
 		CountMessage: n.countPeerMessage,
 		Region:       d.Region,
