--- a/caller/entries.go
+++ b/caller/entries.go
@@ -81,11 +81,11 @@
 	terms, ok := c.LimitsIn(view.Self.Region)
 	if ok {
 		vms := view.OwnersByRank(c.Workspace)
-		return entry.Order(c.Workspace, vms, entry.EntryVMCount(terms, len(vms)), s.rotationSeed())
+		return entry.Order(c.Workspace, vms, entry.VMCount(terms, len(vms)), s.rotationSeed())
 	}
 	terms, _ = c.LimitsIn(c.Home)
 	vms := view.VMsByRank(c.Home, c.Workspace)
-	return entry.Order(c.Workspace, vms, entry.EntryVMCount(terms, len(vms)), s.rotationSeed())
+	return entry.Order(c.Workspace, vms, entry.VMCount(terms, len(vms)), s.rotationSeed())
 }
 
 // rotationSeed returns a new seed for each response, so that the callers of a
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -106,9 +106,9 @@
 	return first
 }
 
-// EntryVMCount returns the number of entry VMs of a workspace. It depends only on the contract
+// VMCount returns the number of entry VMs of a workspace. It depends only on the contract
 // and the number of VMs, so that all VMs agree.
-func EntryVMCount(terms contract.RegionLimits, vms int) int {
+func VMCount(terms contract.RegionLimits, vms int) int {
 	k := vms
 	if needed := math.Ceil(terms.RequestsPerSecond / RequestsPerSecondPerVM); needed < float64(vms) {
 		k = int(needed)
--- a/entry/entry_test.go
+++ b/entry/entry_test.go
@@ -57,7 +57,7 @@
 	for i, t := range terms {
 		k := spread
 		if k == 0 {
-			k = EntryVMCount(t, len(list))
+			k = VMCount(t, len(list))
 		}
 		if k <= MinEntryVMs {
 			sums[Owner(fmt.Sprintf("ws-%d-%d", seed, i), names)] += t.RequestsPerSecond
@@ -141,7 +141,7 @@
 		{rate: 100, vms: 0, want: 0},
 	} {
 		terms := contract.RegionLimits{RequestsPerSecond: c.rate}
-		assert.Equal(t, EntryVMCount(terms, c.vms), c.want, "rate %v, %d VMs", c.rate, c.vms)
+		assert.Equal(t, VMCount(terms, c.vms), c.want, "rate %v, %d VMs", c.rate, c.vms)
 	}
 }
 
--- a/membership/bench_test.go
+++ b/membership/bench_test.go
@@ -80,7 +80,7 @@
 	}
 }
 
-func BenchmarkHold(b *testing.B) {
+func BenchmarkShareHistory(b *testing.B) {
 	for _, heartbeats := range []int{3, 10} {
 		for _, n := range []int{8, 32, 100} {
 			b.Run(fmt.Sprintf("heartbeats=%d/vms=%d", heartbeats, n), func(b *testing.B) {
--- a/peer/delay_estimator_test.go
+++ b/peer/delay_estimator_test.go
@@ -35,7 +35,7 @@
 	Held []string
 }
 
-func TestTransit(t *testing.T) {
+func TestDelayEstimator(t *testing.T) {
 	for _, row := range datatest.Read[[]delayRow](t, "testdata/transit.json") {
 		t.Run(row.Name, row.run)
 	}
--- a/roster/member_index_test.go
+++ b/roster/member_index_test.go
@@ -97,9 +97,9 @@
 	return out
 }
 
-// BenchmarkHeard processes a message with a whole fleet's rumors on a VM that has just
+// BenchmarkReceive processes a message with a whole fleet's rumors on a VM that has just
 // started.
-func BenchmarkHeard(b *testing.B) {
+func BenchmarkReceive(b *testing.B) {
 	rumors := fleetRumors()
 	now := time.Unix(1e9, 0)
 	for b.Loop() {
@@ -108,8 +108,8 @@
 	}
 }
 
-// BenchmarkPicture creates a Snapshot after a message that changes nothing.
-func BenchmarkPicture(b *testing.B) {
+// BenchmarkSnapshot creates a Snapshot after a message that changes nothing.
+func BenchmarkSnapshot(b *testing.B) {
 	rumors := fleetRumors()
 	now := time.Unix(1e9, 0)
 	r := newRoster(func() uint64 { return 0 })
--- a/serving/placement.go
+++ b/serving/placement.go
@@ -124,7 +124,7 @@
 // forwards it to the owner otherwise.
 func placeEntry(r PlaceRequest, view *membership.View, here Placement) Placement {
 	vms := view.OwnersByRank(r.Contract.Workspace)
-	entryCount := entry.EntryVMCount(here.Terms.Region, len(vms))
+	entryCount := entry.VMCount(here.Terms.Region, len(vms))
 	isSelf := func(vm fleet.VM) bool { return vm.ID == view.Self.ID }
 	if len(vms) == 0 || slices.ContainsFunc(vms[:min(entryCount, len(vms))], isSelf) {
 		return here
