--- a/serving/at_most_once_test.go
+++ b/serving/at_most_once_test.go
@@ -194,14 +194,14 @@
 	case "restart":
 		cl.processes[parseIndex(cl, words[1])] = cl.newIncarnation(parseIndex(cl, words[1]))
 	case "stop":
-		vm(1).desk.Stop()
+		vm(1).registry.Stop()
 	case "drain":
 		vm(1).server.Stop()
 	case "give_up":
-		cl.handOver = vm(1).desk.Relinquish(time.Now())
+		cl.handOver = vm(1).registry.Relinquish(time.Now())
 	case "adopt":
 		to := vm(1)
-		assert.Assert(cl.t, to.desk.TakeOver(cl.handOver.WithReceiver(holderOf(to)), time.Now()))
+		assert.Assert(cl.t, to.registry.TakeOver(cl.handOver.WithReceiver(holderOf(to)), time.Now()))
 	default:
 		cl.t.Fatalf("unknown step %q", words)
 	}
@@ -210,11 +210,11 @@
 // newIncarnation starts a new incarnation with the same id.
 func (cl *cluster) newIncarnation(i int) *process {
 	p := cl.newProcess(i)
-	p.desk = ticket.New(ticket.Options{
+	p.registry = ticket.New(ticket.Options{
 		VM:          p.vm.ID,
 		Incarnation: 2,
 	})
-	p.server.options.Tickets = p.desk
+	p.server.options.Tickets = p.registry
 	return p
 }
 
--- a/serving/cluster_test.go
+++ b/serving/cluster_test.go
@@ -45,11 +45,11 @@
 
 // process holds the serving components of one VM. A killed one sends nothing more.
 type process struct {
-	vm     fleet.VM
-	desk   *ticket.Registry
-	server *Server
-	ledger *limit.Ledger
-	killed atomic.Bool
+	vm       fleet.VM
+	registry *ticket.Registry
+	server   *Server
+	ledger   *limit.Ledger
+	killed   atomic.Bool
 }
 
 // cluster is a set of VMs in front of one scripted endpoint.
@@ -95,7 +95,7 @@
 	for i := range 3 {
 		cl.processes = append(cl.processes, cl.newProcess(i))
 	}
-	cl.ticket = cl.processes[0].desk.Issue(workspace, time.Now().Add(time.Minute))
+	cl.ticket = cl.processes[0].registry.Issue(workspace, time.Now().Add(time.Minute))
 	return cl
 }
 
@@ -110,7 +110,7 @@
 			Policy: limit.PolicyLocalBucket,
 		}),
 	}
-	p.desk = ticket.New(ticket.Options{
+	p.registry = ticket.New(ticket.Options{
 		VM:          p.vm.ID,
 		Incarnation: 1,
 	})
@@ -124,7 +124,7 @@
 		Forward:        cl.forward,
 		ChooseOverflow: func(*call.Call, Terms) (fleet.VM, bool) { return fleet.VM{}, false },
 		Ledger:         p.ledger,
-		Tickets:        p.desk,
+		Tickets:        p.registry,
 		Endpoint: endpoint.New(endpoint.Options{
 			Client: &http.Client{
 				Transport: &http.Transport{
--- a/ticket/entry.go
+++ b/ticket/entry.go
@@ -46,7 +46,7 @@
 
 // Entry tracks the run of one ticket's call.
 type Entry struct {
-	desk      *Registry
+	registry  *Registry
 	set       *ticketSet
 	text      string
 	sequence  uint64
@@ -59,7 +59,7 @@
 	done   chan struct{}
 	record Record
 	size   int
-	// index is the position in the desk's heap, -1 if not there.
+	// index is the position in the registry's heap, -1 if not there.
 	index int
 }
 
@@ -68,8 +68,8 @@
 // may be sent and the entry has ended: TicketExpired and Stopping are of class not
 // run, RecordLost is returned if the call was already sent.
 func (e *Entry) MarkSent(now time.Time) *result.Refusal {
-	e.desk.mu.Lock()
-	defer e.desk.mu.Unlock()
+	e.registry.mu.Lock()
+	defer e.registry.mu.Unlock()
 	if e.state != admitted {
 		return result.Refuse(result.RecordLost, "the ticket's call was already sent")
 	}
@@ -92,8 +92,8 @@
 // Any other outcome is kept until the ticket's expiry plus retention. A response over
 // the size limits is not kept; later requests get RecordLost.
 func (e *Entry) Finish(r Record) {
-	e.desk.mu.Lock()
-	defer e.desk.mu.Unlock()
+	e.registry.mu.Lock()
+	defer e.registry.mu.Unlock()
 	if e.state == finished || e.state == released {
 		return
 	}
@@ -108,8 +108,8 @@
 // becomes usable again if nothing was sent; otherwise the outcome is EndpointFailed
 // (unknown).
 func (e *Entry) Abandon() {
-	e.desk.mu.Lock()
-	defer e.desk.mu.Unlock()
+	e.registry.mu.Lock()
+	defer e.registry.mu.Unlock()
 	switch e.state {
 	case admitted:
 		e.release()
@@ -123,18 +123,18 @@
 // release makes the ticket usable again.
 func (e *Entry) release() {
 	e.state = released
-	e.desk.dropEntry(e)
+	e.registry.dropEntry(e)
 	e.signalDone()
 }
 
 func (e *Entry) storeRecord(r Record) {
 	e.state = finished
-	e.record = e.desk.boundRecord(r)
+	e.record = e.registry.boundRecord(r)
 	size := e.record.size()
 	e.size += size
-	e.desk.usedBytes += size
-	e.keepUntil = moment.Later(e.goodUntil, e.desk.retain(e.goodUntil))
-	heap.Push(&e.desk.finished, e)
+	e.registry.usedBytes += size
+	e.keepUntil = moment.Later(e.goodUntil, e.registry.retain(e.goodUntil))
+	heap.Push(&e.registry.finished, e)
 	e.signalDone()
 }
 
@@ -157,7 +157,7 @@
 
 // signalDone wakes the requests that wait for the run.
 func (e *Entry) signalDone() {
-	e.desk.runningCount--
+	e.registry.runningCount--
 	close(e.done)
 	e.done = nil
 }
--- a/ticket/handover.go
+++ b/ticket/handover.go
@@ -31,8 +31,8 @@
 	// ExpiresAt is when all tickets of the incarnation have expired and their records may be
 	// dropped.
 	ExpiresAt time.Time
-	// ExpiredUntil and Swept are ticket expiry times: tickets up to Closed cannot be used any
-	// more, and records of tickets up to Swept were dropped.
+	// ExpiredUntil and DroppedUntil are ticket expiry times: tickets up to ExpiredUntil cannot be
+	// used any more, and records of tickets up to DroppedUntil were dropped.
 	ExpiredUntil time.Time
 	DroppedUntil time.Time
 	Records      []TransferredRecord
@@ -83,7 +83,7 @@
 	return d.runningCount == 0
 }
 
-// Relinquish permanently gives up all rights: every later Sending is refused. A call that
+// Relinquish permanently gives up all rights: every later MarkSent is refused. A call that
 // was sent but has not finished is transferred as RecordLost. The receiver is left
 // unset. Further calls return the same rights.
 func (d *Registry) Relinquish(now time.Time) HandOver {
@@ -136,14 +136,14 @@
 		h.Record = Record{
 			Code: result.RecordLost,
 		}
-		h.KeepUntil = moment.Later(e.goodUntil, e.desk.retain(e.goodUntil))
+		h.KeepUntil = moment.Later(e.goodUntil, e.registry.retain(e.goodUntil))
 	}
 	return h
 }
 
 // TakeOver takes over the rights, or copies of records, from another incarnation. It is
 // atomic and idempotent. It returns false if the rights are addressed to another
-// incarnation, this desk is stopping or full, or a record is not genuine.
+// incarnation, this registry is stopping or full, or a record is not genuine.
 func (d *Registry) TakeOver(h HandOver, now time.Time) bool {
 	incoming, ok := d.parseTicketSets(h)
 	if !ok {
@@ -190,7 +190,7 @@
 			return nil, false
 		}
 		set.entries[t.Sequence] = &Entry{
-			desk:      d,
+			registry:  d,
 			set:       set,
 			text:      strings.Clone(record.Ticket),
 			sequence:  t.Sequence,
@@ -230,7 +230,7 @@
 }
 
 // isNew reports whether the set adds rights or records. Expired sets are not taken, as
-// this desk may have held and forgotten them.
+// this registry may have held and forgotten them.
 func (d *Registry) isNew(set *ticketSet, now time.Time) bool {
 	if !set.expiresAt.After(now) || !set.expiresAt.After(d.forgottenUntil) {
 		return false
--- a/ticket/keys_test.go
+++ b/ticket/keys_test.go
@@ -36,7 +36,7 @@
 	leases       map[int]time.Time
 	grantedUntil time.Time
 	used         map[int]bool
-	desk         *Registry
+	registry     *Registry
 }
 
 // keySend is a call that was admitted but not sent.
@@ -79,7 +79,7 @@
 		leases:       map[int]time.Time{},
 		grantedUntil: sim.now.Add(leaseTerm), // a restarted process does not know which lease it granted
 		used:         map[int]bool{},
-		desk: New(Options{
+		registry: New(Options{
 			VM:          fmt.Sprint(vm),
 			Incarnation: uint64(sim.now.UnixMilli()),
 		}),
@@ -171,12 +171,12 @@
 
 // requestWithTicket takes the ticket from the first refusal and uses it in later requests.
 func (sim *keySimulation) requestWithTicket(vm, key int) {
-	desk := sim.vms[vm].desk
+	registry := sim.vms[vm].registry
 	if sim.tickets[key] == "" {
-		sim.tickets[key] = desk.Issue("w", sim.now.Add(ticketLifetime))
+		sim.tickets[key] = registry.Issue("w", sim.now.Add(ticketLifetime))
 		return
 	}
-	s := desk.Begin(sim.tickets[key], "w", uint64(key), sim.now)
+	s := registry.Begin(sim.tickets[key], "w", uint64(key), sim.now)
 	if s.Kind == Run {
 		sim.sends = append(sim.sends, &keySend{
 			key:   key,
--- a/ticket/plan.go
+++ b/ticket/plan.go
@@ -21,7 +21,7 @@
 // Offer is the next hand-over to send.
 type Offer struct {
 	To IncarnationID
-	// Rights selects the full hand-over; otherwise HandOver.Copy is sent.
+	// Rights selects the full hand-over; otherwise HandOver.WithoutKeys is sent.
 	Rights bool
 }
 
@@ -32,7 +32,7 @@
 	// Successor is the only incarnation that may still be offered the rights; zero while any
 	// may be.
 	Successor IncarnationID
-	// Accepted is set once Bound has the rights.
+	// Accepted is set once Successor has the rights.
 	Accepted bool
 	// Declined are incarnations that certainly did not take the rights.
 	Declined []IncarnationID
--- a/ticket/desk.go
+++ b/ticket/registry.go
@@ -24,11 +24,11 @@
 // RecordOverhead is the size in bytes that a record counts in addition to its response.
 const RecordOverhead = 640
 
-// Options configures a Desk. A zero limit means its default.
+// Options configures a Registry. A zero limit means its default.
 type Options struct {
 	VM          string
 	Incarnation uint64
-	// MaxRecords limits the number of records, Bytes their total size, MaxAnswerBytes the size of
+	// MaxRecords limits the number of records, MaxBytes their total size, MaxAnswerBytes the size of
 	// one response.
 	MaxRecords     int
 	MaxBytes       int
@@ -67,7 +67,7 @@
 type ticketSet struct {
 	issuer IncarnationID
 	key    []byte
-	// executable is set if this desk may run the tickets; otherwise it only replays records.
+	// executable is set if this registry may run the tickets; otherwise it only replays records.
 	executable bool
 	// expiredUntil is the latest expiry of a ticket that was reported expired or whose
 	// record was dropped. Tickets that expire by then cannot be used, even if the clock is
@@ -81,7 +81,7 @@
 	entries   map[uint64]*Entry
 }
 
-// New creates a desk with a random key.
+// New creates a registry with a random key.
 func New(o Options) *Registry {
 	self := IncarnationID{
 		VM:          o.VM,
@@ -278,7 +278,7 @@
 
 func (d *Registry) newEntry(set *ticketSet, t Ticket, text string, callHash uint64) *Entry {
 	e := &Entry{
-		desk:      d,
+		registry:  d,
 		set:       set,
 		text:      strings.Clone(text),
 		sequence:  t.Sequence,
--- a/ticket/desk_test.go
+++ b/ticket/registry_test.go
@@ -21,14 +21,14 @@
 
 // scriptRunner runs the steps "command words -> want" of testdata/desk.json.
 type scriptRunner struct {
-	now       time.Time
-	desks     map[string]*Registry
-	tickets   map[string]string
-	entries   map[string]*Entry
-	handOvers map[*Registry]HandOver
+	now        time.Time
+	registries map[string]*Registry
+	tickets    map[string]string
+	entries    map[string]*Entry
+	handOvers  map[*Registry]HandOver
 }
 
-func TestDesk(t *testing.T) {
+func TestRegistry(t *testing.T) {
 	type scripted struct {
 		Name  string   `json:"name"`
 		Steps []string `json:"steps"`
@@ -36,11 +36,11 @@
 	for _, c := range readCase[[]scripted](t, "testdata/desk.json") {
 		t.Run(c.Name, func(t *testing.T) {
 			s := scriptRunner{
-				now:       epoch,
-				desks:     map[string]*Registry{},
-				tickets:   map[string]string{},
-				entries:   map[string]*Entry{},
-				handOvers: map[*Registry]HandOver{},
+				now:        epoch,
+				registries: map[string]*Registry{},
+				tickets:    map[string]string{},
+				entries:    map[string]*Entry{},
+				handOvers:  map[*Registry]HandOver{},
 			}
 			for _, vm := range []string{"a", "b", "c"} {
 				s.start(vm, 1)
@@ -54,7 +54,7 @@
 }
 
 func (s *scriptRunner) start(vm string, incarnation uint64) {
-	s.desks[vm] = New(Options{
+	s.registries[vm] = New(Options{
 		VM:             vm,
 		Incarnation:    incarnation,
 		MaxRecords:     2,
@@ -65,15 +65,15 @@
 
 func (s *scriptRunner) runStep(words []string) string {
 	name := words[1]
-	desk := s.desks[name]
+	registry := s.registries[name]
 	switch words[0] {
 	case "clock":
 		ms, _ := strconv.Atoi(name)
 		s.now = epoch.Add(time.Duration(ms) * time.Millisecond)
 	case "restart":
-		s.start(name, desk.self.Incarnation+1)
+		s.start(name, registry.self.Incarnation+1)
 	case "issue":
-		s.tickets[name] = s.desks[words[2]].Issue("w", s.now.Add(ticketLifetime))
+		s.tickets[name] = s.registries[words[2]].Issue("w", s.now.Add(ticketLifetime))
 		return "ok"
 	case "forge":
 		t, _ := Parse(s.tickets[words[2]])
@@ -90,15 +90,15 @@
 		s.entries[name].Abandon()
 		return "ok"
 	case "stop":
-		desk.Stop()
+		registry.Stop()
 	case "idle":
-		return fmt.Sprint(desk.Idle())
+		return fmt.Sprint(registry.Idle())
 	case "give_up":
-		s.handOvers[desk] = desk.Relinquish(s.now)
+		s.handOvers[registry] = registry.Relinquish(s.now)
 	case "adopt", "copy", "tampered":
-		return fmt.Sprint(s.adopt(words[0], desk, s.desks[words[2]]))
+		return fmt.Sprint(s.adopt(words[0], registry, s.registries[words[2]]))
 	case "adopted":
-		return s.adopted(desk)
+		return s.adopted(registry)
 	default:
 		return "no such command"
 	}
@@ -111,7 +111,7 @@
 		workspace = words[4]
 	}
 	hash, _ := strconv.ParseUint(words[3], 10, 64)
-	step := s.desks[words[2]].Begin(s.tickets[words[1]], workspace, hash, s.now)
+	step := s.registries[words[2]].Begin(s.tickets[words[1]], workspace, hash, s.now)
 	switch step.Kind {
 	case Run:
 		s.entries[words[1]] = step.Entry
@@ -155,8 +155,8 @@
 	}
 	h := s.handOvers[from].WithReceiver(to.self)
 	// Rights of a that are offered to c stay addressed to b, the first successor.
-	if to == s.desks["c"] && from == s.desks["a"] {
-		h.To = s.desks["b"].self
+	if to == s.registries["c"] && from == s.registries["a"] {
+		h.To = s.registries["b"].self
 	}
 	switch how {
 	case "copy":
@@ -235,12 +235,12 @@
 		var runs atomic.Int32
 		var group sync.WaitGroup
 		for i := range 8 {
-			desk := []*Registry{a, b}[i%2]
+			registry := []*Registry{a, b}[i%2]
 			group.Go(func() {
-				s := desk.Begin(text, "w", 1, epoch)
+				s := registry.Begin(text, "w", 1, epoch)
 				for s.Kind == Wait {
 					<-s.Done
-					s = desk.Begin(text, "w", 1, epoch)
+					s = registry.Begin(text, "w", 1, epoch)
 				}
 				if s.Kind == Run && s.Entry.MarkSent(epoch) == nil {
 					runs.Add(1)
--- a/ticket/schedule_test.go
+++ b/ticket/schedule_test.go
@@ -21,7 +21,7 @@
 	os.Exit(m.Run())
 }
 
-// schedule is one file of testdata/schedules. Variant injects a fault into the desk.
+// schedule is one file of testdata/schedules. Variant injects a fault into the registry.
 // The steps must cause Violation with the fault and no violation without it.
 type schedule struct {
 	Variant   string `json:"variant"`
--- a/ticket/simulation_test.go
+++ b/ticket/simulation_test.go
@@ -38,7 +38,7 @@
 // process is one incarnation of a VM.
 type process struct {
 	holder   IncarnationID
-	desk     *Registry
+	registry *Registry
 	killed   bool
 	handOver *HandOver
 	plan     HandOverPlan
@@ -107,7 +107,7 @@
 	}
 	sim.vms[vm] = &process{
 		holder: h,
-		desk: New(Options{
+		registry: New(Options{
 			VM:          h.VM,
 			Incarnation: h.Incarnation,
 			MaxRecords:  2,
@@ -131,7 +131,7 @@
 	p := sim.vms[vm]
 	switch s.Op {
 	case "issue":
-		sim.tickets = append(sim.tickets, p.desk.Issue("w", sim.clock(p).Add(ticketLifetime)))
+		sim.tickets = append(sim.tickets, p.registry.Issue("w", sim.clock(p).Add(ticketLifetime)))
 	case "ask":
 		if len(sim.tickets) > 0 {
 			ticket := s.Ticket % len(sim.tickets)
@@ -148,7 +148,7 @@
 	case "skew":
 		sim.skew[vm] = time.Duration(s.Arg) * time.Second
 	case "stop":
-		p.desk.Stop()
+		p.registry.Stop()
 	case "give_up":
 		sim.giveUp(p)
 	case "offer":
@@ -159,7 +159,7 @@
 			sim.adopt(sim.vms[m.vm], m.handOver)
 		}
 	case "beat":
-		p.desk.Takeovers(sim.clock(p))
+		p.registry.Takeovers(sim.clock(p))
 	default:
 		sim.violate("no such step: %s", s.Op)
 	}
@@ -172,7 +172,7 @@
 	t, _ := Parse(sim.tickets[ticket])
 	for i := range sim.vms {
 		other := sim.vms[(i+arg)%len(sim.vms)]
-		if set := other.desk.ticketSets[t.Holder()]; set != nil && arg > 0 {
+		if set := other.registry.ticketSets[t.Holder()]; set != nil && arg > 0 {
 			return other
 		}
 	}
@@ -189,10 +189,10 @@
 }
 
 func (sim *simulation) begin(a *attempt) {
-	desk := a.process.desk
+	registry := a.process.registry
 	now := sim.clock(a.process)
-	sim.injectFault(desk, now)
-	s := desk.Begin(sim.tickets[a.ticket], "w", uint64(a.ticket), now)
+	sim.injectFault(registry, now)
+	s := registry.Begin(sim.tickets[a.ticket], "w", uint64(a.ticket), now)
 	a.entry = s.Entry
 	a.done = s.Done
 	sim.eventCounts[fmt.Sprint("step ", s.Kind)]++
@@ -289,14 +289,14 @@
 
 func (sim *simulation) giveUp(p *process) {
 	early := sim.variant == "adopt_before_give_up" && p.handOver == nil
-	h := p.desk.Relinquish(sim.clock(p))
+	h := p.registry.Relinquish(sim.clock(p))
 	p.handOver = &h
 	for i := range h.Rights {
 		if sim.variant == "forget_in_flight" {
 			h.Rights[i].Records = nil
 		}
 		if early {
-			p.desk.ticketSets[h.Rights[i].Issuer].executable = true
+			p.registry.ticketSets[h.Rights[i].Issuer].executable = true
 		}
 	}
 }
@@ -353,12 +353,12 @@
 	if sim.variant == "address_by_vm" {
 		h.To = p.holder
 	}
-	ok := p.desk.TakeOver(h, sim.clock(p))
+	ok := p.registry.TakeOver(h, sim.clock(p))
 	sim.eventCounts[fmt.Sprint("adopt ", ok)]++
 	return ok
 }
 
-// injectFault applies the variant's fault to a desk.
+// injectFault applies the variant's fault to a registry.
 func (sim *simulation) injectFault(d *Registry, now time.Time) {
 	switch sim.variant {
 	case "evict_at_bound":
@@ -376,11 +376,11 @@
 	}
 }
 
-// checkCounters compares each desk's counters and limits with its entries.
+// checkCounters compares each registry's counters and limits with its entries.
 func (sim *simulation) checkCounters() {
 	for _, p := range sim.vms {
 		entries, used, running := 0, 0, 0
-		for _, set := range p.desk.ticketSets {
+		for _, set := range p.registry.ticketSets {
 			for _, e := range set.entries {
 				entries++
 				used += e.size
@@ -389,7 +389,7 @@
 				}
 			}
 		}
-		d := p.desk
+		d := p.registry
 		if entries != d.recordCount || used != d.usedBytes || running != d.runningCount || len(d.finished) != entries-running {
 			sim.violate("miscounted")
 		}
--- a/ticket/ticket.go
+++ b/ticket/ticket.go
@@ -1,6 +1,6 @@
 // Package ticket gives non-idempotent calls at-most-once execution without a store.
 // A ticket names the one incarnation of a VM that may send its call to an endpoint.
-// That incarnation's Desk keeps a bounded record of each used ticket in memory. The
+// That incarnation's Registry keeps a bounded record of each used ticket in memory. The
 // package uses no clock and no network.
 package ticket
 
