--- a/borrow/borrow.go
+++ b/borrow/borrow.go
@@ -53,7 +53,7 @@
 	Service         time.Duration
 	// Unavailable is set if the local region has no endpoint for the target.
 	Unavailable bool
-	// FirstTokenDeadline and WholeBy are the deadlines for the first token and for the whole answer;
+	// FirstTokenDeadline and Deadline are the deadlines for the first token and for the whole answer;
 	// zero means none.
 	FirstTokenDeadline time.Time
 	Deadline           time.Time
@@ -67,7 +67,7 @@
 
 // Decide returns the offer to send the call to. It returns false if the call stays in its
 // region, because the contract forbids sending it, the region meets its deadlines, no
-// valid offer does, or the Damper limits it.
+// valid offer does, or the RateLimiter limits it.
 func Decide(r Request, offers []Offer, now time.Time) (Offer, bool) {
 	if r.Policy == PolicyNever || !r.Allowed || len(r.Regions) == 0 {
 		return Offer{}, false
@@ -101,7 +101,7 @@
 	return best, found
 }
 
-// rateLimited reports whether the Damper applies to the call.
+// rateLimited reports whether the RateLimiter applies to the call.
 func (r Request) rateLimited() bool {
 	return r.Policy != PolicyAlways && r.RateLimiter != nil
 }
--- a/borrow/borrow_test.go
+++ b/borrow/borrow_test.go
@@ -83,9 +83,9 @@
 	return d
 }
 
-// TestDamperLimitsSentTokens checks that the tokens sent exceed the offer by at most one
+// TestRateLimiterLimitsSentTokens checks that the tokens sent exceed the offer by at most one
 // call, and that refusals keep them within an even share of it.
-func TestDamperLimitsSentTokens(t *testing.T) {
+func TestRateLimiterLimitsSentTokens(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const rate, size = 1000.0, 300.0
 		asking := rapid.IntRange(1, 8).Draw(t, "asking")
--- a/borrow/damper.go
+++ b/borrow/rate_limiter.go
@@ -38,7 +38,7 @@
 	refilledAt time.Time
 }
 
-// NewRateLimiter returns a Damper for offers shared by the given number of VMs.
+// NewRateLimiter returns a RateLimiter for offers shared by the given number of VMs.
 func NewRateLimiter(borrowers int) *RateLimiter {
 	return &RateLimiter{
 		borrowers: max(borrowers, 1),
--- a/borrow/simulation_test.go
+++ b/borrow/simulation_test.go
@@ -37,8 +37,8 @@
 	firstTokenTimeout = 1500 * time.Millisecond
 	answerTimeout     = 10 * time.Second
 	target            = "advice"
-	// policyUndamped is PolicySurplus without the Damper and the Gate.
-	policyUndamped = "undamped"
+	// policyUnlimited is PolicySurplus without the RateLimiter and the gate.
+	policyUnlimited = "undamped"
 )
 
 type scenario struct {
@@ -52,7 +52,7 @@
 func BenchmarkDecision(b *testing.B) {
 	for _, load := range []float64{0.5, 0.8} {
 		for _, lost := range []int{2, 4} {
-			for _, policy := range []string{borrow.PolicySurplus, policyUndamped, borrow.PolicyNever, borrow.PolicyAlways} {
+			for _, policy := range []string{borrow.PolicySurplus, policyUnlimited, borrow.PolicyNever, borrow.PolicyAlways} {
 				s := scenario{
 					policy:      policy,
 					load:        load,
@@ -82,13 +82,13 @@
 
 // vm is an entry VM with its own view of its region.
 type vm struct {
-	region  int
-	name    string
-	pool    *routing.Pool
-	state   *admission.State
-	damper  *borrow.RateLimiter
-	gate    borrow.Gate
-	pending map[uint64]*job
+	region      int
+	name        string
+	pool        *routing.Pool
+	state       *admission.State
+	rateLimiter *borrow.RateLimiter
+	gate        borrow.Gate
+	pending     map[uint64]*job
 	// localDemand holds samples of the region's demand without calls of other regions.
 	localDemand []float64
 	remoteCalls int
@@ -155,13 +155,13 @@
 func (r *simulation) startRegion(region int) {
 	for v := range vmsPerRegion {
 		m := &vm{
-			region:  region,
-			name:    fmt.Sprintf("r%d-v%d", region, v),
-			pool:    routing.New(routing.Options{Rand: r.random.Uint64}),
-			state:   admission.NewState(admission.Options{}),
-			damper:  borrow.NewRateLimiter((regions - 1) * vmsPerRegion),
-			pending: map[uint64]*job{},
-			offers:  map[string]borrow.Offer{},
+			region:      region,
+			name:        fmt.Sprintf("r%d-v%d", region, v),
+			pool:        routing.New(routing.Options{Rand: r.random.Uint64}),
+			state:       admission.NewState(admission.Options{}),
+			rateLimiter: borrow.NewRateLimiter((regions - 1) * vmsPerRegion),
+			pending:     map[uint64]*job{},
+			offers:      map[string]borrow.Offer{},
 		}
 		m.pool.SetVMs(vmsPerRegion)
 		r.vms = append(r.vms, m)
@@ -318,10 +318,10 @@
 		Deadline:           j.request().Deadline,
 		PromptTokens:       promptTokens,
 		MaxTokens:          maxTokens,
-		RateLimiter:        m.damper,
+		RateLimiter:        m.rateLimiter,
 		Random:             r.random.Uint64(),
 	}
-	if r.policy == policyUndamped {
+	if r.policy == policyUnlimited {
 		request.RateLimiter = nil
 	}
 	offer, ok := borrow.Decide(request, offers, r.clock.Now())
@@ -344,7 +344,7 @@
 			r.refusedRemotely[j.home]++
 		}
 		r.clock.After(oneWay, func() {
-			from.damper.Refused(offer, r.clock.Now())
+			from.rateLimiter.Refused(offer, r.clock.Now())
 			if j.attempts < maxAttempts {
 				r.sendToOtherRegion(from, j)
 			}
@@ -355,7 +355,7 @@
 		j.onRefused()
 		return
 	}
-	r.clock.After(oneWay, func() { from.damper.Served(offer, r.clock.Now()) })
+	r.clock.After(oneWay, func() { from.rateLimiter.Served(offer, r.clock.Now()) })
 	m.remoteCalls++
 	refused := j.onRefused
 	j.release = func() { m.remoteCalls-- }
--- a/borrow/surplus.go
+++ b/borrow/surplus.go
@@ -71,7 +71,7 @@
 }
 
 // Admit reports whether a call of another region with the given number of tokens is
-// admitted. It needs the current State, and refuses calls while local calls are queued,
+// admitted. It needs the current RegionCapacity, and refuses calls while local calls are queued,
 // too few slots are free or the surplus is used up.
 func (g *Gate) Admit(s RegionCapacity, tokens float64, now time.Time) bool {
 	g.mu.Lock()
