--- a/call/call.go
+++ b/call/call.go
@@ -72,7 +72,7 @@
 	Priority   Priority
 	// Ticket is the caller's ticket for a non-idempotent call.
 	Ticket string
-	// FirstTokenDeadline and WholeBy are the deadlines of the first token and the complete response.
+	// FirstTokenDeadline and Deadline are the deadlines of the first token and the complete response.
 	FirstTokenDeadline time.Time
 	Deadline           time.Time
 	// PromptTokens is an estimate; MaxTokens limits the generated tokens.
--- a/call/routed.go
+++ b/call/routed.go
@@ -41,7 +41,7 @@
 	PromptParts []PromptPart
 	// ArrivedAt is when the call arrived at this VM.
 	ArrivedAt time.Time
-	// CallerDeadline is when the caller stops waiting; WholeBy may be earlier.
+	// CallerDeadline is when the caller stops waiting; Deadline may be earlier.
 	CallerDeadline time.Time
 	// ResumeAfter is the id of the last stream event that the caller received.
 	ResumeAfter string
@@ -63,22 +63,22 @@
 // QueueLevels is the number of levels in an endpoint's queue.
 const QueueLevels = 10
 
-// lateTurns is the number of levels for late calls, and the first of them.
-const lateTurns = QueueLevels / 2
+// lateLevels is the number of levels for late calls, and the first of them.
+const lateLevels = QueueLevels / 2
 
 // QueueLevel returns the call's level in an endpoint's queue, 0 first: ordered by rank, with
 // late calls after all others.
 func (r *Routed) QueueLevel() int {
-	turn := min(max(r.Rank, 0), lateTurns-1)
+	level := min(max(r.Rank, 0), lateLevels-1)
 	if r.MissesObjective {
-		turn += lateTurns
+		level += lateLevels
 	}
-	return turn
+	return level
 }
 
 // IsLateLevel reports whether a queue level is for late calls.
-func IsLateLevel(turn int) bool {
-	return turn >= lateTurns
+func IsLateLevel(level int) bool {
+	return level >= lateLevels
 }
 
 // Allows reports whether a region may serve the call.
--- a/placement/late.go
+++ b/placement/miss_tracker.go
@@ -38,7 +38,7 @@
 	updatedAt time.Time
 }
 
-// NewMissTracker creates a Late without samples: all late calls are expected to be served.
+// NewMissTracker creates a MissTracker without samples: all late calls are expected to be served.
 func NewMissTracker() *MissTracker {
 	return &MissTracker{
 		rates: make(map[CallGroup]missRate),
--- a/placement/overload_test.go
+++ b/placement/overload_test.go
@@ -21,8 +21,8 @@
 	callerTimeout       = 2400 * time.Millisecond
 	roundTrip           = 110 * time.Millisecond
 	// Regions report their load every loadReportInterval, measured for a prompt of
-	// loadReportPromptTokens. The VMs of a region share their backlogs of unread
-	// prompts every backlogShareInterval.
+	// loadReportPromptTokens. The VMs of a region share their prefill queues every
+	// backlogShareInterval.
 	loadReportInterval     = time.Second
 	loadReportPromptTokens = 1000
 	backlogShareInterval   = 40 * time.Millisecond
@@ -178,8 +178,8 @@
 func (s *overloadSim) prefill(pool *routing.Pool, choice routing.Choice, request routing.Request, deadline time.Time) {
 	engine := s.engines[choice.Endpoint.ID]
 	prompt := &enginetest.Prompt{
-		Tokens: float64(request.PromptTokens),
-		Turn:   request.QueueLevel,
+		Tokens:     float64(request.PromptTokens),
+		QueueLevel: request.QueueLevel,
 	}
 	prompt.OnDone = func() {
 		now := s.clock.Now()
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -43,8 +43,8 @@
 // Load is the load of one service in one region, as that region reports it.
 type Load struct {
 	Region string
-	// Endpoints is the number of endpoints that accept calls; First is the expected
-	// time to the first token there, and Whole to the end of the answer.
+	// Endpoints is the number of endpoints that accept calls; TTFT is the expected
+	// time to the first token there, and TotalTime to the end of the answer.
 	Endpoints int
 	TTFT      time.Duration
 	TotalTime time.Duration
--- a/placement/sent.go
+++ b/placement/sent_tokens.go
@@ -34,7 +34,7 @@
 	next   int
 }
 
-// NewSentTokens creates an empty Sent.
+// NewSentTokens creates an empty SentTokens.
 func NewSentTokens() *SentTokens {
 	return &SentTokens{
 		byDestination: make(map[destination]*sentHistory),
--- a/routing/choose.go
+++ b/routing/choose.go
@@ -68,7 +68,7 @@
 	TTFT time.Duration
 	// TokenTime is the time per generated token; zero if it is not known yet.
 	TokenTime time.Duration
-	// AnswerTokens is the expected number of generated tokens, Long its 90th percentile.
+	// AnswerTokens is the expected number of generated tokens, AnswerTokensP90 its 90th percentile.
 	AnswerTokens    float64
 	AnswerTokensP90 float64
 	// PrefillTokens is the number of prompt tokens to prefill.
@@ -110,7 +110,7 @@
 func (p *Pool) assign(c candidate, r Request, now time.Time) Choice {
 	choice := p.newChoice(c, r, now)
 	c.endpoint.callStarted(now)
-	choice.promptID = c.endpoint.prefillQueue.add(c.prefillTokens, r.clampedTurn(), now)
+	choice.promptID = c.endpoint.prefillQueue.add(c.prefillTokens, r.clampedQueueLevel(), now)
 	p.queueChanges++
 	if !r.Tentative {
 		p.recordHolder(c.endpoint, r.Prefixes, now)
@@ -129,7 +129,7 @@
 		if r.Priority == call.PriorityUrgent && len(p.eligible) > 0 {
 			due = due.Add(e.backoff)
 		}
-		if !e.probing && !now.Before(due) && !e.draining() && !e.closed(now) && !r.excludes(e) {
+		if !e.probing && !now.Before(due) && !e.draining() && !e.paused(now) && !r.excludes(e) {
 			return e
 		}
 	}
@@ -153,7 +153,7 @@
 	for range p.eligible {
 		p.nextRoundRobin++
 		e := p.eligible[p.nextRoundRobin%len(p.eligible)]
-		if !e.closed(now) && !r.excludes(e) {
+		if !e.paused(now) && !r.excludes(e) {
 			return p.evaluate(e, r, now), true
 		}
 	}
@@ -165,7 +165,7 @@
 	offset := p.randomIndex()
 	for i := range p.eligible {
 		e := p.eligible[(offset+i)%len(p.eligible)]
-		if !e.closed(now) && !r.excludes(e) && (best == nil || e.inFlight < best.inFlight) {
+		if !e.paused(now) && !r.excludes(e) && (best == nil || e.inFlight < best.inFlight) {
 			best = e
 		}
 	}
@@ -208,7 +208,7 @@
 
 // consider replaces best by e if e has a lower score.
 func (p *Pool) consider(best *candidate, e *endpoint, r Request, now time.Time) {
-	if e == nil || e.eligibleIndex < 0 || e.closed(now) || r.excludes(e) {
+	if e == nil || e.eligibleIndex < 0 || e.paused(now) || r.excludes(e) {
 		return
 	}
 	c := p.evaluate(e, r, now)
@@ -226,8 +226,8 @@
 	slots := e.slots()
 	occupied := e.occupancy(p.estimates.loadShare, now)
 	slotTime := e.slotTime.valueOr(p.estimates.slotTime.valueOr(defaultSlotSeconds))
-	// Calls of a later rank do not delay this one in the queue.
-	behind := float64(e.prefillQueue.callsBehind(r.clampedTurn(), now))
+	// Calls of a later queue level do not delay this one in the queue.
+	behind := float64(e.prefillQueue.callsBehind(r.clampedQueueLevel(), now))
 	queued := max(max(occupied+1-slots, e.reportedQueue(now))-behind, 0)
 	wait := queued * slotTime / slots
 	isPrimary := e == r.ringPrimary
@@ -237,7 +237,7 @@
 	if len(r.Prefixes) > 0 {
 		tokens = float64(max(r.PromptTokens-cached, 0)) + fetchCostFactor*float64(fetched)
 	}
-	ahead := e.tokensAhead(r.clampedTurn(), p.estimates.loadShare, p.silentPeerFraction(now), rate, now)
+	ahead := e.tokensAhead(r.clampedQueueLevel(), p.estimates.loadShare, p.silentPeerFraction(now), rate, now)
 	prefill := p.estimates.baseTTFT.value + tokens/rate
 	predicted := wait + ahead/rate + prefill
 	lateness := max(e.currentBias(now)-latenessTolerance*p.estimates.meanLateness.valueOr(0), e.stallSeconds(slotTime, now), 0)
@@ -317,7 +317,7 @@
 		occupancy:     c.occupancy,
 		hasPrefix:     r.PrefixHash != 0,
 		maxTokens:     r.MaxTokens,
-		yields:        call.IsLateLevel(r.clampedTurn()),
+		yields:        call.IsLateLevel(r.clampedQueueLevel()),
 	}
 }
 
@@ -357,8 +357,8 @@
 // estimate.
 const longAnswerFactor = 1.9
 
-// clampedTurn returns the call's rank, limited to the valid ones.
-func (r Request) clampedTurn() int {
+// clampedQueueLevel returns the call's queue level, limited to the valid ones.
+func (r Request) clampedQueueLevel() int {
 	return min(max(r.QueueLevel, 0), call.QueueLevels-1)
 }
 
--- a/routing/endpoint.go
+++ b/routing/endpoint.go
@@ -69,8 +69,8 @@
 	// whether the endpoint restarted.
 	suspectedAt time.Time
 
-	// closedUntil is when the endpoint accepts requests from this VM again.
-	closedUntil time.Time
+	// pausedUntil is when the endpoint accepts requests from this VM again.
+	pausedUntil time.Time
 
 	consecutiveFailures int
 	backoff             time.Duration
@@ -105,9 +105,9 @@
 	return !e.retryAt.IsZero()
 }
 
-// closed reports whether the endpoint accepts no requests from this VM now.
-func (e *endpoint) closed(now time.Time) bool {
-	return now.Before(e.closedUntil)
+// paused reports whether the endpoint accepts no requests from this VM now.
+func (e *endpoint) paused(now time.Time) bool {
+	return now.Before(e.pausedUntil)
 }
 
 // slots returns the batch slots; the list takes precedence over reports.
@@ -214,8 +214,8 @@
 // tokensAhead estimates the prompt tokens that the endpoint prefills before a call that
 // is sent now. For VMs that do not report their queues it extrapolates from this VM's
 // prompts.
-func (e *endpoint) tokensAhead(turn int, share, silentPeers, rate float64, now time.Time) float64 {
-	known, own := e.prefillQueue.tokensAhead(turn, rate, now)
+func (e *endpoint) tokensAhead(queueLevel int, share, silentPeers, rate float64, now time.Time) float64 {
+	known, own := e.prefillQueue.tokensAhead(queueLevel, rate, now)
 	return known + extrapolationWeight(share)*own*min(1/share-1, maxExtrapolationRatio)*silentPeers
 }
 
--- a/routing/enginetest/enginetest.go
+++ b/routing/enginetest/enginetest.go
@@ -80,7 +80,7 @@
 	PromptTokens int
 	Tokens       int
 	Priority     call.Priority
-	// OnFirstToken and End are called at the first token and after the last one.
+	// OnFirstToken and OnEnd are called at the first token and after the last one.
 	OnFirstToken func()
 	OnEnd        func(u call.Usage)
 }
--- a/routing/enginetest/reader.go
+++ b/routing/enginetest/reader.go
@@ -6,7 +6,7 @@
 )
 
 // PrefillServer simulates an engine's prefill queue: prompts are processed one at a time without
-// preemption, ordered by rank and then by arrival.
+// preemption, ordered by queue level and then by arrival.
 type PrefillServer struct {
 	Clock *Clock
 	// PerSecond is the prefill rate in tokens per second.
@@ -16,10 +16,10 @@
 	busy    bool
 }
 
-// Prompt is the part of a call's prompt that a Reader has to prefill.
+// Prompt is the part of a call's prompt that a PrefillServer has to prefill.
 type Prompt struct {
-	Tokens float64
-	Turn   int
+	Tokens     float64
+	QueueLevel int
 	// OnDone is called when the prefill is done.
 	OnDone func()
 }
@@ -44,7 +44,7 @@
 	if r.busy || len(r.waiting) == 0 {
 		return
 	}
-	first := slices.MinFunc(r.waiting, func(a, b *Prompt) int { return a.Turn - b.Turn })
+	first := slices.MinFunc(r.waiting, func(a, b *Prompt) int { return a.QueueLevel - b.QueueLevel })
 	r.Drop(first)
 	r.busy = true
 	r.Clock.After(time.Duration(first.Tokens/r.PerSecond*float64(time.Second)), func() {
--- a/routing/late_endpoint_test.go
+++ b/routing/late_endpoint_test.go
@@ -33,11 +33,11 @@
 	}
 }
 
-func avoidedFor(t *testing.T, delay time.Duration, turn int) time.Duration {
+func avoidedFor(t *testing.T, delay time.Duration, queueLevel int) time.Duration {
 	now := time.Unix(1e9, 0)
 	p := New(Options{})
 	p.SetEndpoints(enginesInRegion("near", "a", "b"), now)
-	choice, ok := p.Choose(Request{Exclude: [2]string{"b"}, QueueLevel: turn}, now)
+	choice, ok := p.Choose(Request{Exclude: [2]string{"b"}, QueueLevel: queueLevel}, now)
 	assert.Assert(t, ok)
 	now = now.Add(delay)
 	p.FirstToken(choice, now)
--- a/routing/closed_test.go
+++ b/routing/paused_test.go
@@ -9,8 +9,8 @@
 	"github.com/fuchsianotch/fuchsianotch/fleet"
 )
 
-// No policy may choose a closed endpoint, which must reopen when its time has passed.
-func TestClosedEndpoint(t *testing.T) {
+// No policy may choose a paused endpoint, which must reopen when its time has passed.
+func TestPausedEndpoint(t *testing.T) {
 	now := time.Unix(1e9, 0)
 	for _, policy := range []string{PolicyAffinity, PolicyRoundRobin, PolicyLeastInFlight} {
 		p := New(Options{
--- a/routing/prefill_queue.go
+++ b/routing/prefill_queue.go
@@ -19,10 +19,10 @@
 
 // queuedPrompt is the part of a call's prompt that an engine has to prefill.
 type queuedPrompt struct {
-	id     uint64
-	tokens float64
-	turn   int
-	sentAt time.Time
+	id         uint64
+	tokens     float64
+	queueLevel int
+	sentAt     time.Time
 }
 
 // peerQueue is the prefill queue of another VM's calls, as reported by that VM.
@@ -42,13 +42,13 @@
 }
 
 // add appends a call's prompt and returns its ID.
-func (q *prefillQueue) add(tokens float64, turn int, now time.Time) uint64 {
+func (q *prefillQueue) add(tokens float64, queueLevel int, now time.Time) uint64 {
 	q.lastID++
 	q.prompts = append(q.prompts, queuedPrompt{
-		id:     q.lastID,
-		tokens: tokens,
-		turn:   turn,
-		sentAt: now,
+		id:         q.lastID,
+		tokens:     tokens,
+		queueLevel: queueLevel,
+		sentAt:     now,
 	})
 	return q.lastID
 }
@@ -80,12 +80,12 @@
 	q.peers = slices.DeleteFunc(q.peers, func(o peerQueue) bool { return o.vm == vm })
 }
 
-// tokensAhead returns how many tokens the engine prefills before a call of a rank that is
+// tokensAhead returns how many tokens the engine prefills before a call of a queue level that is
 // sent now, at rate tokens per second; own counts only this VM's calls. The earliest
-// prompt is taken to be in progress, the others in order of rank.
-func (q *prefillQueue) tokensAhead(turn int, rate float64, now time.Time) (all, own float64) {
+// prompt is taken to be in progress, the others in order of queue level.
+func (q *prefillQueue) tokensAhead(queueLevel int, rate float64, now time.Time) (all, own float64) {
 	sum := queueSum{
-		turn:          turn,
+		queueLevel:    queueLevel,
 		headChangedAt: q.headChangedAt,
 	}
 	for i := range q.prompts {
@@ -107,22 +107,22 @@
 	return sum.remaining(rate, now), own
 }
 
-// callsBehind returns the number of calls of a later rank that have no first token yet,
+// callsBehind returns the number of calls of a later queue level that have no first token yet,
 // including one whose prefill is in progress.
-func (q *prefillQueue) callsBehind(turn int, now time.Time) int {
-	n := countBehind(q.prompts, turn)
+func (q *prefillQueue) callsBehind(queueLevel int, now time.Time) int {
+	n := countBehind(q.prompts, queueLevel)
 	for i := range q.peers {
 		if q.peers[i].fresh(now) {
-			n += countBehind(q.peers[i].prompts, turn)
+			n += countBehind(q.peers[i].prompts, queueLevel)
 		}
 	}
 	return n
 }
 
-func countBehind(prompts []queuedPrompt, turn int) int {
+func countBehind(prompts []queuedPrompt, queueLevel int) int {
 	n := 0
 	for i := range prompts {
-		if prompts[i].turn > turn {
+		if prompts[i].queueLevel > queueLevel {
 			n++
 		}
 	}
@@ -131,7 +131,7 @@
 
 // queueSum adds up the prompts before a call; the earliest prompt is in progress.
 type queueSum struct {
-	turn          int
+	queueLevel    int
 	headChangedAt time.Time
 	tokens        float64
 	head          *queuedPrompt
@@ -141,19 +141,19 @@
 	if s.head == nil || p.sentAt.Before(s.head.sentAt) {
 		s.head = p
 	}
-	if p.turn <= s.turn {
+	if p.queueLevel <= s.queueLevel {
 		s.tokens += p.tokens
 	}
 }
 
 // remaining returns the tokens left to prefill. The prompt in progress counts whatever
-// its rank, less what was prefilled of it.
+// its queue level, less what was prefilled of it.
 func (s *queueSum) remaining(rate float64, now time.Time) float64 {
 	if s.head == nil {
 		return 0
 	}
 	tokens := s.tokens
-	if s.head.turn > s.turn {
+	if s.head.queueLevel > s.queueLevel {
 		tokens += s.head.tokens
 	}
 	since := s.headChangedAt
--- a/routing/prefill_queue_test.go
+++ b/routing/prefill_queue_test.go
@@ -27,7 +27,7 @@
 	Turn   int
 	Want   float64
 	Own    float64
-	// Behind is the number of queued calls of a later rank.
+	// Behind is the number of queued calls of a later queue level.
 	Behind int
 }
 
@@ -54,9 +54,9 @@
 			others[p.VM] = &peerQueue{vm: p.VM, reportedAt: ago(row.ToldMS)}
 		}
 		others[p.VM].prompts = append(others[p.VM].prompts, queuedPrompt{
-			tokens: p.Tokens,
-			turn:   p.Turn,
-			sentAt: ago(p.AgeMS),
+			tokens:     p.Tokens,
+			queueLevel: p.Turn,
+			sentAt:     ago(p.AgeMS),
 		})
 	}
 	for _, o := range others {
@@ -73,11 +73,11 @@
 	now := time.Unix(1e9, 0)
 	p := New(Options{})
 	p.SetEndpoints(enginesInRegion("near", "a"), now)
-	takeUnread := func(vm string, at time.Time) {
+	setPeerQueue := func(vm string, at time.Time) {
 		p.SetPeerQueues(vm, []PrefillQueue{{Endpoint: "a", Prompts: []QueuedPrompt{{Tokens: 100, SentAt: at}}}}, at, at)
 	}
 	for i := range 50 {
-		takeUnread(fmt.Sprintf("vm-%d", i), now)
+		setPeerQueue(fmt.Sprintf("vm-%d", i), now)
 		now = now.Add(peerTTL / 2)
 	}
 	assert.Equal(t, len(p.peersHeardAt), 3)
--- a/routing/unread.go
+++ b/routing/prefill_queues.go
@@ -17,7 +17,7 @@
 // QueuedPrompt is the part of a call's prompt that an endpoint has to prefill.
 type QueuedPrompt struct {
 	Tokens int
-	// Turn is the call's rank in the endpoint's queue.
+	// Turn is the call's level in the endpoint's queue.
 	Turn   int
 	SentAt time.Time
 }
@@ -41,7 +41,7 @@
 		for _, q := range e.prefillQueue.prompts {
 			u.Prompts = append(u.Prompts, QueuedPrompt{
 				Tokens: int(q.tokens),
-				Turn:   q.turn,
+				Turn:   q.queueLevel,
 				SentAt: q.sentAt,
 			})
 		}
@@ -88,9 +88,9 @@
 	}
 	for _, q := range u.Prompts {
 		o.prompts = append(o.prompts, queuedPrompt{
-			tokens: float64(q.Tokens),
-			turn:   min(max(q.Turn, 0), call.QueueLevels-1),
-			sentAt: q.SentAt,
+			tokens:     float64(q.Tokens),
+			queueLevel: min(max(q.Turn, 0), call.QueueLevels-1),
+			sentAt:     q.SentAt,
 		})
 	}
 	return o
--- a/routing/routing.go
+++ b/routing/routing.go
@@ -36,7 +36,7 @@
 	// Affinity is the extra score weight of prefill work, which favours endpoints that
 	// have the prompt prefix cached.
 	Affinity bool
-	// CacheFetch are prefix cache transfers between engines, FarFetches only those from
+	// CacheFetch are prefix cache transfers between engines, RemoteCacheFetch only those from
 	// other regions.
 	CacheFetch       bool
 	RemoteCacheFetch bool
@@ -79,8 +79,8 @@
 	// estimate.
 	AnswerTokens int
 	Priority     call.Priority
-	// QueueLevel is the call's rank in an endpoint's queue; 0 is served first. Values of
-	// call.Turns or more count as the last rank.
+	// QueueLevel is the call's level in an endpoint's queue; 0 is served first. Values of
+	// call.QueueLevels or more count as the last level.
 	QueueLevel int
 	// Exclude holds the IDs of endpoints that were already tried; empty strings are
 	// ignored.
@@ -104,7 +104,7 @@
 type Choice struct {
 	Endpoint fleet.Endpoint
 	At       time.Time
-	// QueueTime is the expected time in the endpoint's queue, First the expected time to the
+	// QueueTime is the expected time in the endpoint's queue, TTFT the expected time to the
 	// first token, and ServiceTime the expected time from the start of the prefill to the end
 	// of the answer.
 	QueueTime   time.Duration
@@ -123,7 +123,7 @@
 	Probe bool
 
 	state *endpoint
-	// predictedTTFT is First in seconds without the endpoint's latency correction.
+	// predictedTTFT is TTFT in seconds without the endpoint's latency correction.
 	predictedTTFT float64
 	// tokensAhead is the expected number of tokens in the endpoint's prefill queue before
 	// this call, promptID the call's entry in that queue.
--- a/routing/supply.go
+++ b/routing/supply.go
@@ -10,15 +10,15 @@
 	// Endpoints is the number of eligible endpoints.
 	Endpoints int
 	// Slots is the number of their batch slots, Free the estimated number of empty ones,
-	// and Own the number of this VM's calls in flight there.
+	// and OwnInFlight the number of this VM's calls in flight there.
 	Slots       float64
 	Free        float64
 	OwnInFlight int
-	// SlotTime is the time a call occupies a slot, First the time to its first token with a
+	// SlotTime is the time a call occupies a slot, BaseTTFT the time to its first token with a
 	// cached prefix and no queue.
 	SlotTime time.Duration
 	BaseTTFT time.Duration
-	// DecodeRate is the decode rate of one call, PrefillPerSecond the rate at which
+	// DecodeRate is the decode rate of one call, PrefillRate the rate at which
 	// prompt tokens are prefilled.
 	DecodeRate  float64
 	PrefillRate float64
