--- a/admission/admission.go
+++ b/admission/admission.go
@@ -48,7 +48,7 @@
 // Request is a call that asks for a slot.
 type Request struct {
 	Priority call.Priority
-	// FirstTokenDeadline is the deadline of the first token and WholeBy that of the whole answer;
+	// FirstTokenDeadline is the deadline of the first token and Deadline that of the whole answer;
 	// zero means none.
 	FirstTokenDeadline time.Time
 	Deadline           time.Time
@@ -58,7 +58,7 @@
 	Homes        []string
 	PromptTokens int
 	MaxTokens    int
-	// QueueLevel is the rank in an endpoint's queue; 0 is served first.
+	// QueueLevel is the level in an endpoint's queue; 0 is served first.
 	QueueLevel int
 	// Exclude lists the ids of endpoints that were already tried.
 	Exclude [2]string
--- a/admission/call_queue.go
+++ b/admission/call_queue.go
@@ -9,7 +9,7 @@
 type queuedCall struct {
 	id      uint64
 	request Request
-	// latestStart is the latest time to start, as computed on arrival.
+	// latestStart is the latest time to start, computed at arrivedAt.
 	arrivedAt   time.Time
 	latestStart time.Time
 }
--- a/admission/state.go
+++ b/admission/state.go
@@ -45,7 +45,7 @@
 type Action struct {
 	Kind ActionKind
 	ID   uint64
-	// Code and ComeBackAt are set on ActionRefuse.
+	// Code and RetryAt are set on ActionRefuse.
 	Code    result.Code
 	RetryAt time.Time
 }
--- a/metering/metering.go
+++ b/metering/metering.go
@@ -48,7 +48,7 @@
 }
 
 // Tolerance is how far usage may exceed a limit, since no VM knows the current usage of
-// all others. In each window the excess may be Part of what the limit allows, plus Amount
+// all others. In each window the excess may be Fraction of what the limit allows, plus Amount
 // in the limit's unit.
 type Tolerance struct {
 	Window   time.Duration
--- a/metering/note.go
+++ b/metering/note.go
@@ -46,7 +46,7 @@
 	PerSecond float64
 }
 
-// Answer is the coordinator's answer to a Use.
+// Answer is the coordinator's answer to a Usage.
 type Answer struct {
 	// IsCoordinator is false if the receiver does not coordinate the limit.
 	IsCoordinator bool
@@ -73,8 +73,8 @@
 	Note Note
 }
 
-// DueNotes returns the notes that are due. Their usage counts as reported; Failed restores it
-// if a note could not be delivered.
+// DueNotes returns the notes that are due. Their usage counts as reported; HandleFailure
+// restores it if a note could not be delivered.
 func (m *Meter) DueNotes(table *route.Table, f Fleet, now time.Time) []Outgoing {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/quarantine/quarantine_test.go
+++ b/quarantine/quarantine_test.go
@@ -272,9 +272,9 @@
 	assert.Equal(t, sim.held("b1"), "")
 }
 
-// BenchmarkDue measures Due in a fleet of 300 VMs that have all received the verdicts
+// BenchmarkDueNotes measures DueNotes in a fleet of 300 VMs that have all received the verdicts
 // on two quarantined calls.
-func BenchmarkDue(b *testing.B) {
+func BenchmarkDueNotes(b *testing.B) {
 	var names []string
 	for i := range 300 {
 		names = append(names, fmt.Sprintf("%c%d", 'a'+i%3, i))
--- a/retry/window.go
+++ b/retry/window.go
@@ -77,7 +77,7 @@
 	return true
 }
 
-// currentBucket returns the bucket of the current time and clears what it held of an
+// bucket returns the bucket of the current time and clears what it held of an
 // earlier window.
 func (w *Window) bucket() *windowBucket {
 	length := w.options.Length / windowBuckets
--- a/serving/serving.go
+++ b/serving/serving.go
@@ -157,7 +157,7 @@
 	s.stopping.Store(true)
 }
 
-// Serve executes a call at the placement chosen by Place and records its outcome.
+// Serve executes a call at the placement that place chooses and records its outcome.
 func (s *Server) Serve(ctx context.Context, c *call.Call, place Placement, sink call.Sink) call.Outcome {
 	s.addInFlight(1)
 	defer s.addInFlight(-1)
