--- a/metrics/metrics_test.go
+++ b/metrics/metrics_test.go
@@ -59,7 +59,7 @@
 	m.SetQuarantinedCalls(4)
 	m.CountLimitRejection("hule930")
 	m.CountLimitRequest(true)
-	m.CountRateLimitedSend(throttle.WayRepeat)
+	m.CountRateLimitedSend(throttle.KindRepeat)
 	m.CountPermitRequest("granted")
 	m.CountLimitRequest(false)
 	m.SetPublishedAge(time.Second)
--- a/serving/throttle.go
+++ b/serving/throttle.go
@@ -92,12 +92,12 @@
 func (p *progress) attemptKind(c *call.Call) throttle.RequestKind {
 	switch {
 	case p.delivered > 0 || (c.Routed != nil && c.Routed.ResumeAfter != ""):
-		return throttle.WayResumed
+		return throttle.KindResumed
 	case p.history.Attempts > 0 || (c.Routed != nil && c.Routed.Retry):
-		return throttle.WayRepeat
+		return throttle.KindRepeat
 	case c.Forwarded:
-		return throttle.WayForwarded
+		return throttle.KindForwarded
 	default:
-		return throttle.WayCall
+		return throttle.KindCall
 	}
 }
--- a/site/cold.go
+++ b/site/cold.go
@@ -26,7 +26,7 @@
 	if !ok || service.ColdFor <= 0 || service.HealthPath == "" {
 		return
 	}
-	if !p.node.acquireProbePermit(ctx, e, throttle.WayHealth) {
+	if !p.node.acquireProbePermit(ctx, e, throttle.KindHealth) {
 		return
 	}
 	timeoutCtx, cancel := context.WithTimeout(ctx, healthTimeout)
--- a/site/limits.go
+++ b/site/limits.go
@@ -60,24 +60,24 @@
 	return verdict.Refusal
 }
 
-// requestCharge asks the VM that keeps a limit to charge a call. Without an answer the
+// requestCharge asks the coordinator of a limit to charge a call. Without an answer the
 // charge is decided locally.
-func (n *Node) requestCharge(ctx context.Context, w *route.Workspace, keeper fleet.VM, cost float64) metering.Verdict {
+func (n *Node) requestCharge(ctx context.Context, w *route.Workspace, coordinator fleet.VM, cost float64) metering.Verdict {
 	timeoutCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), limitRequestTimeout)
 	defer cancel()
-	reply, err := n.peers.Limits(timeoutCtx, keeper, n.identity(), metering.Note{
+	reply, err := n.peers.Limits(timeoutCtx, coordinator, n.identity(), metering.Note{
 		Usage: []metering.Usage{{
 			Workspace: w.Name,
 			Requested: cost,
 		}},
 	})
 	if err != nil {
-		n.log.Debug("limit_not_asked", "peer", keeper.ID, "reason", err.Error())
+		n.log.Debug("limit_not_asked", "peer", coordinator.ID, "reason", err.Error())
 	}
 	answered := err == nil && len(reply.Answers) == 1 && reply.Answers[0].IsCoordinator
 	n.metrics.CountLimitRequest(answered)
 	if !answered {
-		return n.meter.TakeFallback(w, keeper, cost, n.now())
+		return n.meter.TakeFallback(w, coordinator, cost, n.now())
 	}
 	return n.meter.ApplyAnswer(w, cost, reply.Answers[0])
 }
--- a/site/polling.go
+++ b/site/polling.go
@@ -182,7 +182,7 @@
 		return
 	}
 	go p.probeCold(ctx, e)
-	if !due || !p.node.settings.Enabled(settings.Reports) || !p.node.acquireProbePermit(ctx, e, throttle.WayReport) {
+	if !due || !p.node.settings.Enabled(settings.Reports) || !p.node.acquireProbePermit(ctx, e, throttle.KindReport) {
 		return
 	}
 	timeoutCtx, cancel := context.WithTimeout(ctx, reportTimeout)
--- a/site/throttle.go
+++ b/site/throttle.go
@@ -23,7 +23,7 @@
 // it returns when the endpoint accepts the next request.
 func (n *Node) acquirePermit(ctx context.Context, e fleet.Endpoint) (permit *throttle.Permit, opensAt time.Time) {
 	v := n.throttle.Acquire(e, n.control.snapshot().throttleRegion(), n.now())
-	if v.Keeper != nil {
+	if v.Coordinator != nil {
 		v = n.requestPermit(ctx, v)
 	}
 	return v.Permit, v.RetryAt
@@ -33,16 +33,16 @@
 func (n *Node) requestPermit(ctx context.Context, v throttle.Verdict) throttle.Verdict {
 	timeoutCtx, cancel := context.WithTimeout(ctx, permitTimeout)
 	defer cancel()
-	a, err := n.peers.Permit(timeoutCtx, *v.Keeper, v.Limit)
+	a, err := n.peers.Permit(timeoutCtx, *v.Coordinator, v.Limit)
 	if err != nil && ctx.Err() != nil {
-		// The caller left or the deadline has passed, which does not mean that the keeper
+		// The caller left or the deadline has passed, which does not mean that the coordinator
 		// failed.
 		return throttle.Verdict{
 			RetryAt: n.now(),
 		}
 	}
 	if err != nil {
-		n.log.Debug("permit_failed", "peer", v.Keeper.ID, "endpoint", v.Limit.Endpoint, "reason", err.Error())
+		n.log.Debug("permit_failed", "peer", v.Coordinator.ID, "endpoint", v.Limit.Endpoint, "reason", err.Error())
 		n.metrics.CountPermitRequest(permitUnanswered)
 		return n.throttle.HandleTimeout(v, n.now())
 	}
--- a/testscripts/emulator/engine_limits.go
+++ b/testscripts/emulator/engine_limits.go
@@ -164,17 +164,17 @@
 		return
 	}
 	verdict := v.throttle.Acquire(e, v.throttleRegion(), v.now())
-	if verdict.Keeper == nil {
+	if verdict.Coordinator == nil {
 		then(verdict.Permit, verdict.RetryAt)
 		return
 	}
-	v.askPermitOwner(incarnation, verdict, func(verdict throttle.Verdict) { then(verdict.Permit, verdict.RetryAt) })
+	v.askCoordinator(incarnation, verdict, func(verdict throttle.Verdict) { then(verdict.Permit, verdict.RetryAt) })
 }
 
-// askPermitOwner asks the VM that owns the endpoint's rate limiter.
-func (v *vm) askPermitOwner(incarnation uint64, verdict throttle.Verdict, then func(throttle.Verdict)) {
+// askCoordinator asks the coordinator of the endpoint's limit.
+func (v *vm) askCoordinator(incarnation uint64, verdict throttle.Verdict, then func(throttle.Verdict)) {
 	w := v.world
-	owner := w.vmByID(verdict.Keeper.ID)
+	coordinator := w.vmByID(verdict.Coordinator.ID)
 	answered := false
 	answer := func(decide func() throttle.Verdict) {
 		v.run(incarnation, func() {
@@ -187,11 +187,11 @@
 	w.after(permitTimeout, func() {
 		answer(func() throttle.Verdict { return v.throttle.HandleTimeout(verdict, v.now()) })
 	})
-	w.network.send(v.member.Region, owner.member.Region, func() {
-		owner.run(owner.incarnation, func() {
-			a := owner.throttle.HandleRequest(verdict.Limit, owner.throttleRegion(), owner.now())
-			wait := a.NextAt.Sub(owner.now())
-			w.network.send(owner.member.Region, v.member.Region, func() {
+	w.network.send(v.member.Region, coordinator.member.Region, func() {
+		coordinator.run(coordinator.incarnation, func() {
+			a := coordinator.throttle.HandleRequest(verdict.Limit, coordinator.throttleRegion(), coordinator.now())
+			wait := a.NextAt.Sub(coordinator.now())
+			w.network.send(coordinator.member.Region, v.member.Region, func() {
 				answer(func() throttle.Verdict {
 					a.NextAt = v.now().Add(wait)
 					return v.throttle.HandleAnswer(verdict, a, v.now())
--- a/throttle/keeper.go
+++ b/throttle/coordinator.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	// startupDelay is how long a keeper grants no permits after its start: when
-	// hundreds of VMs start together, each considers itself the keeper until it knows
+	// startupDelay is how long a coordinator grants no permits after its start: when
+	// hundreds of VMs start together, each considers itself the coordinator until it knows
 	// the others.
 	startupDelay = 2 * fleet.StartupPeriod
 	// minPerSecond is the lowest rate at which requests are sent to an endpoint, since
@@ -23,12 +23,12 @@
 
 // Answer is the response to a VM that asked for a permit.
 type Answer struct {
-	// IsCoordinator is set if the VM is the keeper of the endpoint.
+	// IsCoordinator is set if the VM is the coordinator of the endpoint.
 	IsCoordinator bool
 	Granted       bool
 	// NextAt is when the VM may ask for the next permit.
 	NextAt time.Time
-	// Limit is the keeper's limit if it differs from that of the request.
+	// Limit is the coordinator's limit if it differs from that of the request.
 	Limit Limit
 }
 
@@ -39,7 +39,7 @@
 	defer t.mu.Unlock()
 	t.census.Observe(len(r.Reachable), r.Known, now)
 	endpoint := t.endpoints[l.Endpoint]
-	if endpoint == nil || t.keeper(l.Endpoint, r).ID != t.options.VM {
+	if endpoint == nil || t.coordinator(l.Endpoint, r).ID != t.options.VM {
 		return Answer{}
 	}
 	a := Answer{
@@ -72,7 +72,7 @@
 }
 
 // permitRate is the rate at which this VM grants permits: the endpoint's rate times the
-// share of the region's VMs that are reachable, as unreachable VMs may have a keeper of
+// share of the region's VMs that are reachable, as unreachable VMs may have a coordinator of
 // their own.
 func (t *Throttle) permitRate(l Limit, now time.Time) float64 {
 	return max(l.PerSecond, minPerSecond) * t.census.ReachableShare(now)
--- a/throttle/scenario_test.go
+++ b/throttle/scenario_test.go
@@ -17,9 +17,9 @@
 		Used float64
 	}](t, "testdata/scenarios.json") {
 		t.Run(c.Name, func(t *testing.T) {
-			sim := newSimulation(c.scenario, strategyKeeper, 1)
+			sim := newSimulation(c.scenario, strategyCoordinator, 1)
 			sim.run()
-			t.Logf("bound %.2f, used %.2f, asks %.2f a VM and second", sim.maxShare(), sim.utilization(), float64(sim.keeperRequests)/float64(c.VMs)/c.Length)
+			t.Logf("bound %.2f, used %.2f, asks %.2f a VM and second", sim.maxShare(), sim.utilization(), float64(sim.coordinatorRequests)/float64(c.VMs)/c.Length)
 			assert.Assert(t, sim.maxShare() <= 1, sim.maxShare())
 			assert.Assert(t, sim.utilization() >= c.Used, sim.utilization())
 		})
@@ -29,17 +29,17 @@
 // TestWays checks that each alternative strategy exceeds the bound or leaves more than
 // half of the limits unused in some scenario.
 func TestWays(t *testing.T) {
-	for _, candidate := range []strategy{strategyKeeper, strategyRanked, strategyEven, strategyAlone} {
+	for _, candidate := range []strategy{strategyCoordinator, strategyRanked, strategyEven, strategyAlone} {
 		t.Run(string(candidate), func(t *testing.T) {
 			worstShare, leastUsed := 0.0, 1.0
 			for _, c := range datatest.Read[[]scenario](t, "testdata/scenarios.json") {
 				sim := newSimulation(c, candidate, 1)
 				sim.run()
-				t.Logf("%-45s bound %.2f, used %.2f, asks %.2f", c.Name, sim.maxShare(), sim.utilization(), float64(sim.keeperRequests)/float64(c.VMs)/c.Length)
+				t.Logf("%-45s bound %.2f, used %.2f, asks %.2f", c.Name, sim.maxShare(), sim.utilization(), float64(sim.coordinatorRequests)/float64(c.VMs)/c.Length)
 				worstShare, leastUsed = max(worstShare, sim.maxShare()), min(leastUsed, sim.utilization())
 			}
 			isGood := worstShare <= 1 && leastUsed >= 0.5
-			assert.Equal(t, isGood, candidate == strategyKeeper)
+			assert.Equal(t, isGood, candidate == strategyCoordinator)
 		})
 	}
 }
--- a/throttle/simulation_test.go
+++ b/throttle/simulation_test.go
@@ -14,8 +14,8 @@
 type strategy string
 
 const (
-	// strategyKeeper is the one implemented by Throttle.
-	strategyKeeper strategy = "keeper"
+	// strategyCoordinator is the one implemented by Throttle.
+	strategyCoordinator strategy = "keeper"
 	// strategyEven gives each VM an equal share, strategyRanked one to as many VMs by
 	// rank as the bound allows.
 	strategyEven   strategy = "even"
@@ -63,8 +63,8 @@
 	now      time.Time
 	vms      []*simulatedVM
 	// sent are the times of the requests to each endpoint.
-	sent           map[string][]time.Time
-	keeperRequests int
+	sent                map[string][]time.Time
+	coordinatorRequests int
 }
 
 type simulatedVM struct {
@@ -204,8 +204,8 @@
 
 func (s *simulation) mayTake(v *simulatedVM, endpointID string, r RegionView) bool {
 	switch s.strategy {
-	case strategyKeeper:
-		return s.askKeeper(v, endpointID, r)
+	case strategyCoordinator:
+		return s.askCoordinator(v, endpointID, r)
 	case strategyEven:
 		return v.takeToken(endpointID, s.PerSecond/float64(max(len(r.Reachable), 1)), s.now)
 	case strategyRanked:
@@ -227,18 +227,18 @@
 	return v.senders[endpointID]
 }
 
-// askKeeper asks for a permit as the gateway does.
-func (s *simulation) askKeeper(v *simulatedVM, endpointID string, r RegionView) bool {
+// askCoordinator asks for a permit as the gateway does.
+func (s *simulation) askCoordinator(v *simulatedVM, endpointID string, r RegionView) bool {
 	verdict := v.throttle.Acquire(fleet.Endpoint{ID: endpointID}, r, s.now)
-	if verdict.Keeper == nil {
+	if verdict.Coordinator == nil {
 		return verdict.Permit != nil
 	}
-	s.keeperRequests++
-	keeper := s.vms[slices.IndexFunc(s.vms, func(o *simulatedVM) bool { return o.ID == verdict.Keeper.ID })]
-	if !s.reaches(v, keeper, s.now) || s.now.Before(keeper.startedAt) {
+	s.coordinatorRequests++
+	coordinator := s.vms[slices.IndexFunc(s.vms, func(o *simulatedVM) bool { return o.ID == verdict.Coordinator.ID })]
+	if !s.reaches(v, coordinator, s.now) || s.now.Before(coordinator.startedAt) {
 		return v.throttle.HandleTimeout(verdict, s.now).Permit != nil
 	}
-	a := keeper.throttle.HandleRequest(verdict.Limit, s.regionOf(keeper), s.now)
+	a := coordinator.throttle.HandleRequest(verdict.Limit, s.regionOf(coordinator), s.now)
 	return v.throttle.HandleAnswer(verdict, a, s.now).Permit != nil
 }
 
@@ -254,7 +254,7 @@
 	return b.take()
 }
 
-// maxBoundShare is the largest share of its bound that any endpoint received.
+// maxShare is the largest share of its bound that any endpoint received.
 func (s *simulation) maxShare() float64 {
 	bound := boundFactor*s.PerSecond*boundWindow.Seconds() + boundExtra
 	maxShare := 0.0
--- a/throttle/throttle.go
+++ b/throttle/throttle.go
@@ -2,7 +2,7 @@
 // requests per second from all VMs together.
 //
 // An endpoint is reached only from its own region. For each endpoint one VM of the
-// region, the keeper, is chosen by rendezvous hashing and grants a permit for every
+// region, the coordinator, is chosen by rendezvous hashing and grants a permit for every
 // request to it, whichever VM sends it. A limit that one VM learns from an answer is
 // sent to all VMs of the region.
 //
@@ -21,11 +21,11 @@
 const (
 	// permitLifetime covers a new connection and the retransmission of a lost packet.
 	permitLifetime = time.Second
-	// keeperBackoffDuration is how long a keeper that did not answer is not asked
+	// coordinatorBackoffDuration is how long a coordinator that did not answer is not asked
 	// again.
-	keeperBackoffDuration = 500 * time.Millisecond
-	// noKeeperRetryDelay is the retry delay while the VMs disagree on the keeper.
-	noKeeperRetryDelay = 100 * time.Millisecond
+	coordinatorBackoffDuration = 500 * time.Millisecond
+	// noCoordinatorRetryDelay is the retry delay while the VMs disagree on the coordinator.
+	noCoordinatorRetryDelay = 100 * time.Millisecond
 	// unlistedRetention is how long the limit of an endpoint is kept after it is no
 	// longer published. Published entries may expire during an outage of the store.
 	unlistedRetention = time.Minute
@@ -57,9 +57,9 @@
 	mu        sync.Mutex
 	census    fleet.SizeEstimate
 	endpoints map[string]*limitedEndpoint
-	// keeperBackoff holds the keepers that did not answer, with the end of their
+	// coordinatorBackoff holds the coordinators that did not answer, with the end of their
 	// backoff.
-	keeperBackoff map[string]time.Time
+	coordinatorBackoff map[string]time.Time
 	// callerRetries are the retry times given to refused callers, by target.
 	callerRetries map[string]*retrySchedule
 }
@@ -71,9 +71,9 @@
 	// published.
 	learnedAt time.Time
 	listedAt  time.Time
-	// closedUntil is when the keeper may grant this VM the next permit.
+	// closedUntil is when the coordinator may grant this VM the next permit.
 	closedUntil time.Time
-	// bucket and retries are used if this VM is the keeper.
+	// bucket and retries are used if this VM is the coordinator.
 	bucket  tokenBucket
 	retries retrySchedule
 	// nextProbeAt is when the next load and health probe is allowed.
@@ -90,26 +90,26 @@
 		census: fleet.SizeEstimate{
 			StartedAt: o.StartedAt,
 		},
-		endpoints:     make(map[string]*limitedEndpoint),
-		keeperBackoff: make(map[string]time.Time),
-		callerRetries: make(map[string]*retrySchedule),
+		endpoints:          make(map[string]*limitedEndpoint),
+		coordinatorBackoff: make(map[string]time.Time),
+		callerRetries:      make(map[string]*retrySchedule),
 	}
 }
 
-// Verdict is the result of Take: a permit, a time to wait for, or the keeper to ask.
+// Verdict is the result of Acquire: a permit, a time to wait for, or the coordinator to ask.
 type Verdict struct {
 	// Permit is set if the request may be sent.
 	Permit *Permit
 	// RetryAt is when this VM may send the next request, if this one may not be sent.
 	RetryAt time.Time
-	// Keeper is set if that VM has to be asked, with Limit. The lifetime of its permit
+	// Coordinator is set if that VM has to be asked, with Limit. The lifetime of its permit
 	// starts at AskedAt.
-	Keeper  *fleet.VM
-	Limit   Limit
-	AskedAt time.Time
+	Coordinator *fleet.VM
+	Limit       Limit
+	AskedAt     time.Time
 }
 
-// Acquire grants a permit for a request to an endpoint, refuses it, or names the keeper to
+// Acquire grants a permit for a request to an endpoint, refuses it, or names the coordinator to
 // ask.
 func (t *Throttle) Acquire(e fleet.Endpoint, r RegionView, now time.Time) Verdict {
 	t.mu.Lock()
@@ -121,9 +121,9 @@
 			Permit: &Permit{},
 		}
 	}
-	keeper := t.keeper(e.ID, r)
+	coordinator := t.coordinator(e.ID, r)
 	opensAt := endpoint.closedUntil
-	if backoffUntil := t.keeperBackoff[keeper.ID]; backoffUntil.After(opensAt) {
+	if backoffUntil := t.coordinatorBackoff[coordinator.ID]; backoffUntil.After(opensAt) {
 		opensAt = backoffUntil
 	}
 	if now.Before(opensAt) {
@@ -131,18 +131,18 @@
 			RetryAt: opensAt,
 		}
 	}
-	if keeper.ID != t.options.VM {
+	if coordinator.ID != t.options.VM {
 		return Verdict{
-			Keeper:  &keeper,
-			Limit:   endpoint.limit,
-			AskedAt: now,
+			Coordinator: &coordinator,
+			Limit:       endpoint.limit,
+			AskedAt:     now,
 		}
 	}
 	granted, nextAt := t.grant(endpoint, now)
 	return endpoint.applyDecision(granted, nextAt, now, now)
 }
 
-// applyDecision records the keeper's decision and turns it into a Verdict.
+// applyDecision records the coordinator's decision and turns it into a Verdict.
 func (e *limitedEndpoint) applyDecision(granted bool, nextAt, askedAt, now time.Time) Verdict {
 	if nextAt.After(now) {
 		e.closedUntil = nextAt
@@ -159,12 +159,12 @@
 	}
 }
 
-// HandleAnswer processes the answer of the keeper that a verdict named.
+// HandleAnswer processes the answer of the coordinator that a verdict named.
 func (t *Throttle) HandleAnswer(v Verdict, a Answer, now time.Time) Verdict {
 	t.Learn(a.Limit, now)
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	delete(t.keeperBackoff, v.Keeper.ID)
+	delete(t.coordinatorBackoff, v.Coordinator.ID)
 	endpoint := t.endpoints[v.Limit.Endpoint]
 	switch {
 	case endpoint == nil || !endpoint.limit.Active:
@@ -172,28 +172,28 @@
 			Permit: &Permit{},
 		}
 	case !a.IsCoordinator:
-		return endpoint.applyDecision(false, now.Add(noKeeperRetryDelay), v.AskedAt, now)
+		return endpoint.applyDecision(false, now.Add(noCoordinatorRetryDelay), v.AskedAt, now)
 	}
 	return endpoint.applyDecision(a.Granted, a.NextAt, v.AskedAt, now)
 }
 
-// HandleTimeout records that the keeper did not answer. It may have granted the permit, so
+// HandleTimeout records that the coordinator did not answer. It may have granted the permit, so
 // the request must not be sent.
 func (t *Throttle) HandleTimeout(v Verdict, now time.Time) Verdict {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	backoffUntil := now.Add(keeperBackoffDuration)
-	t.keeperBackoff[v.Keeper.ID] = backoffUntil
+	backoffUntil := now.Add(coordinatorBackoffDuration)
+	t.coordinatorBackoff[v.Coordinator.ID] = backoffUntil
 	return Verdict{
 		RetryAt: backoffUntil,
 	}
 }
 
-// keeper returns the VM that grants permits for an endpoint. All VMs that reach each
+// coordinator returns the VM that grants permits for an endpoint. All VMs that reach each
 // other choose the same one.
-func (t *Throttle) keeper(endpointID string, r RegionView) fleet.VM {
-	if keeper, ok := entry.HighestRanked(entry.Hash(endpointID), r.Reachable); ok {
-		return keeper
+func (t *Throttle) coordinator(endpointID string, r RegionView) fleet.VM {
+	if coordinator, ok := entry.HighestRanked(entry.Hash(endpointID), r.Reachable); ok {
+		return coordinator
 	}
 	return fleet.VM{
 		ID: t.options.VM,
