--- a/placement/miss_tracker_test.go
+++ b/placement/miss_tracker_test.go
@@ -36,11 +36,11 @@
 			refused := 0
 			for i := range 1000 {
 				r := Request{
-					Local:         Load{Region: "a", Endpoints: 1, TTFT: 2 * time.Second},
-					LocalAllowed:  true,
-					FirstBy:       now.Add(time.Second),
-					MissRate:      l.MissRate(g, now),
-					ObjectiveDraw: float64(i) / 1000,
+					Local:              Load{Region: "a", Endpoints: 1, TTFT: 2 * time.Second},
+					LocalAllowed:       true,
+					FirstTokenDeadline: now.Add(time.Second),
+					MissRate:           l.MissRate(g, now),
+					ObjectiveDraw:      float64(i) / 1000,
 				}
 				if Decide(r, now).Refusal == ReasonObjective {
 					refused++
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -73,10 +73,10 @@
 	// Forwarded is set if another VM has already handled the call; such a call is not
 	// refused for overload.
 	Forwarded bool
-	// FirstBy is the objective for the first token and WholeBy the deadline; zero means
-	// none.
-	FirstBy time.Time
-	WholeBy time.Time
+	// FirstTokenDeadline is the objective for the first token and Deadline the deadline for
+	// the whole answer; zero means none.
+	FirstTokenDeadline time.Time
+	Deadline           time.Time
 	// Rank is the rank of the call's priority among those in use: 0 for the highest, 1
 	// for those between and 2 for the lowest.
 	Rank int
@@ -116,7 +116,7 @@
 	Region string
 	// Late is set if the call yields to calls that can still meet their objective.
 	Late bool
-	// Refusal is empty for a call that is served. ComeBackAt is when the caller of a
+	// Refusal is empty for a call that is served. RetryAt is when the caller of a
 	// refused call may retry.
 	Refusal Reason
 	RetryAt time.Time
@@ -202,7 +202,7 @@
 
 // isLate reports whether the first token is expected after the objective.
 func (r Request) isLate(l Load, now time.Time) bool {
-	return MissesObjective(l, r.FirstBy, now)
+	return MissesObjective(l, r.FirstTokenDeadline, now)
 }
 
 // MissesObjective reports whether a call served at load l would miss its objective, so that it
@@ -218,13 +218,13 @@
 	if r.Rank < lowestPriorityRank {
 		return completion
 	}
-	return max(completion, shedThresholdLow*shareOfTime(l.TotalTimeP90+l.RoundTrip, r.WholeBy, now))
+	return max(completion, shedThresholdLow*shareOfTime(l.TotalTimeP90+l.RoundTrip, r.Deadline, now))
 }
 
 // timeUsed returns the shares of the times to the objective and to the deadline that
 // the call would take in a region.
 func (r Request) timeUsed(l Load, now time.Time) (first, completion float64) {
-	return shareOfTime(l.TTFT+l.RoundTrip, r.FirstBy, now), shareOfTime(l.TotalTime+l.RoundTrip, r.WholeBy, now)
+	return shareOfTime(l.TTFT+l.RoundTrip, r.FirstTokenDeadline, now), shareOfTime(l.TotalTime+l.RoundTrip, r.Deadline, now)
 }
 
 func shareOfTime(duration time.Duration, deadline, now time.Time) float64 {
@@ -236,10 +236,10 @@
 
 // retryAt returns when a call that was refused for overload may be retried.
 func (r Request) retryAt(now time.Time) time.Time {
-	if now.Before(r.FirstBy) {
-		return randomTimeWithin(r.FirstBy.Sub(now), minObjectiveRetryShare, maxObjectiveRetryShare, r.RetryDraw, now)
+	if now.Before(r.FirstTokenDeadline) {
+		return randomTimeWithin(r.FirstTokenDeadline.Sub(now), minObjectiveRetryShare, maxObjectiveRetryShare, r.RetryDraw, now)
 	}
-	return randomTimeWithin(r.WholeBy.Sub(now), minDeadlineRetryShare, maxDeadlineRetryShare, r.RetryDraw, now)
+	return randomTimeWithin(r.Deadline.Sub(now), minDeadlineRetryShare, maxDeadlineRetryShare, r.RetryDraw, now)
 }
 
 // randomTimeWithin returns the time at which a share between minShare and maxShare of
--- a/placement/placement_test.go
+++ b/placement/placement_test.go
@@ -44,12 +44,12 @@
 	}](t, "testdata/decide.json") {
 		t.Run(c.Name, func(t *testing.T) {
 			r := Request{
-				Local:        c.Own.load(),
-				LocalAllowed: !c.NotAllowed,
-				FirstBy:      now.Add(time.Second),
-				WholeBy:      now.Add(10 * time.Second),
-				Rank:         c.Rank,
-				DeadlineDraw: c.Draw,
+				Local:              c.Own.load(),
+				LocalAllowed:       !c.NotAllowed,
+				FirstTokenDeadline: now.Add(time.Second),
+				Deadline:           now.Add(10 * time.Second),
+				Rank:               c.Rank,
+				DeadlineDraw:       c.Draw,
 			}
 			r.Local.Region = "a"
 			for _, o := range c.Others {
@@ -80,11 +80,11 @@
 			r := Request{
 				Local:        Load{Region: "a", Endpoints: 1, TotalTime: time.Hour},
 				LocalAllowed: true,
-				WholeBy:      now.Add(9 * time.Second),
+				Deadline:     now.Add(9 * time.Second),
 				RetryDraw:    c.Draw,
 			}
 			if c.FirstMS != 0 {
-				r.FirstBy = now.Add(time.Duration(c.FirstMS) * time.Millisecond)
+				r.FirstTokenDeadline = now.Add(time.Duration(c.FirstMS) * time.Millisecond)
 			}
 			d := Decide(r, now)
 			assert.Equal(t, d.Refusal, ReasonDeadline)
--- a/routing/prefill_queues.go
+++ b/routing/prefill_queues.go
@@ -17,9 +17,9 @@
 // QueuedPrompt is the part of a call's prompt that an endpoint has to prefill.
 type QueuedPrompt struct {
 	Tokens int
-	// Turn is the call's level in the endpoint's queue.
-	Turn   int
-	SentAt time.Time
+	// QueueLevel is the call's level in the endpoint's queue.
+	QueueLevel int
+	SentAt     time.Time
 }
 
 // peerTTL is how long a VM counts as reporting its queues; it reports every second.
@@ -40,9 +40,9 @@
 		}
 		for _, q := range e.prefillQueue.prompts {
 			u.Prompts = append(u.Prompts, QueuedPrompt{
-				Tokens: int(q.tokens),
-				Turn:   q.queueLevel,
-				SentAt: q.sentAt,
+				Tokens:     int(q.tokens),
+				QueueLevel: q.queueLevel,
+				SentAt:     q.sentAt,
 			})
 		}
 		list = append(list, u)
@@ -89,7 +89,7 @@
 	for _, q := range u.Prompts {
 		o.prompts = append(o.prompts, queuedPrompt{
 			tokens:     float64(q.Tokens),
-			queueLevel: min(max(q.Turn, 0), call.QueueLevels-1),
+			queueLevel: min(max(q.QueueLevel, 0), call.QueueLevels-1),
 			sentAt:     q.SentAt,
 		})
 	}
--- a/site/pending.go
+++ b/site/pending.go
@@ -123,7 +123,7 @@
 	for _, q := range u.Prompts {
 		m.Prompts = append(m.Prompts, &peerpb.UnreadPrompt{
 			Tokens: uint32(max(q.Tokens, 0)),
-			Turn:   uint32(q.Turn),
+			Turn:   uint32(q.QueueLevel),
 			AgeMs:  ageMs(q.SentAt, now),
 		})
 	}
@@ -147,9 +147,9 @@
 	}
 	for _, q := range m.GetPrompts() {
 		u.Prompts = append(u.Prompts, routing.QueuedPrompt{
-			Tokens: int(q.GetTokens()),
-			Turn:   int(q.GetTurn()),
-			SentAt: sentAt.Add(-time.Duration(q.GetAgeMs()) * time.Millisecond),
+			Tokens:     int(q.GetTokens()),
+			QueueLevel: int(q.GetTurn()),
+			SentAt:     sentAt.Add(-time.Duration(q.GetAgeMs()) * time.Millisecond),
 		})
 	}
 	return u
--- a/site/place.go
+++ b/site/place.go
@@ -92,18 +92,18 @@
 	}
 	remotes := n.remoteLoads(c, snap, tried, local)
 	decision := placement.Decide(placement.Request{
-		Local:         local,
-		LocalAllowed:  c.Routed.Allows(n.deployment.Region) && !slices.Contains(tried, n.deployment.VM),
-		Remote:        remotes,
-		Forwarded:     len(tried) > 0,
-		FirstBy:       c.FirstTokenDeadline,
-		WholeBy:       c.Deadline,
-		Rank:          snap.rankPosition(c.Routed.Rank),
-		MissRate:      n.lateOutcomes.MissRate(lateGroup(c), now),
-		DeadlineDraw:  rand.Float64(),
-		ObjectiveDraw: rand.Float64(),
-		RetryDraw:     rand.Float64(),
-		Disabled:      n.disabledPlacement(),
+		Local:              local,
+		LocalAllowed:       c.Routed.Allows(n.deployment.Region) && !slices.Contains(tried, n.deployment.VM),
+		Remote:             remotes,
+		Forwarded:          len(tried) > 0,
+		FirstTokenDeadline: c.FirstTokenDeadline,
+		Deadline:           c.Deadline,
+		Rank:               snap.rankPosition(c.Routed.Rank),
+		MissRate:           n.lateOutcomes.MissRate(lateGroup(c), now),
+		DeadlineDraw:       rand.Float64(),
+		ObjectiveDraw:      rand.Float64(),
+		RetryDraw:          rand.Float64(),
+		Disabled:           n.disabledPlacement(),
 	}, now)
 	vm, _ := pickVM(snap.members.AcceptingVMs(decision.Region), tried)
 	return placementResult{
--- a/standin/caller/answer.go
+++ b/standin/caller/answer.go
@@ -40,12 +40,12 @@
 }
 
 type errorDetail struct {
-	Code       result.Code  `json:"code"`
-	Class      result.Class `json:"class"`
-	Message    string       `json:"message"`
-	ComeBackAt time.Time    `json:"come_back_at"`
-	Use        []Entry      `json:"use"`
-	Ticket     string       `json:"ticket"`
+	Code    result.Code  `json:"code"`
+	Class   result.Class `json:"class"`
+	Message string       `json:"message"`
+	RetryAt time.Time    `json:"come_back_at"`
+	Use     []Entry      `json:"use"`
+	Ticket  string       `json:"ticket"`
 }
 
 // completion is a chat completion, or one chunk of a streamed one.
--- a/standin/caller/attempt.go
+++ b/standin/caller/attempt.go
@@ -186,7 +186,7 @@
 	a.Code = f.Code
 	a.Class = f.Code.Class()
 	a.Message = f.Message
-	a.ComeBackAt = f.ComeBackAt
+	a.RetryAt = f.RetryAt
 	a.use = f.Use
 	a.ticket = f.Ticket
 }
--- a/standin/caller/entries.go
+++ b/standin/caller/entries.go
@@ -166,5 +166,5 @@
 	if err := json.Unmarshal(data, &refused); err != nil {
 		return body, fmt.Errorf("status %d: %w", response.StatusCode, err)
 	}
-	return body, result.Refuse(refused.Error.Code, "%s", refused.Error.Message).WithRetryAt(refused.Error.ComeBackAt)
+	return body, result.Refuse(refused.Error.Code, "%s", refused.Error.Message).WithRetryAt(refused.Error.RetryAt)
 }
--- a/standin/caller/result.go
+++ b/standin/caller/result.go
@@ -30,8 +30,8 @@
 	Attempts int `json:"tries"`
 	// Ticket is the ticket that the call was sent with.
 	Ticket string `json:"ticket,omitempty"`
-	// ComeBackAt is the retry time that the last refusal named.
-	ComeBackAt time.Time `json:"come_back_at,omitzero"`
+	// RetryAt is the retry time that the last refusal named.
+	RetryAt time.Time `json:"come_back_at,omitzero"`
 	// Message explains a result whose class is not done.
 	Message string `json:"message,omitempty"`
 }
--- a/standin/caller/retry.go
+++ b/standin/caller/retry.go
@@ -74,7 +74,7 @@
 		return stepRetryNamedVMs
 	case a.Code == result.Stopping, a.Code == result.PeerUnreachable:
 		return stepRetryNextVM
-	case !a.ComeBackAt.IsZero():
+	case !a.RetryAt.IsZero():
 		return stepWaitAndRetry
 	default:
 		return stepReturn
@@ -134,7 +134,7 @@
 		var refusal *result.Refusal
 		if errors.As(err, &refusal) {
 			a.Code = refusal.Code
-			a.ComeBackAt = refusal.RetryAt
+			a.RetryAt = refusal.RetryAt
 		}
 		return a, ctx.Err() == nil
 	}
@@ -186,7 +186,7 @@
 		f.caller.moveToEnd(current)
 		f.targets = without(f.targets, current)
 	case stepWaitAndRetry:
-		return f.waitForRetryTime(ctx, a.ComeBackAt)
+		return f.waitForRetryTime(ctx, a.RetryAt)
 	default:
 		return false
 	}
--- a/testscripts/emulator/crash_tracker.go
+++ b/testscripts/emulator/crash_tracker.go
@@ -61,7 +61,7 @@
 
 // peers returns the reachable VMs, including this one.
 func (v *vm) peers() (vms []quarantine.Peer, partitioned bool) {
-	for _, m := range v.picture().Members {
+	for _, m := range v.snapshot().Members {
 		if m.Reachable || m.VM.ID == v.member.ID {
 			vms = append(vms, quarantine.Peer{
 				VM:          m.VM,
@@ -69,7 +69,7 @@
 			})
 		}
 	}
-	return vms, len(vms) < v.picture().MaxKnown
+	return vms, len(vms) < v.snapshot().MaxKnown
 }
 
 func (c *crashTracker) sendReport(report quarantine.Outgoing) {
--- a/testscripts/emulator/engine_limits.go
+++ b/testscripts/emulator/engine_limits.go
@@ -146,9 +146,9 @@
 		}
 	}
 	r := throttle.RegionView{
-		Reachable: v.picture().ReachableVMs(v.member.Region),
+		Reachable: v.snapshot().ReachableVMs(v.member.Region),
 	}
-	for _, m := range v.picture().Members {
+	for _, m := range v.snapshot().Members {
 		if m.VM.Region == v.member.Region {
 			r.Known++
 		}
--- a/testscripts/emulator/gossip.go
+++ b/testscripts/emulator/gossip.go
@@ -114,7 +114,7 @@
 func (v *vm) applyGossip(m gossipMessage) {
 	now := v.now()
 	v.roster.Receive(m.sender, m.rumors, now)
-	v.cachedPicture = nil
+	v.cachedSnapshot = nil
 	if m.table != nil {
 		v.peerTable = m.table
 	}
@@ -143,7 +143,7 @@
 func (v *vm) schedulePull(m gossipMessage) {
 	w, incarnation := v.world, v.incarnation
 	wait := time.Duration(0)
-	if v.picture().ReadsStore(storeReaders) {
+	if v.snapshot().ReadsStore(storeReaders) {
 		wait = pullDelay
 	}
 	w.after(wait, func() {
--- a/testscripts/emulator/health_probe.go
+++ b/testscripts/emulator/health_probe.go
@@ -19,7 +19,7 @@
 			}
 		}
 		interval := probeInterval
-		if v.picture().StoreUnreadable() {
+		if v.snapshot().StoreUnreadable() {
 			interval = fastProbeInterval
 		}
 		v.world.after(interval, func() { v.probeHealth(incarnation) })
@@ -37,7 +37,7 @@
 		v.world.after(probeAllDuration, func() {
 			v.run(incarnation, func() {
 				v.roster.RecordProbe(probedAt)
-				v.cachedPicture = nil
+				v.cachedSnapshot = nil
 			})
 		})
 	}
@@ -47,7 +47,7 @@
 // reachableLocalVMs returns the IDs of the reachable VMs of the own region.
 func (v *vm) reachableLocalVMs() []string {
 	var out []string
-	for _, vm := range v.picture().ReachableVMs(v.member.Region) {
+	for _, vm := range v.snapshot().ReachableVMs(v.member.Region) {
 		out = append(out, vm.ID)
 	}
 	return out
--- a/testscripts/emulator/routed_request.go
+++ b/testscripts/emulator/routed_request.go
@@ -29,7 +29,7 @@
 // awaitFreshState calls then when the VM's state is current, or at the deadline.
 func (v *vm) awaitFreshState(deadline time.Time, then func(current bool)) {
 	now, incarnation := v.now(), v.incarnation
-	current := v.picture().Fresh(now) || v.world.defect == TrustStaleState
+	current := v.snapshot().Fresh(now) || v.world.defect == TrustStaleState
 	if current || !now.Before(deadline) {
 		then(current)
 		return
@@ -104,7 +104,7 @@
 	if len(s.triedVMs) == 0 && allowed(s.vm.member.Region) && len(s.vm.endpoints()) > 0 {
 		return s.vm
 	}
-	for _, m := range s.vm.picture().Members {
+	for _, m := range s.vm.snapshot().Members {
 		if m.VM.Region != s.vm.member.Region && m.Reachable && m.Ready && allowed(m.VM.Region) && !slices.Contains(s.triedVMs, m.VM.ID) {
 			return s.vm.world.vmByID(m.VM.ID)
 		}
--- a/testscripts/emulator/store_reader.go
+++ b/testscripts/emulator/store_reader.go
@@ -14,7 +14,7 @@
 	if v.readInFlight || now.Before(v.nextReadCheck) {
 		return
 	}
-	if v.discovery.Table() != nil && !v.picture().ReadsStore(storeReaders) {
+	if v.discovery.Table() != nil && !v.snapshot().ReadsStore(storeReaders) {
 		v.nextReadCheck = now.Add(readerCheckInterval)
 		return
 	}
--- a/testscripts/emulator/vm.go
+++ b/testscripts/emulator/vm.go
@@ -50,13 +50,13 @@
 	roster    *roster.Roster
 	mirror    *discovery.Mirror
 	discovery *discovery.State
-	// cachedPicture caches the roster's picture; nil if it may be outdated.
-	cachedPicture *roster.Snapshot
-	pool          *routing.Pool
-	window        *retry.Window
-	crashTracker  *crashTracker
-	throttle      *throttle.Throttle
-	needsFullRead bool
+	// cachedSnapshot caches the roster's picture; nil if it may be outdated.
+	cachedSnapshot *roster.Snapshot
+	pool           *routing.Pool
+	window         *retry.Window
+	crashTracker   *crashTracker
+	throttle       *throttle.Throttle
+	needsFullRead  bool
 	// readInFlight is set while a read of the store is in flight.
 	readInFlight bool
 	// nextReadCheck is when the VM next checks whether it is a store reader.
@@ -114,7 +114,7 @@
 	v.pool = routing.New(routing.Options{
 		Rand: w.rand.Uint64,
 	})
-	v.cachedPicture = nil
+	v.cachedSnapshot = nil
 	v.nextReadCheck = time.Time{}
 	v.endpointsDueAt = time.Time{}
 	v.endpointsChanged = true
@@ -141,7 +141,7 @@
 			if v.world.defect == UnsharedRetryBudget {
 				return 1
 			}
-			return v.picture().MaxKnown
+			return v.snapshot().MaxKnown
 		},
 		SlackFrom: slackFrom,
 		Now:       func() time.Time { return v.now() },
@@ -220,7 +220,7 @@
 	v.run(incarnation, func() {
 		now := v.now()
 		targets := v.roster.Step(now)
-		v.cachedPicture = nil
+		v.cachedSnapshot = nil
 		v.probeAfterPause(incarnation)
 		v.gossipTo(targets)
 		v.applyState()
@@ -240,16 +240,16 @@
 	v.endpointsChanged = false
 	v.discovery.RemoveExpired(now)
 	v.endpointsDueAt = v.discovery.NextChange(now)
-	v.pool.SetVMs(len(v.picture().Members))
+	v.pool.SetVMs(len(v.snapshot().Members))
 	v.pool.SetEndpoints(v.endpoints(), now)
 }
 
-// picture returns the roster's current picture.
-func (v *vm) picture() *roster.Snapshot {
-	if v.cachedPicture == nil {
-		v.cachedPicture = v.roster.Snapshot()
+// snapshot returns the roster's current picture.
+func (v *vm) snapshot() *roster.Snapshot {
+	if v.cachedSnapshot == nil {
+		v.cachedSnapshot = v.roster.Snapshot()
 	}
-	return v.cachedPicture
+	return v.cachedSnapshot
 }
 
 // endpoints returns the endpoints of the own region that accept requests.
@@ -287,7 +287,7 @@
 	if v.world.defect == ListDeadVMs {
 		return other.member.Region == v.member.Region
 	}
-	for _, m := range v.picture().Members {
+	for _, m := range v.snapshot().Members {
 		if m.VM.ID == other.member.ID {
 			return m.Reachable && m.Ready && m.VM.Region == v.member.Region
 		}
